--- a/crates/bench/src/steer/cost.rs
+++ b/crates/bench/src/steer/cost.rs
@@ -55,7 +55,7 @@
     for number in 0..PICKS {
         now = now + PAUSE;
         tell(&mut core, now, number as usize % targets);
-        core.note_request(now, SERVICE);
+        core.record_request(now, SERVICE);
         let asked = request();
         let before = Instant::now();
         let pick = std::hint::black_box(core.pick(now, &asked));
@@ -95,12 +95,12 @@
 fn tell(core: &mut SteerCore, now: TimePoint, number: usize) {
     let sample = PeerSample {
         good: 1,
-        multiple: Some(1.0),
+        latency_ratio: Some(1.0),
         held: Some(1),
         open: Some(1),
         ..PeerSample::default()
     };
-    core.take_peer(now, number as u64 % 90, TargetKey::of(&id(number)), &sample);
+    core.merge_peer_sample(now, number as u64 % 90, TargetKey::of(&id(number)), &sample);
 }
 
 fn id(number: usize) -> String {
--- a/crates/bench/src/steer/event.rs
+++ b/crates/bench/src/steer/event.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use wingbridge_decide::steer::ledger::RetryTally;
-use wingbridge_decide::steer::{AttemptMark, PeerSample};
+use wingbridge_decide::steer::{AttemptHandle, PeerSample};
 use wingbridge_decide::{TargetKey, TimePoint};
 
 /// Events to come, and now.
@@ -62,7 +62,7 @@
 pub(super) struct Attempt {
     pub(super) request: usize,
     pub(super) target: usize,
-    pub(super) mark: AttemptMark,
+    pub(super) handle: AttemptHandle,
     pub(super) open: bool,
 }
 
--- a/crates/bench/src/steer/world/limits.rs
+++ b/crates/bench/src/steer/world/limits.rs
@@ -18,7 +18,7 @@
 impl World<'_> {
     /// Takes what a target's answer says of its limit, here and at all boxes if it is new.
     pub(super) fn hear_limit(&mut self, attempt: usize) {
-        let Attempt { request, target, mark, .. } = self.attempts[attempt];
+        let Attempt { request, target, handle, .. } = self.attempts[attempt];
         let now = self.events.now;
         let named = self.named_limit(target);
         self.limits.note_named(now, target, named);
@@ -27,15 +27,15 @@
         }
         let Request { gateway, .. } = self.requests[request];
         let said = named.map_or(LimitSaid::None, LimitSaid::At);
-        let change = self.boxes[gateway].hear_limit(now, mark.key, mark.started, said);
+        let change = self.boxes[gateway].hear_limit(now, handle.key, handle.started, said);
         if change.is_none() {
             return;
         }
-        let rate = self.boxes[gateway].limit(now, mark.key);
+        let rate = self.boxes[gateway].limit(now, handle.key);
         for (number, core) in self.boxes.iter_mut().enumerate() {
             if number != gateway {
                 // Told at once; the time on the way changes little of seconds.
-                let _ = core.take_limit(now, mark.key, rate, Duration::ZERO);
+                let _ = core.take_limit(now, handle.key, rate, Duration::ZERO);
             }
         }
     }
--- a/crates/bench/src/steer/world/mod.rs
+++ b/crates/bench/src/steer/world/mod.rs
@@ -175,7 +175,7 @@
             attempts: Vec::new(),
             over: false,
         });
-        self.boxes[gateway].note_request(self.events.now, &self.names[service]);
+        self.boxes[gateway].record_request(self.events.now, &self.names[service]);
         let timeout = self.service_plan(service).timeout;
         self.events.schedule(timeout, Event::TimeOver { request });
         self.send(request);
@@ -185,7 +185,7 @@
     /// queues and it has time to spare.
     fn send(&mut self, request: usize) {
         match self.try_send(request) {
-            Err(NoPick::Crowded) => self.events.schedule(HOLD_STEP, Event::LookAgain { request }),
+            Err(NoPick::Saturated) => self.events.schedule(HOLD_STEP, Event::LookAgain { request }),
             Err(NoPick::Resting(left)) if self.may_hold(request, left) => {
                 self.events.schedule(left, Event::LookAgain { request });
             }
@@ -200,7 +200,7 @@
         let tried: Vec<TargetKey> = self.requests[request]
             .attempts
             .iter()
-            .map(|attempt| self.attempts[*attempt].mark.key)
+            .map(|attempt| self.attempts[*attempt].handle.key)
             .collect();
         let name = self.names[service].clone();
         let asked = SteerRequest {
@@ -220,10 +220,10 @@
                 break pick;
             }
         };
-        let mark = self.boxes[gateway].begin(self.events.now, pick.key, &name);
+        let handle = self.boxes[gateway].begin(self.events.now, pick.key, &name);
         let target = self.keys[&pick.key];
         let attempt = self.attempts.len();
-        self.attempts.push(Attempt { request, target, mark, open: true });
+        self.attempts.push(Attempt { request, target, handle, open: true });
         self.requests[request].attempts.push(attempt);
         let away = *pick.data_centre != *format!("c{}", gateway % self.plan.centres);
         self.sums.note_attempt(service, away, pick.trial);
@@ -232,11 +232,11 @@
         }
         let way = if away { self.plan.between } else { NEAR };
         self.events.schedule(way, Event::Reached { attempt });
-        let overdue = self.boxes[gateway].overdue_after(&mark);
+        let overdue = self.boxes[gateway].overdue_after(&handle);
         self.events.schedule(overdue, Event::Overdue { attempt });
         let left = plan.timeout.saturating_sub(self.events.now.since(since));
         if plan.repeatable
-            && let Some(after) = self.boxes[gateway].hedge_after(self.events.now, &mark, left)
+            && let Some(after) = self.boxes[gateway].hedge_after(self.events.now, &handle, left)
         {
             self.events.schedule(after, Event::HedgeDue { request, attempt });
         }
@@ -297,12 +297,12 @@
     }
 
     fn take_answer(&mut self, attempt: usize, kind: AnswerKind) {
-        let Attempt { request, mark, open, .. } = self.attempts[attempt];
+        let Attempt { request, handle, open, .. } = self.attempts[attempt];
         if !open {
             return;
         }
         let outcome = match kind {
-            AnswerKind::Good => SteerOutcome::Good(self.events.now.since(mark.started)),
+            AnswerKind::Good => SteerOutcome::Good(self.events.now.since(handle.started)),
             AnswerKind::Failure => SteerOutcome::Failed,
             AnswerKind::Refusal => {
                 self.take_rest(attempt);
@@ -350,28 +350,28 @@
     }
 
     fn note_overdue(&mut self, attempt: usize) {
-        let Attempt { request, mark, open, .. } = self.attempts[attempt];
+        let Attempt { request, handle, open, .. } = self.attempts[attempt];
         if !open {
             return;
         }
         let gateway = self.requests[request].gateway;
-        let news = self.boxes[gateway].note_overdue(self.events.now, &mark);
-        self.note_suspect(&mark, &news);
-        self.tell(gateway, mark.key, None, &news);
+        let news = self.boxes[gateway].record_overdue(self.events.now, &handle);
+        self.note_suspect(&handle, &news);
+        self.tell(gateway, handle.key, None, &news);
     }
 
     fn end_attempt(&mut self, attempt: usize, outcome: SteerOutcome) {
-        let Attempt { request, target, mark, .. } = self.attempts[attempt];
+        let Attempt { request, target, handle, .. } = self.attempts[attempt];
         self.attempts[attempt].open = false;
         let Request { service, gateway, .. } = self.requests[request];
         let name = self.names[service].clone();
         let core = &mut self.boxes[gateway];
-        let news = core.end(self.events.now, &mark, &name, outcome, 400);
+        let news = core.end(self.events.now, &handle, &name, outcome, 400);
         if matches!(outcome, SteerOutcome::Good(_) | SteerOutcome::Failed | SteerOutcome::Shed) {
-            core.note_load(self.events.now, mark.key, self.targets[target].1.load());
+            core.record_load(self.events.now, handle.key, self.targets[target].1.load());
         }
-        self.note_suspect(&mark, &news);
-        self.tell(gateway, mark.key, Some(outcome), &news);
+        self.note_suspect(&handle, &news);
+        self.tell(gateway, handle.key, Some(outcome), &news);
     }
 
     /// A request's end, with its time if it was served. What is open of it is cancelled.
--- a/crates/bench/src/steer/world/telling.rs
+++ b/crates/bench/src/steer/world/telling.rs
@@ -4,7 +4,9 @@
 
 use rand::Rng;
 use wingbridge_decide::steer::ledger::RetryTally;
-use wingbridge_decide::steer::{AttemptMark, AttemptNews, PeerSample, SteerOutcome, TargetNotice};
+use wingbridge_decide::steer::{
+    AttemptHandle, AttemptNews, PeerSample, SteerOutcome, TargetNotice,
+};
 use wingbridge_decide::{Name, TargetKey};
 
 use super::{NEAR, TELL_AFTER, World};
@@ -13,11 +15,11 @@
 
 impl World<'_> {
     /// Counts a suspicion, and the time since its target's spell began.
-    pub(super) fn note_suspect(&mut self, mark: &AttemptMark, news: &AttemptNews) {
+    pub(super) fn note_suspect(&mut self, handle: &AttemptHandle, news: &AttemptNews) {
         if !news.change.as_ref().is_some_and(|change| change.suspect) {
             return;
         }
-        let (service, target) = &mut self.targets[self.keys[&mark.key]];
+        let (service, target) = &mut self.targets[self.keys[&handle.key]];
         let plan = &self.plan.services[*service];
         let noticed = target.notice(self.events.now, plan, &mut self.random);
         self.sums.note_suspicion(noticed.is_some());
@@ -34,22 +36,22 @@
         outcome: Option<SteerOutcome>,
         news: &AttemptNews,
     ) {
-        let (open, telling) = self.boxes[gateway].open_at(key);
+        let (open, informative) = self.boxes[gateway].open_attempts_at(key);
         let failed = outcome == Some(SteerOutcome::Failed);
         let held = self.targets[self.keys[&key]].1.load().held;
         let sample = PeerSample {
             good: u32::from(matches!(outcome, Some(SteerOutcome::Good(_)))),
             bad: u32::from(failed),
             overdue: u32::from(news.stalled),
-            multiple: news.multiple,
+            latency_ratio: news.latency_ratio,
             held: outcome.map(|_| held),
             open: Some(open),
-            telling,
+            informative,
         };
         let far_sample =
             PeerSample { bad: sample.bad, overdue: sample.overdue, ..PeerSample::default() };
         let urgent = failed || news.stalled;
-        let tallies = self.boxes[gateway].untold_tallies(self.events.now);
+        let tallies = self.boxes[gateway].unreported_retry_counts(self.events.now);
         let named = |(name, tally): (Name, RetryTally)| {
             Some((self.names.iter().position(|known| *known == name)?, tally))
         };
@@ -78,9 +80,9 @@
             return;
         };
         // Suspicions are counted where an attempt gave rise to them.
-        let _ = self.boxes[to].take_peer(self.events.now, from, key, &sample);
+        let _ = self.boxes[to].merge_peer_sample(self.events.now, from, key, &sample);
         for (service, tally) in tallies {
-            self.boxes[to].take_tally(self.events.now, from, &self.names[service], tally);
+            self.boxes[to].merge_retry_counts(self.events.now, from, &self.names[service], tally);
         }
     }
 
@@ -90,7 +92,7 @@
         let Some(rest) = self.pattern.rest_time() else {
             return;
         };
-        let Attempt { request, target, mark, .. } = self.attempts[attempt];
+        let Attempt { request, target, handle, .. } = self.attempts[attempt];
         let gateway = self.requests[request].gateway;
         let now = self.events.now;
         self.rests.note_asked(now, gateway, target, rest);
@@ -104,7 +106,7 @@
         let told = |other: usize| other % self.plan.centres == centre;
         for (number, core) in self.boxes.iter_mut().enumerate() {
             if number == gateway || (self.rest_way == RestWay::Told && told(number)) {
-                core.note_notice(now, mark.key, &notice);
+                core.note_notice(now, handle.key, &notice);
             }
         }
     }
--- a/crates/decide/src/steer/choose.rs
+++ b/crates/decide/src/steer/choose.rs
@@ -8,7 +8,7 @@
 use crate::names::TargetKey;
 use crate::steer::mechanism::Mechanism;
 use crate::steer::messages::{SteerRequest, SteerSetup};
-use crate::steer::pool::{LateScale, TargetPool};
+use crate::steer::pool::{LatenessScale, TargetPool};
 use crate::steer::record::TargetRecord;
 use crate::time::TimePoint;
 
@@ -50,14 +50,14 @@
     now: TimePoint,
     pool: &TargetPool,
     request: &SteerRequest<'_>,
-    usual: Duration,
+    typical: Duration,
     setup: &SteerSetup,
     kept: Option<Vec<(TargetKey, &TargetRecord)>>,
 ) -> Vec<Candidate> {
-    let scale = pool.late_scale(request.goal, usual);
+    let scale = pool.late_scale(request.goal, typical);
     let candidate = |(key, record): (TargetKey, &TargetRecord)| {
         let wait = if setup.mechanisms.has(Mechanism::LoadWait) {
-            record.wait(now, pool.usual_time())
+            record.wait(now, pool.typical_time())
         } else {
             Duration::ZERO
         };
@@ -66,12 +66,12 @@
     };
     match kept {
         Some(kept) => kept.into_iter().map(candidate).collect(),
-        None => pool.open_to(now, request.tried, request.homes).map(candidate).collect(),
+        None => pool.eligible_targets(now, request.tried, request.homes).map(candidate).collect(),
     }
 }
 
 /// Draws one of the candidates, each with a weight that falls with its score.
-pub(crate) fn draw<'c>(
+pub(crate) fn sample_candidate<'c>(
     candidates: &'c [Candidate],
     random: &mut SmallRng,
 ) -> Option<&'c Candidate> {
@@ -94,7 +94,7 @@
     pool: &TargetPool,
     record: &TargetRecord,
     wait: Duration,
-    scale: &LateScale,
+    scale: &LatenessScale,
     request: &SteerRequest<'_>,
     setup: &SteerSetup,
 ) -> f64 {
@@ -106,8 +106,8 @@
     let full = if record.is_full(now) { FULL_COST } else { 0.0 };
     let cold = record.cold_time(now).as_secs_f64().min(1.0);
     let away = record.setup.data_centre != setup.data_centre;
-    let crossing = if away && setup.mechanisms.has(Mechanism::CrossingPrice) {
-        pool.crossing_kb(request) * setup.cross_cost + AWAY_COST
+    let crossing = if away && setup.mechanisms.has(Mechanism::CrossDataCentreCost) {
+        pool.transfer_kb(request) * setup.cross_cost + AWAY_COST
     } else {
         0.0
     };
--- a/crates/decide/src/steer/belief.rs
+++ b/crates/decide/src/steer/failure_estimate.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use crate::steer::times::{OVERDUE_SHARE, stall_ratio};
+use crate::steer::latency_ratios::{OVERDUE_SHARE, stall_ratio};
 use crate::time::TimePoint;
 
 /// Share of targets in a spell at any moment. Source: of 1,500 idle targets that were tried
@@ -29,7 +29,7 @@
 
 /// What an outcome says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BeliefSample {
+pub enum OutcomeSample {
     /// It went well.
     Good,
     /// It failed.
@@ -40,33 +40,33 @@
 
 /// What the targets of one service have in common, learned from all of them.
 #[derive(Debug, Clone, Copy)]
-pub struct SpellHabits {
+pub struct EpisodeStats {
     stalls: f64,
     errors: f64,
 }
 
 /// The probability that a target is in a spell.
 #[derive(Debug, Clone, Copy)]
-pub struct TargetBelief {
-    in_spell: f64,
+pub struct FailureEstimate {
+    in_episode: f64,
     updated: TimePoint,
 }
 
-impl Default for SpellHabits {
-    fn default() -> SpellHabits {
-        SpellHabits { stalls: 1.0, errors: 1.0 }
+impl Default for EpisodeStats {
+    fn default() -> EpisodeStats {
+        EpisodeStats { stalls: 1.0, errors: 1.0 }
     }
 }
 
-impl SpellHabits {
+impl EpisodeStats {
     /// The part of failures that are stalls; the others come back as errors.
-    pub fn stalled_part(&self) -> f64 {
+    pub fn stalled_share(&self) -> f64 {
         self.stalls / (self.stalls + self.errors)
     }
 
     /// The share of requests in a spell that stall.
     pub fn stalling(&self) -> f64 {
-        BAD_IN_SPELL * self.stalled_part()
+        BAD_IN_SPELL * self.stalled_share()
     }
 
     /// How many times likelier an attempt counts as stalled in a spell than at a sound
@@ -77,13 +77,13 @@
     }
 
     /// Counts a failure by its kind.
-    pub fn note_failure(&mut self, sample: BeliefSample) {
+    pub fn note_failure(&mut self, sample: OutcomeSample) {
         /// Failures that are remembered: what a service's spells do changes seldom.
         const REMEMBERED: f64 = 50.0;
         match sample {
-            BeliefSample::Good => return,
-            BeliefSample::Bad => self.errors += 1.0,
-            BeliefSample::Stalled => self.stalls += 1.0,
+            OutcomeSample::Good => return,
+            OutcomeSample::Bad => self.errors += 1.0,
+            OutcomeSample::Stalled => self.stalls += 1.0,
         }
         let most = (REMEMBERED / (self.stalls + self.errors)).min(1.0);
         self.stalls *= most;
@@ -91,41 +91,41 @@
     }
 }
 
-impl TargetBelief {
+impl FailureEstimate {
     /// The belief about a target before anything was seen of it. `at_start` is whether
     /// the box itself is new, so that the target may have been there for long.
-    pub fn new(now: TimePoint, at_start: bool) -> TargetBelief {
-        let in_spell = if at_start { USUAL_SHARE } else { NEW_SHARE };
-        TargetBelief { in_spell, updated: now }
+    pub fn new(now: TimePoint, at_start: bool) -> FailureEstimate {
+        let in_episode = if at_start { USUAL_SHARE } else { NEW_SHARE };
+        FailureEstimate { in_episode, updated: now }
     }
 
     /// The probability that the target is in a spell.
-    pub fn in_spell(&self, now: TimePoint) -> f64 {
+    pub fn in_episode(&self, now: TimePoint) -> f64 {
         let passed = now.since(self.updated).as_secs_f64() / RETURN_TIME.as_secs_f64();
-        USUAL_SHARE + (self.in_spell - USUAL_SHARE) * (-passed).exp()
+        USUAL_SHARE + (self.in_episode - USUAL_SHARE) * (-passed).exp()
     }
 
     /// The probability that the next attempt fails. `ratio` is how many times likelier the
     /// open attempts' ages are in a spell than at a sound target.
     pub fn risk(&self, now: TimePoint, ratio: f64) -> f64 {
-        let in_spell = weigh(self.in_spell(now), ratio);
-        in_spell * BAD_IN_SPELL + (1.0 - in_spell) * BAD_WHEN_SOUND
+        let in_episode = weigh(self.in_episode(now), ratio);
+        in_episode * BAD_IN_SPELL + (1.0 - in_episode) * BAD_WHEN_SOUND
     }
 
-    /// Takes an outcome, at a service with those habits.
-    pub fn note(&mut self, now: TimePoint, sample: BeliefSample, habits: &SpellHabits) {
+    /// Takes an outcome, at a service with those episode_stats.
+    pub fn note(&mut self, now: TimePoint, sample: OutcomeSample, episode_stats: &EpisodeStats) {
         let ratio = match sample {
-            BeliefSample::Good => (1.0 - BAD_IN_SPELL) / (1.0 - BAD_WHEN_SOUND),
-            BeliefSample::Bad => BAD_IN_SPELL / BAD_WHEN_SOUND,
-            BeliefSample::Stalled => habits.stalled_ratio(),
+            OutcomeSample::Good => (1.0 - BAD_IN_SPELL) / (1.0 - BAD_WHEN_SOUND),
+            OutcomeSample::Bad => BAD_IN_SPELL / BAD_WHEN_SOUND,
+            OutcomeSample::Stalled => episode_stats.stalled_ratio(),
         };
         self.take_ratio(now, ratio);
     }
 
     /// Takes evidence that is `ratio` times likelier in a spell than at a sound target.
     pub fn take_ratio(&mut self, now: TimePoint, ratio: f64) {
-        let after = weigh(self.in_spell(now), ratio);
-        self.in_spell = after.clamp(DOUBT, 1.0 - DOUBT);
+        let after = weigh(self.in_episode(now), ratio);
+        self.in_episode = after.clamp(DOUBT, 1.0 - DOUBT);
         self.updated = now;
     }
 }
--- a/crates/decide/src/steer/kept.rs
+++ b/crates/decide/src/steer/kept.rs
@@ -14,7 +14,7 @@
 use crate::steer::messages::SteerRequest;
 use crate::steer::pool::TargetPool;
 use crate::steer::record::TargetRecord;
-use crate::steer::trial::TrialPlace;
+use crate::steer::trial::TrialContext;
 use crate::time::TimePoint;
 
 /// Targets that are kept to have this many times the slots that requests of the service take on average:
@@ -36,31 +36,32 @@
     now: TimePoint,
     pool: &'p TargetPool,
     request: &SteerRequest<'_>,
-    place: &TrialPlace<'_>,
+    place: &TrialContext<'_>,
 ) -> Option<Vec<(TargetKey, &'p TargetRecord)>> {
-    if !place.mechanisms.has(Mechanism::KeptTargets) {
+    if !place.mechanisms.has(Mechanism::TargetSubset) {
         return None;
     }
-    let rate = pool.request_rate(now) * place.near_boxes as f64;
-    let listed = pool.listed_in(place.data_centre) as f64;
+    let rate = pool.request_rate(now) * place.local_boxes as f64;
+    let listed = pool.target_count_in(place.data_centre) as f64;
     let reaches_all = rate * REACH_TIME.as_secs_f64() >= listed * REACH;
     if reaches_all {
         return None;
     }
     let needed = needed_targets(pool, rate);
     let is_kept = |(_, record): &(TargetKey, &TargetRecord)| {
-        *record.setup.data_centre == *place.data_centre && record.is_unfailed_for(now, LEFT_OUT_FOR)
+        *record.setup.data_centre == *place.data_centre
+            && record.has_not_failed_for(now, LEFT_OUT_FOR)
     };
-    let open = pool.open_to(now, request.tried, request.homes);
+    let open = pool.eligible_targets(now, request.tried, request.homes);
     let kept: Vec<_> = open.filter(is_kept).take(needed).collect();
-    let usual = pool.usual_time();
+    let usual = pool.typical_time();
     let has_room = |(_, record): &(TargetKey, &TargetRecord)| record.wait(now, usual).is_zero();
     (kept.len() >= needed && kept.iter().any(has_room)).then_some(kept)
 }
 
 /// How many targets `rate` requests a second need.
 fn needed_targets(pool: &TargetPool, rate: f64) -> usize {
-    let slots = f64::from(pool.usual_slots().max(1));
-    let needed = rate * pool.usual_time().as_secs_f64() / slots * ROOM;
+    let slots = f64::from(pool.typical_slots().max(1));
+    let needed = rate * pool.typical_time().as_secs_f64() / slots * ROOM;
     (needed.ceil() as usize).max(LEAST)
 }
--- a/crates/decide/src/steer/mechanism.rs
+++ b/crates/decide/src/steer/mechanism.rs
@@ -9,27 +9,27 @@
     /// Everything but a random choice.
     Steering,
     /// What peers saw of targets.
-    PeerSightings,
+    PeerSamples,
     /// Second attempts beside one that is open for long.
     Hedges,
     /// Second attempts early enough for requests that have little time.
-    LastHedges,
+    DeadlineHedges,
     /// The ages of open attempts as evidence.
     OpenAges,
     /// Trials of targets that got nothing for a while.
     Trials,
     /// Later trials while a service fails few requests.
-    FewTrials,
+    FewerTrials,
     /// The price of leaving the data centre.
-    CrossingPrice,
+    CrossDataCentreCost,
     /// The wait that a target's load makes likely.
     LoadWait,
     /// Requests with time to spare held back while all targets have queues.
     HoldBack,
     /// News for other data centres handed on by two of their boxes.
-    NewsRelays,
+    UpdateRelays,
     /// Few targets kept to where a service has many more than its requests need.
-    KeptTargets,
+    TargetSubset,
 }
 
 /// The mechanisms that are switched off.
@@ -40,17 +40,17 @@
 
 const NAMES: [(Mechanism, &str); 12] = [
     (Mechanism::Steering, "steering"),
-    (Mechanism::PeerSightings, "peer-sightings"),
+    (Mechanism::PeerSamples, "peer-sightings"),
     (Mechanism::Hedges, "hedges"),
-    (Mechanism::LastHedges, "last-hedges"),
+    (Mechanism::DeadlineHedges, "last-hedges"),
     (Mechanism::OpenAges, "open-ages"),
     (Mechanism::Trials, "trials"),
-    (Mechanism::FewTrials, "few-trials"),
-    (Mechanism::CrossingPrice, "crossing-price"),
+    (Mechanism::FewerTrials, "few-trials"),
+    (Mechanism::CrossDataCentreCost, "crossing-price"),
     (Mechanism::LoadWait, "load-wait"),
     (Mechanism::HoldBack, "hold-back"),
-    (Mechanism::NewsRelays, "news-relays"),
-    (Mechanism::KeptTargets, "kept-targets"),
+    (Mechanism::UpdateRelays, "news-relays"),
+    (Mechanism::TargetSubset, "kept-targets"),
 ];
 
 impl MechanismSet {
@@ -60,7 +60,7 @@
     }
 
     /// Whether all of them work.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.off.is_empty()
     }
 
--- a/crates/decide/src/steer/messages.rs
+++ b/crates/decide/src/steer/messages.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::names::{Name, TargetKey};
-use crate::steer::belief::BeliefSample;
+use crate::steer::failure_estimate::OutcomeSample;
 use crate::steer::ledger::RetryBounds;
 use crate::steer::limit::RequestRate;
 use crate::steer::mechanism::MechanismSet;
@@ -122,7 +122,7 @@
     Overloaded,
     /// Requests queue at each target, and this one has time to spare: it had better look
     /// again soon, and let those pass that have little.
-    Crowded,
+    Saturated,
 }
 
 /// How an attempt ended, as far as it tells of the target.
@@ -153,7 +153,7 @@
     pub stalled: bool,
     /// The time of a good answer without its wait, in multiples of what is usual for its
     /// route, if that is known.
-    pub multiple: Option<f64>,
+    pub latency_ratio: Option<f64>,
     /// The change if the target became a suspect by it, or is none any more.
     pub change: Option<SuspicionChange>,
 }
@@ -178,14 +178,14 @@
     pub overdue: u32,
     /// Mean time of the good ones without their wait, in multiples of what is usual for
     /// their routes, if it is known.
-    pub multiple: Option<f64>,
+    pub latency_ratio: Option<f64>,
     /// What the target last said it holds.
     pub held: Option<u32>,
     /// Attempts that the peer has open there now. `None` from one that does not tell this box
     /// all that it sees, but of failures and hardly of successes.
     pub open: Option<u32>,
     /// Those of them whose age tells of the target.
-    pub telling: Vec<OpenAge>,
+    pub informative: Vec<OpenAge>,
 }
 
 /// A target became a suspect, or is none any more.
@@ -203,10 +203,10 @@
 
 impl SteerOutcome {
     /// What it says about failing, if it says anything by itself.
-    pub(crate) fn as_sample(self) -> Option<BeliefSample> {
+    pub(crate) fn as_sample(self) -> Option<OutcomeSample> {
         match self {
-            SteerOutcome::Good(_) => Some(BeliefSample::Good),
-            SteerOutcome::Failed | SteerOutcome::Broken => Some(BeliefSample::Bad),
+            SteerOutcome::Good(_) => Some(OutcomeSample::Good),
+            SteerOutcome::Failed | SteerOutcome::Broken => Some(OutcomeSample::Bad),
             SteerOutcome::OutOfTime
             | SteerOutcome::Shed
             | SteerOutcome::NotConnected
--- a/crates/decide/src/steer/notice.rs
+++ b/crates/decide/src/steer/notice.rs
@@ -139,7 +139,7 @@
     }
 
     /// Ends rests sooner by `time`, which the clock did not count.
-    pub(crate) fn grow_older(&mut self, time: Duration) {
+    pub(crate) fn advance_clocks(&mut self, time: Duration) {
         if let Some(rest) = &mut self.rest {
             rest.until = rest.until.before(time);
         }
--- a/crates/decide/src/steer/notices.rs
+++ b/crates/decide/src/steer/notices.rs
@@ -69,7 +69,7 @@
     /// Takes a peer's word that a target is cold and takes `rate` from all boxes together.
     pub fn note_cold(&mut self, now: TimePoint, key: TargetKey, rate: RequestRate) {
         if let Some(record) = self.record_mut(key) {
-            record.note_cold(now, rate);
+            record.record_cold(now, rate);
         }
     }
 
@@ -81,7 +81,7 @@
     /// Notes that there is no permit for a target until then.
     pub fn note_used_up(&mut self, key: TargetKey, until: TimePoint) {
         if let Some(record) = self.record_mut(key) {
-            record.note_used_up(until);
+            record.record_no_permit_until(until);
         }
     }
 
@@ -113,7 +113,7 @@
         homes: HomeRegions<'_>,
     ) -> bool {
         let pool = self.pools.get(service);
-        pool.is_some_and(|pool| pool.open_to(now, tried, homes).next().is_some())
+        pool.is_some_and(|pool| pool.eligible_targets(now, tried, homes).next().is_some())
     }
 
     /// Why a target wants nothing at `now`, by its own word; `None` if it does, or is not known.
@@ -134,11 +134,11 @@
     }
 
     /// Counts `time`, which the clock did not, into what is left of rests.
-    pub fn grow_older(&mut self, time: Duration) {
+    pub fn advance_clocks(&mut self, time: Duration) {
         for pool in self.pools.values_mut() {
-            pool.all_records_mut().for_each(|record| record.grow_older(time));
+            pool.all_records_mut().for_each(|record| record.advance_clocks(time));
         }
-        self.parted.grow_older(time);
+        self.parted.advance_clocks(time);
     }
 
     fn change_limit(
@@ -151,7 +151,7 @@
             return self.parted.change(now, key, take);
         };
         let change = take(&mut record.notices)?;
-        record.forget_turn();
+        record.clear_permit_wait();
         Some(change)
     }
 }
@@ -170,7 +170,7 @@
         match record.notices.bar(now) {
             Some(NoticeBar::Leaving(_)) => out.leaving += 1,
             Some(NoticeBar::Resting { .. }) => out.resting += 1,
-            None => out.limited += usize::from(record.used_up_for(now).is_some()),
+            None => out.limited += usize::from(record.permit_wait(now).is_some()),
         }
     }
     out
--- a/crates/decide/src/steer/open.rs
+++ b/crates/decide/src/steer/open.rs
@@ -15,18 +15,18 @@
 
 /// An attempt of this box that began.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AttemptMark {
+pub struct AttemptHandle {
     /// Where it went.
     pub key: TargetKey,
     /// When it began.
     pub started: TimePoint,
     /// When the target is taken to have had a slot for it.
-    pub due_from: TimePoint,
-    /// The usual time of its route.
-    pub usual: Duration,
+    pub slot_expected_at: TimePoint,
+    /// The typical time of its route.
+    pub typical: Duration,
     /// Whether its age speaks of the target. That of a route whose requests run out of
     /// their time wherever they go does not.
-    pub telling: bool,
+    pub informative: bool,
     /// Whether its time is the target's. That of a request whose caller still sends it is not.
     pub timed: bool,
 }
@@ -34,7 +34,7 @@
 /// The open attempts at one target.
 #[derive(Debug, Default)]
 pub(crate) struct OpenAttempts {
-    own: Vec<AttemptMark>,
+    own: Vec<AttemptHandle>,
     /// What peers of the own data centre have open.
     peers: Vec<PeerOpen>,
 }
@@ -44,61 +44,67 @@
     peer: u64,
     count: u32,
     /// Those that tell of the target.
-    telling: Vec<OpenAge>,
+    informative: Vec<OpenAge>,
     told: TimePoint,
 }
 
-/// For how long an attempt is open, the wait for a slot left out, beside what is usual.
+/// For how long an attempt is open, the wait for a slot left out, beside what is typical.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OpenAge {
     /// Since when.
     pub since: TimePoint,
-    /// The usual time of its route.
-    pub usual: Duration,
+    /// The typical time of its route.
+    pub typical: Duration,
 }
 
 impl OpenAge {
-    /// The age at `now`, in multiples of the usual time.
-    pub fn multiple(&self, now: TimePoint) -> f64 {
-        now.since(self.since).as_secs_f64() / self.usual.as_secs_f64().max(0.001)
+    /// The age at `now`, in multiples of the typical time.
+    pub fn latency_ratio(&self, now: TimePoint) -> f64 {
+        now.since(self.since).as_secs_f64() / self.typical.as_secs_f64().max(0.001)
     }
 }
 
-impl AttemptMark {
+impl AttemptHandle {
     pub(crate) fn age(&self) -> OpenAge {
-        OpenAge { since: self.due_from, usual: self.usual }
+        OpenAge { since: self.slot_expected_at, typical: self.typical }
     }
 }
 
 impl OpenAttempts {
-    pub(crate) fn begin(&mut self, mark: AttemptMark) {
-        self.own.push(mark);
+    pub(crate) fn begin(&mut self, handle: AttemptHandle) {
+        self.own.push(handle);
     }
 
     /// Drops an attempt of this box; returns whether its age still speaks of the target.
-    pub(crate) fn finish(&mut self, mark: &AttemptMark) -> bool {
-        let same = |open: &AttemptMark| open.started == mark.started;
+    pub(crate) fn finish(&mut self, handle: &AttemptHandle) -> bool {
+        let same = |open: &AttemptHandle| open.started == handle.started;
         let index = self.own.iter().position(same);
-        let telling = index.is_some_and(|index| self.own.swap_remove(index).telling);
+        let informative = index.is_some_and(|index| self.own.swap_remove(index).informative);
         if self.own.is_empty() {
             // Of thousands of targets few have something open: the room that each had would stay.
             self.own = Vec::new();
         }
-        telling
+        informative
     }
 
     /// What its age says of the target was noted for good.
-    pub(crate) fn note_told(&mut self, mark: &AttemptMark) {
-        for open in self.own.iter_mut().filter(|open| open.started == mark.started) {
-            open.telling = false;
+    pub(crate) fn note_told(&mut self, handle: &AttemptHandle) {
+        for open in self.own.iter_mut().filter(|open| open.started == handle.started) {
+            open.informative = false;
         }
     }
 
-    pub(crate) fn note_peer(&mut self, now: TimePoint, peer: u64, count: u32, telling: &[OpenAge]) {
+    pub(crate) fn note_peer(
+        &mut self,
+        now: TimePoint,
+        peer: u64,
+        count: u32,
+        informative: &[OpenAge],
+    ) {
         self.peers.retain(|open| open.peer != peer);
         if count > 0 {
-            let telling = telling.to_vec();
-            self.peers.push(PeerOpen { peer, count, telling, told: now });
+            let informative = informative.to_vec();
+            self.peers.push(PeerOpen { peer, count, informative, told: now });
         }
         self.drop_stale(now);
     }
@@ -123,7 +129,7 @@
 
     /// Ages of this box's attempts that tell of the target.
     pub(crate) fn own_ages(&self) -> impl Iterator<Item = OpenAge> {
-        self.own.iter().filter(|open| open.telling).map(AttemptMark::age)
+        self.own.iter().filter(|open| open.informative).map(AttemptHandle::age)
     }
 
     /// Attempts of all boxes of the data centre.
@@ -133,7 +139,7 @@
 
     /// Ages of all attempts that tell of the target.
     pub(crate) fn all_ages(&self, now: TimePoint) -> impl Iterator<Item = OpenAge> {
-        let peers = self.fresh_peers(now).flat_map(|peer| peer.telling.iter().copied());
+        let peers = self.fresh_peers(now).flat_map(|peer| peer.informative.iter().copied());
         self.own_ages().chain(peers)
     }
 
--- a/crates/decide/src/steer/parted.rs
+++ b/crates/decide/src/steer/parted.rs
@@ -65,8 +65,8 @@
     }
 
     /// Ends rests sooner by `time`, which the clock did not count.
-    pub(crate) fn grow_older(&mut self, time: Duration) {
-        self.kept.values_mut().for_each(|parted| parted.notices.grow_older(time));
+    pub(crate) fn advance_clocks(&mut self, time: Duration) {
+        self.kept.values_mut().for_each(|parted| parted.notices.advance_clocks(time));
     }
 
     fn make_room(&mut self, now: TimePoint) {
--- a/crates/decide/src/steer/pool.rs
+++ b/crates/decide/src/steer/pool.rs
@@ -1,4 +1,4 @@
-//! The targets of one service, and what is usual for it.
+//! The targets of one service, and what is typical for it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Index;
@@ -6,15 +6,15 @@
 
 use crate::names::{Name, TargetKey};
 use crate::steer::average::RunningAverage;
-use crate::steer::belief::{BeliefSample, SpellHabits};
+use crate::steer::failure_estimate::{EpisodeStats, OutcomeSample};
+use crate::steer::latency_ratios::LatencyRatios;
 use crate::steer::mechanism::{Mechanism, MechanismSet};
 use crate::steer::messages::{
     AttemptNews, HomeRegions, PeerSample, SteerOutcome, SteerRequest, SuspicionChange,
 };
 use crate::steer::notice::NoticeBar;
-use crate::steer::open::{AttemptMark, OpenAge, PEER_OPEN_FOR};
+use crate::steer::open::{AttemptHandle, OpenAge, PEER_OPEN_FOR};
 use crate::steer::record::TargetRecord;
-use crate::steer::times::ServiceTimes;
 use crate::time::TimePoint;
 
 /// A service for which no box of the data centre tells of an attempt for this long rests. The
@@ -35,14 +35,14 @@
 /// Size of large answers while few were seen, in kilobytes. Source: the users' map packs
 /// and mosaics, 90 KB on average.
 const LARGE_KB: f64 = 90.0;
-/// Answers over which the usual time and size of a service are averaged.
+/// Answers over which the typical time and size of a service are averaged.
 const SETTLED: f64 = 50.0;
 
 /// What waits of one request are weighed by, the same at each target.
-pub(crate) struct LateScale {
+pub(crate) struct LatenessScale {
     goal: Duration,
-    /// The usual time of its route.
-    usual: Duration,
+    /// The typical time of its route.
+    typical: Duration,
     /// The share that is late without any wait.
     anyway: f64,
 }
@@ -54,10 +54,10 @@
     records: BTreeMap<TargetKey, TargetRecord>,
     /// How many of them each data centre has.
     centres: HashMap<Name, usize>,
-    usual: RunningAverage,
-    times: ServiceTimes,
+    typical: RunningAverage,
+    times: LatencyRatios,
     /// What its targets' spells have in common.
-    habits: SpellHabits,
+    episode_stats: EpisodeStats,
     /// Attempts that failed, and all that ended, fading with time.
     failed: f64,
     ended: f64,
@@ -78,9 +78,9 @@
             weighs_ages: mechanisms.has(Mechanism::OpenAges),
             records: BTreeMap::new(),
             centres: HashMap::new(),
-            usual: RunningAverage::new(SETTLED),
-            times: ServiceTimes::default(),
-            habits: SpellHabits::default(),
+            typical: RunningAverage::new(SETTLED),
+            times: LatencyRatios::default(),
+            episode_stats: EpisodeStats::default(),
             failed: 0.0,
             ended: 0.0,
             ended_at: TimePoint::default(),
@@ -94,19 +94,24 @@
     }
 
     /// Takes the time of a good answer to a request of a known route, in multiples of what
-    /// is usual for that.
-    pub(crate) fn note_multiple(&mut self, now: TimePoint, key: TargetKey, multiple: f64) {
-        self.times.note(now, multiple);
+    /// is typical for that.
+    pub(crate) fn record_latency_ratio(
+        &mut self,
+        now: TimePoint,
+        key: TargetKey,
+        latency_ratio: f64,
+    ) {
+        self.times.note(now, latency_ratio);
         if let Some(record) = self.records.get_mut(&key) {
-            record.note_time(multiple);
+            record.note_time(latency_ratio);
         }
     }
 
     /// Notes the beginning of an attempt of this box.
-    pub(crate) fn begin(&mut self, now: TimePoint, mark: AttemptMark) {
+    pub(crate) fn begin(&mut self, now: TimePoint, handle: AttemptHandle) {
         self.note_use(now);
-        if let Some(record) = self.records.get_mut(&mark.key) {
-            record.begin(mark);
+        if let Some(record) = self.records.get_mut(&handle.key) {
+            record.begin(handle);
         }
     }
 
@@ -114,74 +119,74 @@
     pub(crate) fn note_end(
         &mut self,
         now: TimePoint,
-        mark: &AttemptMark,
+        handle: &AttemptHandle,
         outcome: SteerOutcome,
     ) -> AttemptNews {
-        let Some(record) = self.records.get_mut(&mark.key) else {
+        let Some(record) = self.records.get_mut(&handle.key) else {
             return AttemptNews::default();
         };
-        let telling = record.open.finish(mark);
+        let informative = record.open.finish(handle);
         record.note_own(now, outcome);
         if let Some(sample) = outcome.as_sample() {
-            let change = self.note_sample(now, mark.key, sample);
+            let change = self.note_sample(now, handle.key, sample);
             return AttemptNews { change, ..AttemptNews::default() };
         }
         let unanswered = matches!(outcome, SteerOutcome::OutOfTime | SteerOutcome::Dropped);
-        if !unanswered || !telling {
+        if !unanswered || !informative {
             return AttemptNews::default();
         }
-        self.note_unanswered(now, mark)
+        self.note_unanswered(now, handle)
     }
 
     /// Takes what the age of an attempt says that ended without an answer.
-    fn note_unanswered(&mut self, now: TimePoint, mark: &AttemptMark) -> AttemptNews {
-        let ratio = self.age_ratio(now, std::iter::once(mark.age()));
+    fn note_unanswered(&mut self, now: TimePoint, handle: &AttemptHandle) -> AttemptNews {
+        let ratio = self.age_ratio(now, std::iter::once(handle.age()));
         if ratio >= STALL_RATIO {
-            let change = self.note_sample(now, mark.key, BeliefSample::Stalled);
-            return AttemptNews { stalled: true, change, multiple: None };
+            let change = self.note_sample(now, handle.key, OutcomeSample::Stalled);
+            return AttemptNews { stalled: true, change, latency_ratio: None };
         }
-        if let Some(record) = self.get_mut(mark.key) {
+        if let Some(record) = self.get_mut(handle.key) {
             record.note_unanswered(now, ratio);
         }
         AttemptNews::default()
     }
 
     /// Notes that an attempt of this box is open for longer than nearly all.
-    pub(crate) fn note_overdue(&mut self, now: TimePoint, mark: &AttemptMark) -> AttemptNews {
-        let Some(record) = self.get_mut(mark.key) else {
+    pub(crate) fn record_overdue(&mut self, now: TimePoint, handle: &AttemptHandle) -> AttemptNews {
+        let Some(record) = self.get_mut(handle.key) else {
             return AttemptNews::default();
         };
-        record.open.note_told(mark);
+        record.open.note_told(handle);
         record.note_path_failure(now);
-        let change = self.note_sample(now, mark.key, BeliefSample::Stalled);
-        AttemptNews { stalled: true, change, multiple: None }
+        let change = self.note_sample(now, handle.key, OutcomeSample::Stalled);
+        AttemptNews { stalled: true, change, latency_ratio: None }
     }
 
     /// Takes what a peer saw of a target.
-    pub(crate) fn take_peer(
+    pub(crate) fn merge_peer_sample(
         &mut self,
         now: TimePoint,
         peer: u64,
         key: TargetKey,
         sample: &PeerSample,
     ) -> Option<SuspicionChange> {
-        if let Some(multiple) = sample.multiple {
-            self.note_multiple(now, key, multiple);
+        if let Some(latency_ratio) = sample.latency_ratio {
+            self.record_latency_ratio(now, key, latency_ratio);
         }
         self.drop_stale(now);
         let record = self.get_mut(key)?;
         if let Some(held) = sample.held {
-            record.note_load(now, held);
+            record.record_load(now, held);
         }
         if let Some(open) = sample.open {
-            record.note_peer_open(now, peer, open, &sample.telling);
+            record.note_peer_open(now, peer, open, &sample.informative);
             self.note_use(now);
             self.note_told(now, sample);
         }
         let told = [
-            (sample.good, BeliefSample::Good),
-            (sample.bad, BeliefSample::Bad),
-            (sample.overdue, BeliefSample::Stalled),
+            (sample.good, OutcomeSample::Good),
+            (sample.bad, OutcomeSample::Bad),
+            (sample.overdue, OutcomeSample::Stalled),
         ];
         let mut change = None;
         for (count, kind) in told {
@@ -208,9 +213,9 @@
         &mut self,
         now: TimePoint,
         key: TargetKey,
-        sample: BeliefSample,
+        sample: OutcomeSample,
     ) -> Option<SuspicionChange> {
-        let failed = u32::from(sample != BeliefSample::Good);
+        let failed = u32::from(sample != OutcomeSample::Good);
         self.count_ended(now, failed, 1);
         self.note_belief(now, key, sample)
     }
@@ -219,11 +224,11 @@
         &mut self,
         now: TimePoint,
         key: TargetKey,
-        sample: BeliefSample,
+        sample: OutcomeSample,
     ) -> Option<SuspicionChange> {
-        self.habits.note_failure(sample);
+        self.episode_stats.note_failure(sample);
         let record = self.records.get_mut(&key)?;
-        record.note_sample(now, sample, &self.habits);
+        record.note_sample(now, sample, &self.episode_stats);
         record.note_suspicion(now)
     }
 
@@ -241,7 +246,7 @@
     }
 
     /// How many targets a data centre has.
-    pub(crate) fn listed_in(&self, data_centre: &str) -> usize {
+    pub(crate) fn target_count_in(&self, data_centre: &str) -> usize {
         self.centres.get(data_centre).copied().unwrap_or_default()
     }
 
@@ -260,14 +265,14 @@
     }
 
     /// The targets in the regions `homes` that can be chosen now beside those that were `tried`.
-    pub(crate) fn open_to<'p, 'r>(
+    pub(crate) fn eligible_targets<'p, 'r>(
         &'p self,
         now: TimePoint,
         tried: &'r [TargetKey],
         homes: HomeRegions<'r>,
     ) -> impl Iterator<Item = (TargetKey, &'p TargetRecord)> {
         let records = self.records.iter().filter(move |(key, record)| {
-            record.is_in_draw(now) && !tried.contains(key) && record.is_in(homes)
+            record.is_eligible(now) && !tried.contains(key) && record.is_in(homes)
         });
         records.map(|(key, record)| (*key, record))
     }
@@ -284,7 +289,7 @@
             let left = match record.notices.bar(now) {
                 Some(NoticeBar::Leaving(_)) => continue,
                 Some(NoticeBar::Resting { left, .. }) => left,
-                None => record.used_up_for(now)?,
+                None => record.permit_wait(now)?,
             };
             first = Some(first.map_or(left, |known| known.min(left)));
         }
@@ -302,7 +307,7 @@
     }
 
     /// Slots of a target; those of one service are the same.
-    pub(crate) fn usual_slots(&self) -> u32 {
+    pub(crate) fn typical_slots(&self) -> u32 {
         self.records.values().next().map_or(1, |record| record.setup.slots)
     }
 
@@ -311,13 +316,13 @@
         self.in_use_since.is_some()
     }
 
-    /// The usual time of a request.
-    pub(crate) fn usual_time(&self) -> Duration {
-        self.usual.get().map_or(ASSUMED_TIME, Duration::from_secs_f64)
+    /// The typical time of a request.
+    pub(crate) fn typical_time(&self) -> Duration {
+        self.typical.get().map_or(ASSUMED_TIME, Duration::from_secs_f64)
     }
 
     /// Kilobytes that an attempt moves: the answer, the request, and their headers.
-    pub(crate) fn crossing_kb(&self, request: &SteerRequest<'_>) -> f64 {
+    pub(crate) fn transfer_kb(&self, request: &SteerRequest<'_>) -> f64 {
         /// The headers of both.
         const OVERHEAD_KB: f64 = 1.0;
         let small_kb = self.small_bytes.get().unwrap_or_default() / 1000.0;
@@ -347,7 +352,7 @@
         self.used_at = now;
     }
 
-    pub(crate) fn note_request(&mut self, now: TimePoint) {
+    pub(crate) fn record_request(&mut self, now: TimePoint) {
         self.rate = self.request_rate(now) + 1.0 / RATE_TIME.as_secs_f64();
         self.rate_at = now;
     }
@@ -363,13 +368,13 @@
         if !self.weighs_ages {
             return 1.0;
         }
-        let stalling = self.habits.stalling();
-        ages.map(|age| self.times.stall_ratio(age.multiple(now), stalling)).product()
+        let stalling = self.episode_stats.stalling();
+        ages.map(|age| self.times.stall_ratio(age.latency_ratio(now), stalling)).product()
     }
 
     /// The part of failures that are stalls.
-    pub(crate) fn stalled_part(&self) -> f64 {
-        self.habits.stalled_part()
+    pub(crate) fn stalled_share(&self) -> f64 {
+        self.episode_stats.stalled_share()
     }
 
     /// The share of attempts that failed of late, as far as boxes of the data centre tell.
@@ -400,41 +405,41 @@
     }
 
     /// The age at which no more than `share` of sound answers are still missing, in
-    /// multiples of the usual time.
+    /// multiples of the typical time.
     pub(crate) fn age_of_share(&self, share: f64) -> f64 {
         self.times.age_of_share(share)
     }
 
-    /// What waits of a request of that usual time are weighed by.
-    pub(crate) fn late_scale(&self, goal: Duration, usual: Duration) -> LateScale {
-        LateScale { goal, usual, anyway: self.share_later(goal, usual) }
+    /// What waits of a request of that typical time are weighed by.
+    pub(crate) fn late_scale(&self, goal: Duration, typical: Duration) -> LatenessScale {
+        LatenessScale { goal, typical, anyway: self.share_later(goal, typical) }
     }
 
     /// How much likelier a request is late for its goal by a wait of `wait`. Most targets have none and need no look at the learned times: a choice
     /// among 431 took 105 us with one at each of them and 47 us without (`wingbench steer --cost`).
-    pub(crate) fn lateness(&self, wait: Duration, scale: &LateScale) -> f64 {
-        let LateScale { goal, usual, anyway } = *scale;
+    pub(crate) fn lateness(&self, wait: Duration, scale: &LatenessScale) -> f64 {
+        let LatenessScale { goal, typical, anyway } = *scale;
         if wait >= goal {
             return 1.0;
         }
-        if wait.is_zero() { 0.0 } else { self.share_later(goal - wait, usual) - anyway }
+        if wait.is_zero() { 0.0 } else { self.share_later(goal - wait, typical) - anyway }
     }
 
-    /// The share of requests of that usual time that take longer than `time`.
-    fn share_later(&self, time: Duration, usual: Duration) -> f64 {
-        self.times.share_above(time.as_secs_f64() / usual.as_secs_f64().max(0.001))
+    /// The share of requests of that typical time that take longer than `time`.
+    fn share_later(&self, time: Duration, typical: Duration) -> f64 {
+        self.times.share_above(time.as_secs_f64() / typical.as_secs_f64().max(0.001))
     }
 
     /// What an attempt that begins now is measured by: from when on it has a slot.
-    pub(crate) fn due_from(&self, now: TimePoint, key: TargetKey) -> TimePoint {
-        let wait = self.records.get(&key).map(|record| record.wait(now, self.usual_time()));
+    pub(crate) fn slot_expected_at(&self, now: TimePoint, key: TargetKey) -> TimePoint {
+        let wait = self.records.get(&key).map(|record| record.wait(now, self.typical_time()));
         now + wait.unwrap_or_default()
     }
 
     pub(crate) fn note_answer(&mut self, time: Duration, bytes: usize) {
         /// Answers up to here count as small.
         const SMALL_BYTES: usize = 16 * 1024;
-        self.usual.add(time.as_secs_f64());
+        self.typical.add(time.as_secs_f64());
         if bytes <= SMALL_BYTES {
             self.small_bytes.add(bytes as f64);
         }
--- a/crates/decide/src/steer/record.rs
+++ b/crates/decide/src/steer/record.rs
@@ -1,13 +1,13 @@
-//! One target, with what is known of it: belief, path, load, usual time.
+//! One target, with what is known of it: belief, path, load, typical time.
 
 use std::time::Duration;
 
 use crate::names::{Name, TargetKey};
-use crate::steer::belief::{BeliefSample, SpellHabits, TargetBelief};
+use crate::steer::failure_estimate::{EpisodeStats, FailureEstimate, OutcomeSample};
 use crate::steer::limit::RequestRate;
 use crate::steer::messages::{HomeRegions, SteerOutcome, SuspicionChange};
 use crate::steer::notice::NoticeState;
-use crate::steer::open::{AttemptMark, OpenAge, OpenAttempts};
+use crate::steer::open::{AttemptHandle, OpenAge, OpenAttempts};
 use crate::time::TimePoint;
 
 /// A reported load loses half its weight in this time: about one request's work.
@@ -23,7 +23,7 @@
 /// Weight of the newest time in a target's slowness: the work of single requests varies by
 /// a factor of two and more.
 const TIME_WEIGHT: f64 = 0.1;
-/// A target up to this many times slower than usual counts as no slower: chance alone does
+/// A target up to this many times slower than typical counts as no slower: chance alone does
 /// as much.
 const SLOW_FROM: f64 = 1.3;
 /// A peer's word that a target is cold counts for this long: the listing reaches each box sooner.
@@ -72,7 +72,7 @@
 #[derive(Debug)]
 pub struct TargetRecord {
     pub(crate) setup: SteerTarget,
-    belief: TargetBelief,
+    belief: FailureEstimate,
     tried_at: TimePoint,
     /// Whether the last attempt at it failed, here or at a peer.
     last_failed: bool,
@@ -95,7 +95,7 @@
     pub(crate) open: OpenAttempts,
     held: u32,
     held_at: TimePoint,
-    /// Its times, in multiples of what is usual.
+    /// Its times, in multiples of what is typical.
     slowness: f64,
 }
 
@@ -117,7 +117,7 @@
     ) -> TargetRecord {
         TargetRecord {
             setup,
-            belief: TargetBelief::new(now, at_start),
+            belief: FailureEstimate::new(now, at_start),
             tried_at: now,
             last_failed: false,
             failed_at: None,
@@ -174,11 +174,11 @@
     /// Each way to a target goes through this, trials, retries and second attempts too. With a
     /// refusal as a price alone three resting targets were sent 18 to 53 requests a second, all
     /// refused, of the 50 to 84 that their service got (counts of the targets over six seconds).
-    pub(crate) fn is_in_draw(&self, now: TimePoint) -> bool {
+    pub(crate) fn is_eligible(&self, now: TimePoint) -> bool {
         !self.replaced
             && !self.setup.evacuated
             && self.notices.bar(now).is_none()
-            && self.used_up_for(now).is_none()
+            && self.permit_wait(now).is_none()
     }
 
     /// The limit over all boxes that it has now: the one that it names in its answers, or the one that
@@ -195,40 +195,40 @@
     }
 
     /// Takes a peer's word that it is cold and takes `rate`; the listing says so as well soon.
-    pub(crate) fn note_cold(&mut self, now: TimePoint, rate: RequestRate) {
+    pub(crate) fn record_cold(&mut self, now: TimePoint, rate: RequestRate) {
         self.told_cold = Some(ToldCold { rate, until: now + COLD_TOLD_FOR });
     }
 
     /// For how long yet there is no permit for it, if so.
-    pub(crate) fn used_up_for(&self, now: TimePoint) -> Option<Duration> {
+    pub(crate) fn permit_wait(&self, now: TimePoint) -> Option<Duration> {
         self.limit(now)?;
         let until = self.used_up_until.filter(|until| now < *until)?;
         Some(until.since(now))
     }
 
     /// Notes that there is no permit for it until then.
-    pub(crate) fn note_used_up(&mut self, until: TimePoint) {
+    pub(crate) fn record_no_permit_until(&mut self, until: TimePoint) {
         self.used_up_until = Some(until);
     }
 
     /// Forgets until when there is no permit for it: that was told for another limit.
-    pub(crate) fn forget_turn(&mut self) {
+    pub(crate) fn clear_permit_wait(&mut self) {
         self.used_up_until = None;
     }
 
     /// Counts `time`, which the clock did not, into what is left of rests and turns.
-    pub(crate) fn grow_older(&mut self, time: Duration) {
-        self.notices.grow_older(time);
+    pub(crate) fn advance_clocks(&mut self, time: Duration) {
+        self.notices.advance_clocks(time);
         self.used_up_until = self.used_up_until.map(|until| until.before(time));
     }
 
     /// Another instance has its address; returns whether that is new.
-    pub(crate) fn note_replaced(&mut self) -> bool {
+    pub(crate) fn record_replaced(&mut self) -> bool {
         !std::mem::replace(&mut self.replaced, true)
     }
 
     /// Whether no attempt at it has failed within `time`.
-    pub(crate) fn is_unfailed_for(&self, now: TimePoint, time: Duration) -> bool {
+    pub(crate) fn has_not_failed_for(&self, now: TimePoint, time: Duration) -> bool {
         self.path_clear(now) && self.failed_at.is_none_or(|failed| now.since(failed) >= time)
     }
 
@@ -280,29 +280,29 @@
     }
 
     /// How long a request would wait there for a slot, and longer than elsewhere.
-    pub(crate) fn wait(&self, now: TimePoint, usual: Duration) -> Duration {
+    pub(crate) fn wait(&self, now: TimePoint, typical: Duration) -> Duration {
         let slots = f64::from(self.setup.slots.max(1));
         let ahead = (self.busy(now) + 1.0 - slots).max(0.0) / slots;
         let cold = if self.cold_time(now).is_zero() { 1.0 } else { COLD_FACTOR };
         let slowness = if self.slowness > SLOW_FROM { self.slowness } else { 1.0 };
-        let own = usual.mul_f64(slowness * cold);
-        own.mul_f64(ahead) + own.saturating_sub(usual)
+        let own = typical.mul_f64(slowness * cold);
+        own.mul_f64(ahead) + own.saturating_sub(typical)
     }
 
-    pub(crate) fn begin(&mut self, mark: AttemptMark) {
-        self.open.begin(mark);
+    pub(crate) fn begin(&mut self, handle: AttemptHandle) {
+        self.open.begin(handle);
         self.fresh = false;
-        self.tried_at = mark.started;
+        self.tried_at = handle.started;
     }
 
-    pub(crate) fn note_load(&mut self, now: TimePoint, held: u32) {
+    pub(crate) fn record_load(&mut self, now: TimePoint, held: u32) {
         self.held = held;
         self.held_at = now;
     }
 
-    /// Takes the time of a good answer, in multiples of what is usual.
-    pub(crate) fn note_time(&mut self, multiple: f64) {
-        self.slowness += (multiple - self.slowness) * TIME_WEIGHT;
+    /// Takes the time of a good answer, in multiples of what is typical.
+    pub(crate) fn note_time(&mut self, latency_ratio: f64) {
+        self.slowness += (latency_ratio - self.slowness) * TIME_WEIGHT;
     }
 
     /// Takes what a peer has open here. Who has something open tries the target, so that
@@ -313,9 +313,9 @@
         now: TimePoint,
         peer: u64,
         count: u32,
-        telling: &[OpenAge],
+        informative: &[OpenAge],
     ) {
-        self.open.note_peer(now, peer, count, telling);
+        self.open.note_peer(now, peer, count, informative);
         if count > 0 {
             self.fresh = false;
             self.tried_at = now;
@@ -343,13 +343,13 @@
     pub(crate) fn note_sample(
         &mut self,
         now: TimePoint,
-        sample: BeliefSample,
-        habits: &SpellHabits,
+        sample: OutcomeSample,
+        episode_stats: &EpisodeStats,
     ) {
-        self.belief.note(now, sample, habits);
+        self.belief.note(now, sample, episode_stats);
         self.fresh = false;
         self.tried_at = now;
-        self.last_failed = sample != BeliefSample::Good;
+        self.last_failed = sample != OutcomeSample::Good;
         if self.last_failed {
             self.failed_at = Some(now);
         }
--- a/crates/decide/src/steer/trial.rs
+++ b/crates/decide/src/steer/trial.rs
@@ -42,9 +42,9 @@
 const AWAY_TRIAL_FACTOR: f64 = 6.0;
 
 /// Where a box stands, as far as trials depend on it.
-pub(crate) struct TrialPlace<'a> {
+pub(crate) struct TrialContext<'a> {
     pub(crate) data_centre: &'a str,
-    pub(crate) near_boxes: usize,
+    pub(crate) local_boxes: usize,
     pub(crate) boxes: usize,
     pub(crate) mechanisms: &'a MechanismSet,
     /// Whether there are so many targets that one is not tried for having rested: only those that joined are.
@@ -55,11 +55,11 @@
 /// `drawn` is a number drawn for it, 0 to 1. Each box draws for itself, so that those
 /// of the target's data centre together make about [`TRIALS_PER_S`] of each. Boxes
 /// elsewhere step in later, where the target's own do not, and never with a large answer.
-pub(crate) fn draw_trial(
+pub(crate) fn sample_trial(
     now: TimePoint,
     pool: &TargetPool,
     request: &SteerRequest<'_>,
-    place: &TrialPlace<'_>,
+    place: &TrialContext<'_>,
     drawn: f64,
 ) -> Option<TargetKey> {
     if !request.tried.is_empty() || !place.mechanisms.has(Mechanism::Trials) {
@@ -68,7 +68,7 @@
     }
     let due = due_targets(now, pool, request, place);
     let chance = |due: &DueTarget| {
-        let boxes = if due.away { place.boxes } else { place.near_boxes };
+        let boxes = if due.away { place.boxes } else { place.local_boxes };
         let rate = pool.request_rate(now).max(0.1) * boxes as f64;
         (trials_per_s(place) / rate).min(TRIAL_CHANCE_MOST)
     };
@@ -87,8 +87,8 @@
 
 /// Where not every box hears of a trial, those that don't go on trying: they do so the more
 /// slowly, so that a target that hangs is not tried by several at once.
-fn trials_per_s(place: &TrialPlace<'_>) -> f64 {
-    let near = place.near_boxes.max(1);
+fn trials_per_s(place: &TrialContext<'_>) -> f64 {
+    let near = place.local_boxes.max(1);
     TRIALS_PER_S * heard_boxes(near) as f64 / near as f64
 }
 
@@ -103,13 +103,13 @@
     now: TimePoint,
     pool: &TargetPool,
     request: &SteerRequest<'_>,
-    place: &TrialPlace<'_>,
+    place: &TrialContext<'_>,
 ) -> Vec<DueTarget> {
-    let few_fail = place.mechanisms.has(Mechanism::FewTrials) && pool.failing(now) < CALM_BELOW;
+    let few_fail = place.mechanisms.has(Mechanism::FewerTrials) && pool.failing(now) < CALM_BELOW;
     let spared = few_fail && !request.repeatable;
     let in_use = pool.in_use_for(now);
     let mut due = Vec::new();
-    for (key, record) in pool.open_to(now, request.tried, request.homes) {
+    for (key, record) in pool.eligible_targets(now, request.tried, request.homes) {
         let away = *record.setup.data_centre != *place.data_centre;
         let left_to_others = away && (request.large || (few_fail && !record.is_fresh()));
         let rests = place.only_fresh && !record.is_fresh();
--- a/crates/decide/tests/kept_targets.rs
+++ b/crates/decide/tests/kept_targets.rs
@@ -31,7 +31,7 @@
     core.set_boxes(BOXES, 2 * BOXES);
     good(&mut core, at(1_000), "t0", 1);
     for number in 0..8 * requests_a_second {
-        core.note_request(at(1_000 + number * 1_000 / requests_a_second), SERVICE);
+        core.record_request(at(1_000 + number * 1_000 / requests_a_second), SERVICE);
     }
     core
 }
@@ -75,7 +75,7 @@
     let mut core = gateway(1, 1_000, 1);
     let kept: BTreeSet<String> = (0..600).map(|_| pick(&mut core)).collect();
     for id in ids(1_000).iter().filter(|id| kept.contains(*id)) {
-        core.note_load(at(NOW), TargetKey::of(id), LoadReport { held: 9, slots: 3 });
+        core.record_load(at(NOW), TargetKey::of(id), LoadReport { held: 9, slots: 3 });
     }
     let others = (0..50).filter(|_| !kept.contains(&pick(&mut core))).count();
     assert!(others >= 45, "{others} of 50");
@@ -108,7 +108,7 @@
             let mut core = core_with_seed(seed);
             core.set_targets(at(0), ids(1_000).iter().map(|id| target(id, "near")).collect());
             core.set_boxes(BOXES, BOXES);
-            core.note_request(at(NOW), SERVICE);
+            core.record_request(at(NOW), SERVICE);
             pick(&mut core)
         })
         .collect();
--- a/crates/decide/tests/notices.rs
+++ b/crates/decide/tests/notices.rs
@@ -30,7 +30,7 @@
 /// How many of some choices at `millis` fall on the target that gave notice.
 fn sends(core: &mut SteerCore, millis: u64, repeatable: bool, tried: &[TargetKey]) -> usize {
     let now = at(millis);
-    core.note_request(now, SERVICE);
+    core.record_request(now, SERVICE);
     let picks = (0..PICKS).filter_map(|_| core.pick(now, &request(repeatable, tried)).ok());
     picks.filter(|pick| *pick.id == *"speaker").count()
 }
@@ -84,7 +84,7 @@
 }
 
 fn stands_suspended(core: &mut SteerCore) {
-    core.grow_older(Duration::from_secs(2));
+    core.advance_clocks(Duration::from_secs(2));
 }
 
 const BARS: &[BarCase] = &[
--- a/crates/decide/tests/stalls.rs
+++ b/crates/decide/tests/stalls.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use steering::{PICKS, ROUTE, SERVICE, at, attempt, core, good, settled, shares, target};
-use wingbridge_decide::steer::times::ServiceTimes;
+use wingbridge_decide::steer::latency_ratios::LatencyRatios;
 use wingbridge_decide::steer::{
     OpenAge, PeerSample, RetryUse, SUSPECT_FROM, SteerCore, SteerOutcome,
 };
@@ -28,13 +28,13 @@
 
 /// Tells that a peer has so many attempts open at `id`, each for `age`.
 fn tell_open(core: &mut SteerCore, now: TimePoint, id: &str, count: u32, age: Duration) {
-    let open = OpenAge { since: now.before(age), usual: USUAL };
+    let open = OpenAge { since: now.before(age), typical: USUAL };
     let sample = PeerSample {
         open: Some(count),
-        telling: vec![open; count as usize],
+        informative: vec![open; count as usize],
         ..PeerSample::default()
     };
-    core.take_peer(now, 9, TargetKey::of(id), &sample);
+    core.merge_peer_sample(now, 9, TargetKey::of(id), &sample);
 }
 
 struct AgeCase {
@@ -72,7 +72,7 @@
     tell_open(&mut core, now, "a", 2, USUAL * 4);
     assert!(core.risk(now, TargetKey::of("a")).expect("known") >= SUSPECT_FROM);
     let answered = PeerSample { good: 2, open: Some(0), ..PeerSample::default() };
-    core.take_peer(now, 9, TargetKey::of("a"), &answered);
+    core.merge_peer_sample(now, 9, TargetKey::of("a"), &answered);
     assert!(core.risk(now, TargetKey::of("a")).expect("known") < SUSPECT_FROM);
 }
 
@@ -98,7 +98,7 @@
     for round in 0..6 {
         let start = at(21_000 + round * 500);
         let mark = core.begin(start, TargetKey::of("a"), &short);
-        assert!(!core.note_overdue(start + USUAL * 4, &mark).stalled);
+        assert!(!core.record_overdue(start + USUAL * 4, &mark).stalled);
         let news = core.end(start + USUAL * 4, &mark, &short, SteerOutcome::OutOfTime, 0);
         assert!(!news.stalled && news.change.is_none(), "{news:?}");
     }
@@ -159,7 +159,7 @@
     core.set_targets(at(0), vec![target("a", "near")]);
     core.set_boxes(1, 1);
     let now = at(60_000);
-    (0..100).for_each(|_| core.note_request(now, SERVICE));
+    (0..100).for_each(|_| core.record_request(now, SERVICE));
     let spend = |core: &mut SteerCore, usage| {
         std::iter::repeat(()).take_while(|()| core.spend_retry(now, SERVICE, usage)).count()
     };
@@ -170,8 +170,8 @@
 
 #[test]
 fn the_spread_of_times_is_learned() {
-    let mut narrow = ServiceTimes::default();
-    let mut wide = ServiceTimes::default();
+    let mut narrow = LatencyRatios::default();
+    let mut wide = LatencyRatios::default();
     for number in 0..400 {
         let step = f64::from(number % 20) / 20.0;
         narrow.note(at(1_000), 0.9 + 0.2 * step);
--- a/crates/decide/tests/steer.rs
+++ b/crates/decide/tests/steer.rs
@@ -43,7 +43,7 @@
     };
     assert!(near(&mut core) > PICKS * 3 / 4);
     // Eight requests on three slots are a wait that costs more than leaving.
-    core.note_load(now, TargetKey::of("n"), LoadReport { held: 8, slots: 3 });
+    core.record_load(now, TargetKey::of("n"), LoadReport { held: 8, slots: 3 });
     assert!(near(&mut core) < PICKS / 4);
 }
 
@@ -51,8 +51,8 @@
 fn an_instance_whose_address_another_has_returns_only_under_another_address() {
     let now = at(20_000);
     let mut core = settled(&[("a", "near"), ("b", "near")], now);
-    assert!(core.note_replaced(TargetKey::of("a")));
-    assert!(!core.note_replaced(TargetKey::of("a")), "it is no news");
+    assert!(core.record_replaced(TargetKey::of("a")));
+    assert!(!core.record_replaced(TargetKey::of("a")), "it is no news");
     let picked = |core: &mut SteerCore| {
         let picks = (0..PICKS).map(|_| core.pick(now, &request(false, &[])).expect("a target"));
         picks.filter(|pick| *pick.id == *"a").count()
@@ -110,7 +110,7 @@
     let mut core = settled(&[("a", "near"), ("b", "near")], now);
     for peer in 1..=6 {
         let open = PeerSample { open: Some(1), ..PeerSample::default() };
-        core.take_peer(now, peer, TargetKey::of("a"), &open);
+        core.merge_peer_sample(now, peer, TargetKey::of("a"), &open);
     }
     let counts = shares(&mut core, now, &["a", "b"], false);
     assert!(counts[0] < PICKS / 20, "six are open at a, none at b: {counts:?}");
@@ -120,7 +120,7 @@
 fn a_request_that_no_target_can_answer_in_time_is_refused_at_once() {
     let now = at(20_000);
     let mut core = settled(&[("a", "near")], now);
-    core.note_load(now, TargetKey::of("a"), LoadReport { held: 60, slots: 3 });
+    core.record_load(now, TargetKey::of("a"), LoadReport { held: 60, slots: 3 });
     assert_eq!(core.pick(now, &request(false, &[])), Err(NoPick::Overloaded));
     let tried = [TargetKey::of("a")];
     assert_eq!(core.pick(now, &request(false, &tried)), Err(NoPick::NoTarget));
@@ -149,10 +149,10 @@
     for case in CROWDS {
         let now = at(20_000);
         let mut core = settled(&[("a", "near")], now);
-        core.note_load(now, TargetKey::of("a"), LoadReport { held: case.held, slots: 3 });
+        core.record_load(now, TargetKey::of("a"), LoadReport { held: case.held, slots: 3 });
         let left = Duration::from_millis(case.left);
         let picked = core.pick(now, &SteerRequest { left, ..request(false, &[]) });
-        assert_eq!(picked == Err(NoPick::Crowded), case.held_back, "{}: {picked:?}", case.name);
+        assert_eq!(picked == Err(NoPick::Saturated), case.held_back, "{}: {picked:?}", case.name);
         assert!(case.held_back || picked.is_ok(), "{}: {picked:?}", case.name);
     }
 }
@@ -343,13 +343,13 @@
 #[test]
 fn services_that_rest_are_not_told_again() {
     let mut core = core();
-    core.note_request(at(0), SERVICE);
-    core.note_request(at(10), "another");
-    assert_eq!(core.untold_tallies(at(20)).len(), 2);
-    core.note_request(at(30), SERVICE);
+    core.record_request(at(0), SERVICE);
+    core.record_request(at(10), "another");
+    assert_eq!(core.unreported_retry_counts(at(20)).len(), 2);
+    core.record_request(at(30), SERVICE);
     let tally = RetryTally { requests: 2, ..RetryTally::default() };
-    assert_eq!(core.untold_tallies(at(40)), [(SERVICE.into(), tally)]);
-    assert_eq!(core.untold_tallies(at(50)), []);
+    assert_eq!(core.unreported_retry_counts(at(40)), [(SERVICE.into(), tally)]);
+    assert_eq!(core.unreported_retry_counts(at(50)), []);
 }
 
 #[test]
@@ -378,14 +378,14 @@
     core.set_targets(now, vec![first.clone()]);
     let unknown = core.risk(now, old).expect("listed");
     let bad = PeerSample { bad: 5, ..PeerSample::default() };
-    core.take_peer(now, 9, old, &bad);
+    core.merge_peer_sample(now, 9, old, &bad);
     assert!(core.risk(now, old).expect("listed") > 0.5);
-    core.note_replaced(old);
+    core.record_replaced(old);
     core.set_targets(now, vec![SteerTarget { born_ms: 2, ..first }]);
     assert_eq!(core.risk(now, old), None, "what is told of the life before is dropped");
     let fresh = core.risk(now, new).expect("listed");
     assert!(fresh <= unknown.max(0.1), "{fresh}");
-    core.take_peer(now, 9, old, &bad);
+    core.merge_peer_sample(now, 9, old, &bad);
     assert_eq!(core.risk(now, new), Some(fresh), "and says nothing of this one");
     assert!(core.pick(now, &request(false, &[])).is_ok(), "nobody has its address but itself");
 }
--- a/crates/decide/tests/steering/mod.rs
+++ b/crates/decide/tests/steering/mod.rs
@@ -87,17 +87,17 @@
     let sample = PeerSample {
         good: count.min(3),
         open: Some(0),
-        multiple: Some(1.0),
+        latency_ratio: Some(1.0),
         ..PeerSample::default()
     };
     for _ in 0..count.div_ceil(3) {
-        core.take_peer(now, 1, TargetKey::of(id), &sample);
+        core.merge_peer_sample(now, 1, TargetKey::of(id), &sample);
     }
 }
 
 pub fn bad(core: &mut SteerCore, now: TimePoint, id: &str) {
     let sample = PeerSample { bad: 1, open: Some(0), ..PeerSample::default() };
-    core.take_peer(now, 1, TargetKey::of(id), &sample);
+    core.merge_peer_sample(now, 1, TargetKey::of(id), &sample);
 }
 
 /// An attempt of a request on [`ROUTE`] at `id`, from `start` to its end at `now`.
--- a/crates/decide/tests/trials.rs
+++ b/crates/decide/tests/trials.rs
@@ -103,7 +103,7 @@
         if case.many_fail {
             fail_many(&mut core, now);
         }
-        core.note_request(now, SERVICE);
+        core.record_request(now, SERVICE);
         let picks = (0..PICKS).map(|_| core.pick(now, &request(false, &[])).expect("a target"));
         let tried = picks.filter(|pick| pick.trial && *pick.id == *"a").count();
         assert_eq!(tried > 0, case.tried, "{}: {tried} trials", case.name);
@@ -141,7 +141,7 @@
         let now = at(start + case.untried);
         sound.iter().for_each(|id| good(&mut core, now, id, 3));
         fail_many(&mut core, now);
-        core.note_request(now, SERVICE);
+        core.record_request(now, SERVICE);
         let picks = (0..PICKS).map(|_| core.pick(now, &request(false, &[])).expect("a target"));
         let tried = picks.filter(|pick| pick.trial).count();
         assert_eq!(tried > 0, case.tried, "{}: {tried} trials", case.name);
@@ -153,7 +153,7 @@
     let now = at(40_000);
     let mut core = settled(&[("a", "near"), ("b", "near"), ("c", "near")], at(20_000));
     good(&mut core, now, "b", 6);
-    core.note_request(now, SERVICE);
+    core.record_request(now, SERVICE);
     let tried = [TargetKey::of("c")];
     for _ in 0..PICKS {
         let pick = core.pick(now, &request(true, &tried)).expect("a target");
@@ -170,7 +170,7 @@
     let now = at(21_100);
     good(&mut core, now, "a", 3);
     good(&mut core, now, "b", 3);
-    core.note_request(now, SERVICE);
+    core.record_request(now, SERVICE);
     let counts = shares(&mut core, now, &["a", "b", "new"], false);
     assert!(counts[2] > 0, "{counts:?}");
 }
@@ -186,9 +186,9 @@
     for _ in 0..10 {
         good(&mut core, now, "b", 3);
         let told = PeerSample { bad: 1, ..PeerSample::default() };
-        core.take_peer(now, 2, TargetKey::of("elsewhere"), &told);
+        core.merge_peer_sample(now, 2, TargetKey::of("elsewhere"), &told);
     }
-    core.note_request(now, SERVICE);
+    core.record_request(now, SERVICE);
     let picks = (0..PICKS).map(|_| core.pick(now, &request(false, &[])).expect("a target"));
     let tried: Vec<_> = picks.filter(|pick| pick.trial).map(|pick| pick.id).collect();
     assert!(tried.is_empty(), "{} trials, of {}", tried.len(), tried[0]);
@@ -227,7 +227,7 @@
             good(&mut core, at(start), "a", 3);
             good(&mut core, now, "a", 3);
         }
-        core.note_request(now, SERVICE);
+        core.record_request(now, SERVICE);
         let asked = request(case.repeatable, &[]);
         let picks = (0..PICKS).map(|_| core.pick(now, &asked).expect("a target"));
         let tried = picks.filter(|pick| pick.trial).count();
@@ -290,7 +290,7 @@
             fail_many_at(&mut core, now, "a");
             good(&mut core, now, "a", 3);
         }
-        core.note_request(now, SERVICE);
+        core.record_request(now, SERVICE);
         let asked = request(case.repeatable, &[]);
         let picks = (0..PICKS).map(|_| core.pick(now, &asked).expect("a target"));
         let tried = picks.filter(|pick| pick.trial && *pick.id == *"there").count();
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -149,8 +149,8 @@
     pub(crate) fn view(&self) -> MutexGuard<'_, KnownView> {
         let mut view = lock(&self.view);
         if let Some(time) = self.suspension.newly(self.port.suspended()) {
-            view.grow_older(time);
-            self.core().grow_older(time);
+            view.advance_clocks(time);
+            self.core().advance_clocks(time);
             log::warn!(suspended_ms = millis(time); "was-suspended");
         }
         view
@@ -358,7 +358,7 @@
             slots: target.slots,
         };
         let set = set.into_iter().map(steered).collect();
-        self.core().change_targets(now, &gone, set);
+        self.core().update_targets(now, &gone, set);
     }
 }
 
--- a/crates/gateway/src/gossip/telling.rs
+++ b/crates/gateway/src/gossip/telling.rs
@@ -52,13 +52,13 @@
             let now = self.context.now();
             let core = self.context.core();
             let with_open = |sighting: &Sighting| {
-                let (open, ages) = core.open_at(TargetKey(sighting.target));
-                let telling = ages.iter().map(|age| encode_age(now, age)).collect();
-                Sighting { open_plus_one: open + 1, telling, ..sighting.clone() }
+                let (open, ages) = core.open_attempts_at(TargetKey(sighting.target));
+                let informative = ages.iter().map(|age| encode_age(now, age)).collect();
+                Sighting { open_plus_one: open + 1, informative, ..sighting.clone() }
             };
             pending.iter().map(|seen| with_open(&seen.sighting)).collect()
         };
-        let by_relays = self.context.settings.mechanisms.has(Mechanism::NewsRelays);
+        let by_relays = self.context.settings.mechanisms.has(Mechanism::UpdateRelays);
         let (listeners, others, relays) = {
             let mut peers = self.context.peers();
             let (listeners, mut others) = peers.listeners();
@@ -68,7 +68,7 @@
             }
             (listeners, others, relays)
         };
-        let tallies = self.untold_tallies();
+        let tallies = self.unreported_retry_counts();
         for told in in_parts(&seen, tallies, &crashes) {
             self.send_sightings(&listeners, told).await;
         }
@@ -112,9 +112,9 @@
         self.send_sightings(&near, Sightings { news: Some(mark), ..told }).await;
     }
 
-    fn untold_tallies(&self) -> Vec<Tally> {
+    fn unreported_retry_counts(&self) -> Vec<Tally> {
         let now = self.context.now();
-        let untold = self.context.core().untold_tallies(now).into_iter();
+        let untold = self.context.core().unreported_retry_counts(now).into_iter();
         let tally = |(service, tally): (wingbridge_decide::Name, RetryTally)| Tally {
             service: service.to_string(),
             requests: tally.requests,
@@ -133,19 +133,19 @@
         let now = self.context.now();
         let mut core = self.context.core();
         for seen in &sightings.targets {
-            if seen.replaced && core.note_replaced(TargetKey(seen.target)) {
+            if seen.replaced && core.record_replaced(TargetKey(seen.target)) {
                 log_replaced(&format!("{:016x}", seen.target), box_id);
             }
             let sample = PeerSample {
                 good: seen.good,
                 bad: seen.bad,
                 overdue: seen.overdue,
-                multiple: (seen.permille > 0).then(|| f64::from(seen.permille) / 1000.0),
+                latency_ratio: (seen.permille > 0).then(|| f64::from(seen.permille) / 1000.0),
                 held: seen.held_plus_one.checked_sub(1),
                 open: seen.open_plus_one.checked_sub(1),
-                telling: seen.telling.iter().map(|open| decode_age(now, open)).collect(),
+                informative: seen.informative.iter().map(|open| decode_age(now, open)).collect(),
             };
-            let change = core.take_peer(now, peer, TargetKey(seen.target), &sample);
+            let change = core.merge_peer_sample(now, peer, TargetKey(seen.target), &sample);
             note_suspicion(change, SeenBy::Peer);
         }
         for told in &sightings.tallies {
@@ -154,7 +154,7 @@
                 retries: told.retries,
                 silent_retries: told.silent_retries,
             };
-            core.take_tally(now, peer, &told.service, tally);
+            core.merge_retry_counts(now, peer, &told.service, tally);
         }
     }
 
@@ -187,13 +187,16 @@
 }
 
 fn encode_age(now: TimePoint, age: &OpenAge) -> OpenAttempt {
-    OpenAttempt { age_ms: short_millis(now.since(age.since)), usual_ms: short_millis(age.usual) }
+    OpenAttempt {
+        age_ms: short_millis(now.since(age.since)),
+        typical_ms: short_millis(age.typical),
+    }
 }
 
 fn decode_age(now: TimePoint, open: &OpenAttempt) -> OpenAge {
     OpenAge {
         since: now.before(Duration::from_millis(open.age_ms.into())),
-        usual: Duration::from_millis(open.usual_ms.into()),
+        typical: Duration::from_millis(open.typical_ms.into()),
     }
 }
 
--- a/crates/gateway/src/open_attempt.rs
+++ b/crates/gateway/src/open_attempt.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use futures::future::{Either, select};
-use wingbridge_decide::steer::{AttemptMark, LoadReport, SUSPECT_FROM, SteerOutcome, SteerPick};
+use wingbridge_decide::steer::{AttemptHandle, LoadReport, SUSPECT_FROM, SteerOutcome, SteerPick};
 use wingbridge_decide::{Fingerprint, Name};
 
 use crate::attempt::{AttemptEnd, AttemptPlan, OutgoingRequest, attempt};
@@ -24,7 +24,7 @@
     /// The customer whose request it is.
     customer: Option<Name>,
     fingerprint: Fingerprint,
-    mark: AttemptMark,
+    handle: AttemptHandle,
     ended: bool,
 }
 
@@ -56,7 +56,7 @@
     ) -> OpenAttempt {
         let AttemptRequest { permit, route, customer, fingerprint, sends_whole } = request;
         let now = context.now();
-        let mark = if sends_whole {
+        let handle = if sends_whole {
             context.core().begin(now, pick.key, &route)
         } else {
             context.core().begin_untimed(now, pick.key, &route)
@@ -71,7 +71,7 @@
             route,
             customer,
             fingerprint,
-            mark,
+            handle,
             ended: false,
         }
     }
@@ -81,7 +81,7 @@
     pub(crate) fn hedge_after(&self, until: Instant) -> Option<Duration> {
         let context = &self.context;
         let left = until.saturating_duration_since(self.started);
-        context.core().hedge_after(context.now(), &self.mark, left)
+        context.core().hedge_after(context.now(), &self.handle, left)
     }
 
     /// Makes the attempt, until its end or `until`.
@@ -96,21 +96,26 @@
         let key = self.pick.key;
         let now = self.context.now();
         let mut core = self.context.core();
-        let news = core.end(now, &self.mark, &self.route, outcome, bytes);
+        let news = core.end(now, &self.handle, &self.route, outcome, bytes);
         if let Some(load) = load {
-            core.note_load(now, key, load);
+            core.record_load(now, key, load);
         }
         drop(core);
         note_suspicion(news.change, SeenBy::Own);
         let suspect = self.pick.risk >= SUSPECT_FROM;
-        let seen =
-            SeenOutcome { outcome, load, suspect, stalled: news.stalled, multiple: news.multiple };
+        let seen = SeenOutcome {
+            outcome,
+            load,
+            suspect,
+            stalled: news.stalled,
+            latency_ratio: news.latency_ratio,
+        };
         self.context.sightings.note(key, &seen);
     }
 
     async fn await_end(&self, request: &OutgoingRequest, until: Instant) -> Option<AttemptEnd> {
         let context = &self.context;
-        let overdue = context.core().overdue_after(&self.mark);
+        let overdue = context.core().overdue_after(&self.handle);
         let plan = AttemptPlan {
             address: &self.pick.address,
             instance: &self.pick.id,
@@ -138,7 +143,7 @@
 
     fn note_overdue(&self) {
         let context = &self.context;
-        let news = context.core().note_overdue(context.now(), &self.mark);
+        let news = context.core().record_overdue(context.now(), &self.handle);
         note_suspicion(news.change, SeenBy::Own);
         if news.stalled {
             context.sightings.note_stall(self.pick.key);
--- a/crates/gateway/src/requests/mod.rs
+++ b/crates/gateway/src/requests/mod.rs
@@ -134,11 +134,11 @@
                 Ok(pick) => pick,
                 Err(NoPick::NoTarget) => return self.give_up("no target takes it"),
                 Err(NoPick::Resting(left)) => return self.give_up_until(left),
-                Err(NoPick::Crowded) if self.context.stopping.is_stopping() => {
+                Err(NoPick::Saturated) if self.context.stopping.is_stopping() => {
                     // Held on, it could be cut by the end of the process.
                     return self.give_up("this box ends and every target has a queue");
                 }
-                Err(NoPick::Crowded) => {
+                Err(NoPick::Saturated) => {
                     let spread = 0.5 + rand::random::<f64>();
                     async_std::task::sleep(HOLD_STEP.mul_f64(spread)).await;
                     continue;
@@ -289,7 +289,7 @@
                 self.arrivals += 1;
                 self.context.crashes.note_gone(open.pick.key);
                 open.end(SteerOutcome::WrongTarget, None, 0);
-                if self.context.core().note_replaced(open.pick.key) {
+                if self.context.core().record_replaced(open.pick.key) {
                     log_replaced(&open.pick.id, "own");
                 }
                 self.go_on("another instance has the address")
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -220,7 +220,7 @@
         Ok(credit) => credit,
         Err(answer) => return (*answer, trace),
     };
-    context.core().note_request(context.now(), &plan.service);
+    context.core().record_request(context.now(), &plan.service);
     let cancels = plan.policy.cancel_on_hangup;
     let run = RequestRun::new(Arc::clone(context), outgoing, plan, credit, since, trace);
     if cancels {
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -72,7 +72,7 @@
         callers:% = settings.callers, seed, version = env!("CARGO_PKG_VERSION");
         "started"
     );
-    if !settings.mechanisms.is_whole() {
+    if !settings.mechanisms.is_complete() {
         log::warn!(without:% = settings.mechanisms; "parts-of-the-pick-off");
     }
     let policies = PolicySet::compile()?;
--- a/crates/gateway/src/sightings.rs
+++ b/crates/gateway/src/sightings.rs
@@ -31,7 +31,7 @@
     /// Whether the attempt counts as a stall.
     pub(crate) stalled: bool,
     /// The time of a good answer, in multiples of what is usual for its route.
-    pub(crate) multiple: Option<f64>,
+    pub(crate) latency_ratio: Option<f64>,
 }
 
 /// What was seen of a target, and whether other data centres need to know.
@@ -66,7 +66,7 @@
         match ended.outcome {
             SteerOutcome::Good(_) => {
                 seen.good = 1;
-                seen.permille = ended.multiple.map_or(0, as_permille);
+                seen.permille = ended.latency_ratio.map_or(0, as_permille);
             }
             SteerOutcome::Failed | SteerOutcome::Broken => seen.bad = 1,
             SteerOutcome::WrongTarget => seen.replaced = true,
@@ -120,8 +120,8 @@
 }
 
 /// Whole thousandths, 1 at least: 0 stands for unknown.
-fn as_permille(multiple: f64) -> u32 {
-    (multiple * 1000.0).clamp(1.0, f64::from(u32::MAX)) as u32
+fn as_permille(latency_ratio: f64) -> u32 {
+    (latency_ratio * 1000.0).clamp(1.0, f64::from(u32::MAX)) as u32
 }
 
 fn add(sum: &mut Sighting, seen: &Sighting) {
--- a/crates/gateway/src/target_table.rs
+++ b/crates/gateway/src/target_table.rs
@@ -173,7 +173,7 @@
     }
 
     /// Ends what targets may yet be used for sooner, by `time` that the clock did not count.
-    pub(crate) fn grow_older(&mut self, time: Duration) {
+    pub(crate) fn advance_clocks(&mut self, time: Duration) {
         for (_, until) in self.lapsed.values_mut() {
             *until = until.checked_sub(time).unwrap_or(*until);
         }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -385,11 +385,11 @@
     }
 
     /// What is known is older by `time`, which the clock did not count.
-    pub(crate) fn grow_older(&mut self, time: Duration) {
+    pub(crate) fn advance_clocks(&mut self, time: Duration) {
         let older = |as_of: Instant| as_of.checked_sub(time);
         self.as_of = self.as_of.and_then(older);
         self.config_as_of = self.config_as_of.and_then(older);
-        self.targets.grow_older(time);
+        self.targets.advance_clocks(time);
     }
 
     fn note_time(&mut self, as_of: Instant) {
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -280,7 +280,7 @@
     pub replaced: bool,
     /// Those open attempts whose age tells of the target.
     #[prost(message, repeated, tag = "9")]
-    pub telling: Vec<OpenAttempt>,
+    pub informative: Vec<OpenAttempt>,
     /// Whether the target has said in an answer that it leaves.
     #[prost(bool, tag = "10")]
     pub leaving: bool,
@@ -297,7 +297,7 @@
     pub age_ms: u32,
     /// The usual time of its route, in milliseconds.
     #[prost(uint32, tag = "2")]
-    pub usual_ms: u32,
+    pub typical_ms: u32,
 }
 
 /// What a box asks of a peer over a connection: one question, one reply.
