--- a/crates/agent/src/exchange/evidence.rs
+++ b/crates/agent/src/exchange/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence to the judges, and what they found round the boxes.
+//! Evidence to the detectors, and what they found round the boxes.
 
 use std::sync::Arc;
 
@@ -11,55 +11,55 @@
 use super::{Exchange, NewsKey};
 
 impl Exchange {
-    /// Hands this box's evidence to the judges of each service.
+    /// Hands this box's evidence to the detectors of each service.
     pub(super) fn route_evidence(&mut self, now: TimePoint, evidence: &Evidence) {
         let (_, batches) = batches_of(evidence);
         let identity = self.parts.identity.clone();
         for batch in batches {
-            for judge in self.judges_up(&batch.service) {
-                if judge == identity.box_id {
-                    self.judge.take(now, &source_of(&identity), &batch);
+            for detector in self.reachable_detectors(&batch.service) {
+                if detector == identity.box_id {
+                    self.detector.add_batch(now, &source_of(&identity), &batch);
                 } else {
-                    self.outgoing.add(now, judge, &batch);
+                    self.outgoing.add(now, detector, &batch);
                 }
             }
         }
     }
 
-    /// The judges to tell. A small fleet tells all of them; in a large one the first that
+    /// The detectors to tell. A small fleet tells all of them; in a large one the first that
     /// is up is enough, and a second would cost as many bytes again. A box that knows no
-    /// other judges for itself.
-    pub(super) fn judges_up(&self, service: &str) -> Vec<Arc<str>> {
+    /// other detectors for itself.
+    pub(super) fn reachable_detectors(&self, service: &str) -> Vec<Arc<str>> {
         let identity = &self.parts.identity;
         let members = self.parts.core.members();
-        let mut judges = members.judges(service, &identity.data_centre);
-        judges.retain(|judge| !self.parts.links.is_down(judge));
+        let mut detectors = members.detectors(service, &identity.data_centre);
+        detectors.retain(|detector| !self.parts.links.is_down(detector));
         if members.len() > SMALL_FLEET {
-            judges.truncate(1);
+            detectors.truncate(1);
         }
-        if judges.is_empty() {
-            judges.push(identity.box_id.clone());
+        if detectors.is_empty() {
+            detectors.push(identity.box_id.clone());
         }
-        judges
+        detectors
     }
 
     pub(super) fn send_evidence(&mut self, now: TimePoint) {
         let identity = self.parts.identity.clone();
         let boxes = self.parts.core.members().len();
-        for (judge, batches) in self.outgoing.take_due(now, boxes) {
+        for (detector, batches) in self.outgoing.take_due(now, boxes) {
             let evidence = Evidence {
                 box_id: identity.box_id.to_string(),
                 data_centre: identity.data_centre.to_string(),
                 services: batches.iter().map(service_evidence).collect(),
             };
-            self.send(&judge, FrameBody::Evidence(evidence));
+            self.send(&detector, FrameBody::Evidence(evidence));
         }
     }
 
     pub(super) fn take_evidence(&mut self, now: TimePoint, evidence: &Evidence) {
         let (source, batches) = batches_of(evidence);
         for batch in batches {
-            self.judge.take(now, &source, &batch);
+            self.detector.add_batch(now, &source, &batch);
         }
     }
 
--- a/crates/agent/src/exchange/mod.rs
+++ b/crates/agent/src/exchange/mod.rs
@@ -1,7 +1,7 @@
 //! The exchange: the one thread that decides for the agent.
 //!
 //! It drives the pure cores ([`SpreadCore`] for configuration and membership,
-//! [`JudgeCore`] for evidence) with what connections, the store, the timer and
+//! [`OutlierDetector`] for evidence) with what connections, the store, the timer and
 //! operators put into its ring, and sends what they command.
 
 mod evidence;
@@ -14,8 +14,8 @@
 use std::time::Duration;
 
 use async_channel::{Receiver, Sender};
-use wingbridge_config::{HAND_PREFIX, POLICY_PREFIX, SERVICE_PREFIX, parse_service};
-use wingbridge_decide::{JudgeCore, TimePoint};
+use wingbridge_config::{OVERRIDES_PREFIX, POLICY_PREFIX, SERVICE_PREFIX, parse_service};
+use wingbridge_decide::{OutlierDetector, TimePoint};
 use wingbridge_process::ProcessClock;
 use wingbridge_spread::core::SpreadEvent;
 use wingbridge_spread::gossip::HeardNews;
@@ -56,7 +56,7 @@
 /// The state of the exchange.
 pub(crate) struct Exchange {
     parts: ExchangeParts,
-    judge: JudgeCore,
+    detector: OutlierDetector,
     suspicion: SelfSuspicion,
     proxy: Option<Sender<FrameBody>>,
     proxy_state: ProxyState,
@@ -79,10 +79,10 @@
     pub(crate) fn new(mut parts: ExchangeParts) -> Exchange {
         let seeds = parts.seeds.iter().map(|seed| Arc::from(format!("{SEED_PREFIX}{seed}")));
         parts.core.set_extra_peers(seeds.collect());
-        let judge = JudgeCore::pooled(&parts.identity.data_centre);
+        let detector = OutlierDetector::pooled(&parts.identity.data_centre);
         Exchange {
             parts,
-            judge,
+            detector,
             suspicion: SelfSuspicion::default(),
             proxy: None,
             proxy_state: ProxyState::default(),
@@ -130,7 +130,7 @@
         let watches = self.parts.core.members().watches(identity);
         self.parts.orders.watch.store(watches, Ordering::Release);
         self.send_evidence(now);
-        for verdict in self.judge.tick(now) {
+        for verdict in self.detector.tick(now) {
             let message = verdict_message(&verdict);
             self.parts.line.note(
                 "target-judged",
@@ -173,7 +173,7 @@
     fn apply(&mut self, entries: &[Entry]) {
         for entry in entries {
             if let Some(name) = entry.key.strip_prefix(SERVICE_PREFIX) {
-                self.configure_judge(name, entry);
+                self.configure_detector(name, entry);
             }
             if is_config(&entry.key) {
                 let generation = entry.stamp.generation.to_string();
@@ -184,13 +184,13 @@
         self.send_config(entries.iter());
     }
 
-    fn configure_judge(&mut self, name: &str, entry: &Entry) {
+    fn configure_detector(&mut self, name: &str, entry: &Entry) {
         if entry.deleted {
-            self.judge.remove(name);
+            self.detector.remove(name);
             return;
         }
         match parse_service(&entry.text) {
-            Ok(service) => self.judge.configure(&service.setup),
+            Ok(service) => self.detector.configure(&service.setup),
             Err(error) => {
                 log::error!(key = entry.key.as_str(), reason:% = error; "config-refused");
             }
@@ -276,7 +276,7 @@
             self.to_proxy(body);
         }
         let standing: Vec<VerdictMessage> =
-            self.judge.standing().iter().map(verdict_message).collect();
+            self.detector.verdicts_in_force().iter().map(verdict_message).collect();
         if !standing.is_empty() {
             self.to_proxy(FrameBody::Verdicts(Verdicts { verdicts: standing }));
         }
@@ -332,7 +332,7 @@
 
 /// Whether a key is the operators' configuration, which proxies put in force.
 fn is_config(key: &str) -> bool {
-    [SERVICE_PREFIX, POLICY_PREFIX, HAND_PREFIX].iter().any(|prefix| key.starts_with(prefix))
+    [SERVICE_PREFIX, POLICY_PREFIX, OVERRIDES_PREFIX].iter().any(|prefix| key.starts_with(prefix))
 }
 
 fn scope_name(scope: u32) -> &'static str {
--- a/crates/agent/src/outgoing.rs
+++ b/crates/agent/src/outgoing.rs
@@ -1,8 +1,8 @@
-//! Evidence on its way to other boxes' judges, gathered so that it costs few messages.
+//! Evidence on its way to other boxes' detectors, gathered so that it costs few messages.
 //!
-//! Bad news goes at once, with whatever waits for the same judge. Good news waits for
-//! more: the longer the larger the fleet, since there each judge hears from more boxes
-//! and each box tells more judges. At 40 boxes that is a tenth of a second, at 1,800
+//! Bad news goes at once, with whatever waits for the same detector. Good news waits for
+//! more: the longer the larger the fleet, since there each detector hears from more boxes
+//! and each box tells more detectors. At 40 boxes that is a tenth of a second, at 1,800
 //! four and a half.
 
 use std::collections::BTreeMap;
@@ -15,10 +15,10 @@
 const WAIT_PER_BOX: Duration = Duration::from_micros(2500);
 const WAIT_MOST: Duration = Duration::from_secs(5);
 
-/// What waits, by judge.
+/// What waits, by detector.
 #[derive(Debug, Default)]
 pub struct OutgoingEvidence {
-    judges: BTreeMap<Arc<str>, WaitingEvidence>,
+    detectors: BTreeMap<Arc<str>, WaitingEvidence>,
 }
 
 #[derive(Debug)]
@@ -29,10 +29,10 @@
 }
 
 impl OutgoingEvidence {
-    /// Adds a batch for `judge`.
-    pub fn add(&mut self, now: TimePoint, judge: Arc<str>, batch: &EvidenceBatch) {
+    /// Adds a batch for `detector`.
+    pub fn add(&mut self, now: TimePoint, detector: Arc<str>, batch: &EvidenceBatch) {
         let new = || WaitingEvidence { since: now, urgent: false, batches: Vec::new() };
-        let waiting = self.judges.entry(judge).or_insert_with(new);
+        let waiting = self.detectors.entry(detector).or_insert_with(new);
         waiting.urgent |= is_bad_news(batch);
         waiting.batches.push(batch.clone());
     }
@@ -46,9 +46,9 @@
         let boxes = u32::try_from(boxes).unwrap_or(u32::MAX);
         let wait = WAIT_PER_BOX.saturating_mul(boxes).min(WAIT_MOST);
         let due = self
-            .judges
+            .detectors
             .extract_if(.., |_, waiting| waiting.urgent || now.since(waiting.since) >= wait);
-        due.map(|(judge, waiting)| (judge, waiting.batches)).collect()
+        due.map(|(detector, waiting)| (detector, waiting.batches)).collect()
     }
 }
 
--- a/crates/agent/tests/outgoing_evidence.rs
+++ b/crates/agent/tests/outgoing_evidence.rs
@@ -65,10 +65,10 @@
     ];
     for case in cases {
         let mut outgoing = OutgoingEvidence::default();
-        let judge: Arc<str> = "box-1".into();
+        let detector: Arc<str> = "box-1".into();
         let start = TimePoint::from_micros(1_000_000);
         for kind in case.kinds {
-            outgoing.add(start, judge.clone(), &batch(*kind));
+            outgoing.add(start, detector.clone(), &batch(*kind));
         }
         let now = start + Duration::from_millis(case.waited_ms);
         let sent: usize = outgoing.take_due(now, case.boxes).iter().map(|(_, b)| b.len()).sum();
--- a/crates/bench/src/decide/baselines.rs
+++ b/crates/bench/src/decide/baselines.rs
@@ -10,7 +10,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use wingbridge_decide::budget::RetryBudget;
-use wingbridge_decide::messages::HealthNotice;
+use wingbridge_decide::messages::HealthTransition;
 use wingbridge_decide::{
     AttemptOutcome, BoxCommand, BoxEvent, Conclusion, HealthState, Name, RefuseReason, RequestId,
     RequestPlan, TimePoint,
@@ -285,7 +285,13 @@
         let target = self.targets[index].address.clone();
         let service = self.service.clone();
         let from = HealthState::Healthy;
-        out.push(BoxCommand::HealthChanged(HealthNotice { service, target, from, to, why: "" }));
+        out.push(BoxCommand::HealthChanged(HealthTransition {
+            service,
+            target,
+            from,
+            to,
+            reason: "",
+        }));
     }
 
     fn tick(&mut self, now: TimePoint, out: &mut Vec<BoxCommand>) {
--- a/crates/bench/src/decide/cost.rs
+++ b/crates/bench/src/decide/cost.rs
@@ -8,7 +8,7 @@
 use wingbridge_decide::sketch::LatencyBucket;
 use wingbridge_decide::{
     AttemptOutcome, BoxCommand, BoxCore, BoxEvent, EvidenceBatch, EvidenceSource, HealthChart,
-    JudgeCore, LimitSetup, Name, RequestId, RequestPlan, SampleKind, ServiceSetup, TargetKey,
+    LimitSetup, Name, OutlierDetector, RequestId, RequestPlan, SampleKind, ServiceSetup, TargetKey,
     TargetReport, TargetSamples, TargetSetup, TimePoint,
 };
 use wingbridge_wire::convert::service_evidence;
@@ -36,9 +36,9 @@
     pub ns_per_idle_tick: f64,
     /// Bytes of a box's core for each target.
     pub box_bytes_per_target: f64,
-    /// Nanoseconds of a judge for each sample, weighing counted in.
+    /// Nanoseconds of a detector for each sample, weighing counted in.
     pub judge_ns_per_sample: f64,
-    /// Bytes of a judge for each target.
+    /// Bytes of a detector for each target.
     pub judge_bytes_per_target: f64,
 }
 
@@ -85,12 +85,12 @@
     let (pick, event) = time_requests(&mut core, &setups);
     let idle = time_idle(&mut core);
     let before = resident_bytes();
-    let mut judge = JudgeCore::pooled("dc-0");
+    let mut detector = OutlierDetector::pooled("dc-0");
     for setup in &setups {
-        judge.configure(setup);
+        detector.configure(setup);
     }
-    let judged = time_judge(&mut judge, &setups);
-    let judge_bytes = resident_bytes().saturating_sub(before);
+    let detector_ns = time_detector(&mut detector, &setups);
+    let detector_bytes = resident_bytes().saturating_sub(before);
     CostRow {
         targets,
         services,
@@ -98,8 +98,8 @@
         ns_per_event: event,
         ns_per_idle_tick: idle,
         box_bytes_per_target: box_bytes as f64 / targets as f64,
-        judge_ns_per_sample: judged,
-        judge_bytes_per_target: judge_bytes as f64 / targets as f64,
+        judge_ns_per_sample: detector_ns,
+        judge_bytes_per_target: detector_bytes as f64 / targets as f64,
     }
 }
 
@@ -181,7 +181,7 @@
 }
 
 /// Samples come from 20 boxes, five targets of a service at a time.
-fn time_judge(judge: &mut JudgeCore, setups: &[ServiceSetup]) -> f64 {
+fn time_detector(detector: &mut OutlierDetector, setups: &[ServiceSetup]) -> f64 {
     const WINDOWS: u64 = 400;
     const BATCHES: usize = 100;
     let keys: HashMap<Name, Vec<TargetKey>> = setups
@@ -204,9 +204,9 @@
                 box_id: format!("box-{}", number % 20).into(),
                 data_centre: "dc-0".into(),
             };
-            judge.take(now, &source, &batch);
+            detector.add_batch(now, &source, &batch);
         }
-        let verdicts = judge.tick(now);
+        let verdicts = detector.tick(now);
         assert!(verdicts.is_empty(), "good samples convict nobody");
     }
     started.elapsed().as_nanos() as f64 / samples as f64
--- a/crates/bench/src/decide/fleet.rs
+++ b/crates/bench/src/decide/fleet.rs
@@ -1,4 +1,4 @@
-//! The real cores as a fleet: boxes, a judge in each data centre, messages between.
+//! The real cores as a fleet: boxes, a detector in each data centre, messages between.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -6,7 +6,7 @@
 
 use prost::Message;
 use wingbridge_decide::{
-    BoxCommand, BoxCore, BoxEvent, EvidenceBatch, EvidenceSource, HealthChart, JudgeCore,
+    BoxCommand, BoxCore, BoxEvent, EvidenceBatch, EvidenceSource, HealthChart, OutlierDetector,
     ServiceSetup, TimePoint,
 };
 use wingbridge_wire::convert::{batches_of, service_evidence, verdict_message, verdict_of};
@@ -37,13 +37,13 @@
 /// The real cores.
 pub struct CoreFleet {
     boxes: Vec<BoxCore>,
-    judges: Vec<JudgeCore>,
+    detectors: Vec<OutlierDetector>,
     sources: Vec<EvidenceSource>,
     centres: Vec<usize>,
     mail: BinaryHeap<Reverse<Letter>>,
     sent: u64,
     setup: ServiceSetup,
-    judged_at: TimePoint,
+    detected_at: TimePoint,
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -56,7 +56,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum LetterTarget {
-    Judge(usize),
+    Detector(usize),
     Box(usize),
 }
 
@@ -67,13 +67,13 @@
         let setup = site.service();
         let mut fleet = CoreFleet {
             boxes: Vec::new(),
-            judges: Vec::new(),
+            detectors: Vec::new(),
             sources: Vec::new(),
             centres: Vec::new(),
             mail: BinaryHeap::new(),
             sent: 0,
             setup: setup.clone(),
-            judged_at: TimePoint::default(),
+            detected_at: TimePoint::default(),
         };
         for number in 0..site.boxes {
             let centre = site.centre_of(number);
@@ -89,9 +89,9 @@
             fleet.centres.push(centre);
         }
         for centre in 0..site.data_centres {
-            let mut judge = JudgeCore::pooled(&format!("dc-{centre}"));
-            judge.configure(&setup);
-            fleet.judges.push(judge);
+            let mut detector = OutlierDetector::pooled(&format!("dc-{centre}"));
+            detector.configure(&setup);
+            fleet.detectors.push(detector);
         }
         fleet
     }
@@ -111,14 +111,14 @@
         let bytes = evidence.encode_to_vec();
         // On average half of the agent's period passes before it is sent on.
         let due = now + AGENT_TICK / 2 + HOP;
-        for judge in 0..self.judges.len() {
-            self.post(due, LetterTarget::Judge(judge), bytes.clone());
+        for detector in 0..self.detectors.len() {
+            self.post(due, LetterTarget::Detector(detector), bytes.clone());
         }
     }
 
-    fn judge(&mut self, now: TimePoint) {
-        for centre in 0..self.judges.len() {
-            for verdict in self.judges[centre].tick(now) {
+    fn run_detectors(&mut self, now: TimePoint) {
+        for centre in 0..self.detectors.len() {
+            for verdict in self.detectors[centre].tick(now) {
                 let bytes = verdict_message(&verdict).encode_to_vec();
                 for number in 0..self.boxes.len() {
                     if self.centres[number] == centre {
@@ -158,11 +158,11 @@
         while self.mail.peek().is_some_and(|Reverse(letter)| letter.due <= now) {
             let Some(Reverse(letter)) = self.mail.pop() else { break };
             match letter.to {
-                LetterTarget::Judge(judge) => {
+                LetterTarget::Detector(detector) => {
                     let evidence = Evidence::decode(&*letter.bytes).expect("our own encoding");
                     let (source, batches) = batches_of(&evidence);
                     for batch in batches {
-                        self.judges[judge].take(now, &source, &batch);
+                        self.detectors[detector].add_batch(now, &source, &batch);
                     }
                 }
                 LetterTarget::Box(number) => {
@@ -173,9 +173,9 @@
                 }
             }
         }
-        if now.since(self.judged_at) >= AGENT_TICK {
-            self.judged_at = now;
-            self.judge(now);
+        if now.since(self.detected_at) >= AGENT_TICK {
+            self.detected_at = now;
+            self.run_detectors(now);
         }
     }
 
@@ -184,7 +184,10 @@
         let floor = wingbridge_decide::floor::floor_slots(total, self.setup.floor);
         let services = self.boxes.iter().filter_map(|core| core.service(&self.setup.name));
         let limiting = services.filter(|service| {
-            service.targets().iter().any(|target| target.limited && target.health.counted())
+            service
+                .targets()
+                .iter()
+                .any(|target| target.ejection_enforced && target.health.counts_toward_floor())
         });
         limiting.map(|service| (service.slots_in_service(), floor)).min()
     }
--- a/crates/bench/src/decide/mod.rs
+++ b/crates/bench/src/decide/mod.rs
@@ -1,6 +1,6 @@
 //! Detection time and false ejections of the real decision core, against baselines.
 //!
-//! Several real box cores and judges, with the real messages between them, run in
+//! Several real box cores and detectors, with the real messages between them, run in
 //! virtual time before a small fake of targets and network. The baselines stand
 //! behind the same interface. Nothing here is a cluster: one service, no store.
 
--- a/crates/bench/src/decide/world.rs
+++ b/crates/bench/src/decide/world.rs
@@ -230,7 +230,7 @@
                 let target = self.addresses[&notice.target];
                 let kept_out = notice.to == HealthState::Ejected;
                 if kept_out {
-                    let (time, why) = (self.now, notice.why);
+                    let (time, why) = (self.now, notice.reason);
                     self.record.ejections.push(EjectionNote { time, box_number, target, why });
                 }
                 self.out[box_number][target] = kept_out;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -11,18 +11,18 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use wingbridge_decide::{HandOrder, HandOrderKind, LimitSetup, ServiceSetup, TargetSetup};
+use wingbridge_decide::{LimitSetup, ManualOverride, OverrideKind, ServiceSetup, TargetSetup};
 
 pub use routes::RouteTable;
 
-use crate::raw::{RawFile, RawHand, RawService};
+use crate::raw::{RawFile, RawOverrides, RawService};
 
 /// Prefix of a service's key in the store.
 pub const SERVICE_PREFIX: &str = "service/";
 /// Prefix of a policy's key in the store.
 pub const POLICY_PREFIX: &str = "policy/";
-/// Prefix of the key with a service's orders by hand in the store.
-pub const HAND_PREFIX: &str = "hand/";
+/// Prefix of the key with a service's manual overrides in the store.
+pub const OVERRIDES_PREFIX: &str = "hand/";
 
 /// Target-days between two false ejections that `bias = "careful"` stands for.
 pub const CAREFUL_DAYS: f64 = 10_000.0;
@@ -69,26 +69,26 @@
     }
 }
 
-/// Reads the orders by hand for one service.
+/// Reads the manual overrides for one service.
 ///
 /// # Errors
-/// The text is not a list of orders.
-pub fn parse_hand(text: &str) -> Result<Vec<HandOrder>, ConfigError> {
-    let raw: RawHand = toml::from_str(text).map_err(|error| ConfigError(error.to_string()))?;
-    let order =
-        |kind: HandOrderKind| move |target: String| HandOrder { target: target.into(), kind };
-    let ejected = raw.eject.into_iter().map(order(HandOrderKind::Eject));
-    let drained = raw.drain.into_iter().map(order(HandOrderKind::Drain));
+/// The text is not a list of overrides.
+pub fn parse_overrides(text: &str) -> Result<Vec<ManualOverride>, ConfigError> {
+    let raw: RawOverrides = toml::from_str(text).map_err(|error| ConfigError(error.to_string()))?;
+    let with_kind =
+        |kind: OverrideKind| move |target: String| ManualOverride { target: target.into(), kind };
+    let ejected = raw.eject.into_iter().map(with_kind(OverrideKind::Eject));
+    let drained = raw.drain.into_iter().map(with_kind(OverrideKind::Drain));
     Ok(ejected.chain(drained).collect())
 }
 
-/// Writes orders by hand as they stand in the store.
-pub fn hand_text(orders: &[HandOrder]) -> String {
-    let of = |kind: HandOrderKind| {
-        let some = orders.iter().filter(|order| order.kind == kind);
-        some.map(|order| order.target.to_string()).collect()
+/// Writes manual overrides as they stand in the store.
+pub fn overrides_text(overrides: &[ManualOverride]) -> String {
+    let of = |kind: OverrideKind| {
+        let some = overrides.iter().filter(|known| known.kind == kind);
+        some.map(|known| known.target.to_string()).collect()
     };
-    let raw = RawHand { eject: of(HandOrderKind::Eject), drain: of(HandOrderKind::Drain) };
+    let raw = RawOverrides { eject: of(OverrideKind::Eject), drain: of(OverrideKind::Drain) };
     toml::to_string(&raw).expect("a list of strings can be written as TOML")
 }
 
@@ -164,7 +164,7 @@
         queued: raw.queued,
         retry_share: raw.retry_share,
         backoff: Duration::from_secs(raw.backoff_s),
-        backoff_most: Duration::from_secs(raw.backoff_most_s),
+        backoff_max: Duration::from_secs(raw.backoff_most_s),
         warm_up: Duration::from_secs(raw.warm_up_s),
         ..LimitSetup::default()
     };
--- a/crates/config/src/raw.rs
+++ b/crates/config/src/raw.rs
@@ -37,10 +37,10 @@
     pub(crate) warm_up_s: u64,
 }
 
-/// Orders by hand for one service.
+/// Manual overrides for one service.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(crate) struct RawHand {
+pub(crate) struct RawOverrides {
     #[serde(default)]
     pub(crate) eject: Vec<String>,
     #[serde(default)]
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -4,7 +4,7 @@
 use clap::ArgMatches;
 use eyre::eyre;
 use wingbridge_config::{POLICY_PREFIX, SERVICE_PREFIX};
-use wingbridge_decide::HandOrderKind;
+use wingbridge_decide::OverrideKind;
 use wingbridge_process::{Outcome, SettingError};
 use wingbridge_store::StoreClient;
 
@@ -16,7 +16,7 @@
 };
 use crate::explain;
 use crate::fleet::FleetClient;
-use crate::hands;
+use crate::overrides;
 use crate::settings::{CtlSettings, ctl_command, resolve};
 use crate::timeline;
 
@@ -41,9 +41,9 @@
         "status" => show_status(&fleet, json).await,
         "targets" => show_targets(&fleet, json).await,
         "boxes" => show_boxes(&fleet, json).await,
-        "eject" => order(settings, fleet, matches, Some(HandOrderKind::Eject)).await,
-        "drain" => order(settings, fleet, matches, Some(HandOrderKind::Drain)).await,
-        "restore" => order(settings, fleet, matches, None).await,
+        "eject" => change_override(settings, fleet, matches, Some(OverrideKind::Eject)).await,
+        "drain" => change_override(settings, fleet, matches, Some(OverrideKind::Drain)).await,
+        "restore" => change_override(settings, fleet, matches, None).await,
         "timeline" => {
             let html = matches.get_one::<String>("html").map(String::as_str);
             timeline::show(&fleet, json, html).await
@@ -103,15 +103,15 @@
     }
 }
 
-async fn order(
+async fn change_override(
     settings: &CtlSettings,
     fleet: FleetClient,
     matches: &ArgMatches,
-    kind: Option<HandOrderKind>,
+    kind: Option<OverrideKind>,
 ) -> eyre::Result<Outcome> {
     let text = |name: &str| matches.get_one::<String>(name).cloned().unwrap_or_default();
     let changer = changer(settings, fleet)?;
-    let report = hands::order(&changer, &text("service"), &text("target"), kind).await?;
+    let report = overrides::set_override(&changer, &text("service"), &text("target"), kind).await?;
     Ok(show_reports(&[report], settings.json))
 }
 
--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -62,9 +62,9 @@
         .subcommand(Command::new("status").about("How each box is"))
         .subcommand(Command::new("targets").about("Targets that are not simply healthy: state, why, since when, for whom, floor"))
         .subcommand(Command::new("boxes").about("The boxes that are known"))
-        .subcommand(hand_command("eject", "Keep a target out by hand, as far as the floor allows"))
-        .subcommand(hand_command("drain", "Send a target no new work, whatever the floor"))
-        .subcommand(hand_command("restore", "Take back what was ordered by hand about a target"))
+        .subcommand(override_command("eject", "Keep a target out by hand, as far as the floor allows"))
+        .subcommand(override_command("drain", "Send a target no new work, whatever the floor"))
+        .subcommand(override_command("restore", "Take back what was ordered by hand about a target"))
         .subcommand(timeline_command())
         .subcommand(explain_command())
         .subcommand(
@@ -121,7 +121,7 @@
         )
 }
 
-fn hand_command(name: &'static str, about: &'static str) -> Command {
+fn override_command(name: &'static str, about: &'static str) -> Command {
     Command::new(name)
         .about(about)
         .arg(Arg::new("service").required(true).help("The service"))
--- a/crates/decide/src/core/evidence.rs
+++ b/crates/decide/src/core/evidence.rs
@@ -1,14 +1,14 @@
 //! What outcomes say of targets, gathered and sent.
 
 use crate::core::health::change_health;
-use crate::core::{BoxCore, REPORT_PERIOD, locate};
+use crate::core::{BoxCore, REPORT_INTERVAL, locate};
 use crate::evidence::{EvidenceBatch, SampleKind, TargetSamples};
 use crate::floor::EjectionRank;
 use crate::health::{Ejection, HealthState, TargetHealth};
 use crate::messages::{AttemptOutcome, BoxCommand, ReportedState, TargetReport, VerdictScope};
 use crate::names::{Name, TargetKey};
 use crate::requests::OpenAttempt;
-use crate::service::says_leaving;
+use crate::service::is_draining;
 use crate::sketch::LatencyBucket;
 use crate::time::TimePoint;
 
@@ -21,7 +21,7 @@
 }
 
 impl BoxCore {
-    pub(super) fn note_report(
+    pub(super) fn record_report(
         &mut self,
         now: TimePoint,
         name: &str,
@@ -33,8 +33,8 @@
             return;
         };
         let chart = &self.chart;
-        if service.note_report(index, now, report) {
-            self.local.forget(name, key);
+        if service.record_report(index, now, report) {
+            self.local_detector.reset_target(name, key);
             change_health(service, index, "another target answers there", commands, |health| {
                 health.replace(now);
                 true
@@ -42,17 +42,17 @@
             service.rebuild();
         } else if report.state == ReportedState::Cold {
             change_health(service, index, "it says it is cold", commands, |health| {
-                health.note_cold(chart, now)
+                health.mark_cold(chart, now)
             });
             service.rebuild();
         }
-        if says_leaving(report) {
-            self.note_leaving(now, name, key, true, commands);
+        if is_draining(report) {
+            self.mark_draining(now, name, key, true, commands);
         }
     }
 
     /// Turns an outcome into evidence.
-    pub(super) fn note_outcome(
+    pub(super) fn record_outcome(
         &mut self,
         now: TimePoint,
         service: &Name,
@@ -64,7 +64,7 @@
             AttemptOutcome::Shed(_) => return,
             AttemptOutcome::Answered(_) if open.overdue => SampleKind::Late,
             AttemptOutcome::Answered(_) => SampleKind::Good,
-            AttemptOutcome::AnsweredError(report) if says_leaving(&report) => return,
+            AttemptOutcome::AnsweredError(report) if is_draining(&report) => return,
             AttemptOutcome::AnsweredError(_) | AttemptOutcome::NotSent | AttemptOutcome::Broken => {
                 SampleKind::Error
             }
@@ -85,15 +85,15 @@
         let Some((service, index)) = locate(&mut self.services, name, open.target) else {
             return;
         };
-        let Some(kind) = as_evidence(&service.target(index).health, kind) else { return };
+        let Some(kind) = evidence_kind(&service.target(index).health, kind) else { return };
         let bucket = LatencyBucket::of(now.since(open.started));
         let batch = self.batches.entry(name.clone()).or_default();
-        let load = service.target(index).fresh_load(now);
+        let load = service.target(index).recent_load(now);
         batch.add(now, open.target, kind, bucket, load);
         let chart = &self.chart;
         let mut failed = false;
         change_health(service, index, "its trial went well", commands, |health| {
-            failed = health.note_trial(chart, now, good);
+            failed = health.record_trial_result(chart, now, good);
             true
         });
         if failed {
@@ -104,13 +104,13 @@
     }
 
     pub(super) fn send_reports(&mut self, now: TimePoint, commands: &mut Vec<BoxCommand>) {
-        let due = |batch: &PendingBatch| batch.urgent || now.since(batch.since) >= REPORT_PERIOD;
+        let due = |batch: &PendingBatch| batch.urgent || now.since(batch.since) >= REPORT_INTERVAL;
         let ready = self.batches.iter().filter(|(_, batch)| due(batch));
         let ready: Vec<Name> = ready.map(|(name, _)| name.clone()).collect();
         for service in ready {
             if let Some(batch) = self.batches.remove(&service) {
                 let batch = EvidenceBatch { service, targets: batch.targets };
-                self.local.take(now, &self.source, &batch);
+                self.local_detector.add_batch(now, &self.source, &batch);
                 commands.push(BoxCommand::Report(batch));
             }
         }
@@ -143,9 +143,9 @@
 
 /// What an outcome says of a target's health. Draining is no sickness, and neither is
 /// the slowness of a cold start: what it answers says only that it answers.
-fn as_evidence(health: &TargetHealth, kind: SampleKind) -> Option<SampleKind> {
+fn evidence_kind(health: &TargetHealth, kind: SampleKind) -> Option<SampleKind> {
     match (health.state(), kind) {
-        (HealthState::Leaving, _) => None,
+        (HealthState::Draining, _) => None,
         (HealthState::Warming, SampleKind::Overdue) if health.ejection().is_none() => None,
         (HealthState::Warming, SampleKind::Good) if health.ejection().is_none() => {
             Some(SampleKind::Late)
--- a/crates/decide/src/core/health.rs
+++ b/crates/decide/src/core/health.rs
@@ -1,66 +1,68 @@
-//! Who is in service: verdicts, orders by hand, leaving targets, and the chart's time.
+//! Who is in service: verdicts, overrides by hand, leaving targets, and the chart's time.
 
-use crate::core::{BoxCore, PROBE_PERIOD, locate};
+use crate::core::{BoxCore, PROBE_INTERVAL, locate};
 use crate::floor::EjectionRank;
 use crate::health::{Ejection, HealthState, TargetHealth};
 use crate::messages::{
-    BoxCommand, HealthNotice, ReportedState, Verdict, VerdictKind, VerdictScope,
+    BoxCommand, HealthTransition, ReportedState, Verdict, VerdictKind, VerdictScope,
 };
 use crate::names::TargetKey;
 use crate::service::ServiceState;
-use crate::setup::{HandOrder, HandOrderKind};
+use crate::setup::{ManualOverride, OverrideKind};
 use crate::time::TimePoint;
 
 impl BoxCore {
-    pub(super) fn set_hand(
+    pub(super) fn set_overrides(
         &mut self,
         now: TimePoint,
         service: &str,
-        orders: &[HandOrder],
+        overrides: &[ManualOverride],
         commands: &mut Vec<BoxCommand>,
     ) {
         let Some(service) = self.services.get_mut(service) else {
             return;
         };
         let chart = &self.chart;
-        for index in service.set_hand(orders) {
-            let changed = |health: &mut TargetHealth| health.come_back(chart, now);
+        for index in service.set_overrides(overrides) {
+            let changed = |health: &mut TargetHealth| health.restore(chart, now);
             change_health(service, index, "restored by hand", commands, changed);
         }
         for index in 0..service.targets().len() {
-            if service.target(index).hand == Some(HandOrderKind::Drain) {
-                let changed = |health: &mut TargetHealth| health.leave(chart, now);
+            if service.target(index).manual_override == Some(OverrideKind::Drain) {
+                let changed = |health: &mut TargetHealth| health.drain(chart, now);
                 change_health(service, index, "drained by hand", commands, changed);
             }
         }
         service.rebuild();
     }
 
-    pub(super) fn note_leaving(
+    pub(super) fn mark_draining(
         &mut self,
         now: TimePoint,
         name: &str,
         key: TargetKey,
-        first_hand: bool,
+        reported_by_target: bool,
         commands: &mut Vec<BoxCommand>,
     ) {
         let Some((service, index)) = locate(&mut self.services, name, key) else {
             return;
         };
         let chart = &self.chart;
-        let why = if first_hand { "it says it is leaving" } else { "a peer saw it leaving" };
-        let left = change_health(service, index, why, commands, |health| health.leave(chart, now));
+        let reason =
+            if reported_by_target { "it says it is leaving" } else { "a peer saw it leaving" };
+        let left =
+            change_health(service, index, reason, commands, |health| health.drain(chart, now));
         if !left {
             return;
         }
         service.target_mut(index).probed_at = now;
         service.rebuild();
-        if first_hand {
-            commands.push(BoxCommand::AnnounceLeaving { service: name.into(), target: key });
+        if reported_by_target {
+            commands.push(BoxCommand::AnnounceDraining { service: name.into(), target: key });
         }
     }
 
-    pub(super) fn end_probe(
+    pub(super) fn finish_probe(
         &mut self,
         now: TimePoint,
         name: &str,
@@ -72,17 +74,17 @@
             return;
         };
         let back = matches!(state, Some(ReportedState::Ready | ReportedState::Cold));
-        if !back || service.target(index).hand == Some(HandOrderKind::Drain) {
+        if !back || service.target(index).manual_override == Some(OverrideKind::Drain) {
             return;
         }
         let chart = &self.chart;
         change_health(service, index, "it says it is back", commands, |health| {
-            health.come_back(chart, now)
+            health.restore(chart, now)
         });
         service.rebuild();
     }
 
-    pub(super) fn take_verdict(
+    pub(super) fn apply_verdict(
         &mut self,
         now: TimePoint,
         verdict: &Verdict,
@@ -93,8 +95,8 @@
         let ejection = Ejection { rank, scope: verdict.scope };
         match verdict.kind {
             VerdictKind::Convicted => {
-                let why = verdict.cause.as_str();
-                self.convict(now, &verdict.service, key, ejection, verdict.flaps, why, commands);
+                let reason = verdict.cause.as_str();
+                self.convict(now, &verdict.service, key, ejection, verdict.flaps, reason, commands);
             }
             VerdictKind::Acquitted => self.acquit(now, &verdict.service, key, commands),
         }
@@ -108,7 +110,7 @@
         key: TargetKey,
         ejection: Ejection,
         flaps: u32,
-        why: &'static str,
+        reason: &'static str,
         commands: &mut Vec<BoxCommand>,
     ) {
         let Some((service, index)) = locate(&mut self.services, name, key) else {
@@ -116,7 +118,7 @@
         };
         let chart = &self.chart;
         let limits = service.setup().limits.clone();
-        change_health(service, index, why, commands, |health| {
+        change_health(service, index, reason, commands, |health| {
             health.convict(chart, now, ejection, flaps, &limits)
         });
         service.rebuild();
@@ -144,7 +146,7 @@
         service.rebuild();
     }
 
-    pub(super) fn tick_health(&mut self, now: TimePoint, commands: &mut Vec<BoxCommand>) {
+    pub(super) fn advance_health(&mut self, now: TimePoint, commands: &mut Vec<BoxCommand>) {
         let chart = &self.chart;
         for service in self.services.values_mut() {
             let mut changed = false;
@@ -152,7 +154,7 @@
                 let health = &service.target(index).health;
                 match health.state() {
                     HealthState::Healthy => continue,
-                    HealthState::Leaving => probe_leaving(service, index, now, commands),
+                    HealthState::Draining => probe_draining(service, index, now, commands),
                     _ => {
                         let limits = service.setup().limits.clone();
                         changed |=
@@ -168,16 +170,16 @@
         }
     }
 
-    pub(super) fn judge_locally(&mut self, now: TimePoint, commands: &mut Vec<BoxCommand>) {
-        for verdict in self.local.tick(now) {
+    pub(super) fn run_local_detector(&mut self, now: TimePoint, commands: &mut Vec<BoxCommand>) {
+        for verdict in self.local_detector.tick(now) {
             if verdict.kind == VerdictKind::Acquitted {
                 continue;
             }
             let key = verdict.target;
             let rank = EjectionRank { source: 2, stamp: verdict.stamp, key: key.0 };
             let ejection = Ejection { rank, scope: VerdictScope::Path };
-            let why = "it fails from here";
-            self.convict(now, &verdict.service, key, ejection, verdict.flaps, why, commands);
+            let reason = "it fails from here";
+            self.convict(now, &verdict.service, key, ejection, verdict.flaps, reason, commands);
         }
     }
 }
@@ -186,7 +188,7 @@
 pub(super) fn change_health(
     service: &mut ServiceState,
     index: usize,
-    why: &'static str,
+    reason: &'static str,
     commands: &mut Vec<BoxCommand>,
     change: impl FnOnce(&mut TargetHealth) -> bool,
 ) -> bool {
@@ -197,18 +199,18 @@
     let to = target.health.state();
     if from != to {
         let target = target.setup.address.clone();
-        commands.push(BoxCommand::HealthChanged(HealthNotice {
+        commands.push(BoxCommand::HealthChanged(HealthTransition {
             service: name,
             target,
             from,
             to,
-            why,
+            reason,
         }));
     }
     changed && from != to
 }
 
-fn probe_leaving(
+fn probe_draining(
     service: &mut ServiceState,
     index: usize,
     now: TimePoint,
@@ -216,8 +218,8 @@
 ) {
     let name = service.setup().name.clone();
     let target = service.target_mut(index);
-    let drained = target.hand == Some(HandOrderKind::Drain);
-    if drained || now.since(target.probed_at) < PROBE_PERIOD {
+    let drained = target.manual_override == Some(OverrideKind::Drain);
+    if drained || now.since(target.probed_at) < PROBE_INTERVAL {
         return;
     }
     target.probed_at = now;
--- a/crates/decide/src/core/mod.rs
+++ b/crates/decide/src/core/mod.rs
@@ -14,9 +14,9 @@
 use rand::{Rng, SeedableRng};
 
 use crate::core::evidence::PendingBatch;
+use crate::detector::{DETECTION_WINDOW, OutlierDetector};
 use crate::evidence::{EvidenceSource, SampleKind};
 use crate::health::HealthChart;
-use crate::judge::{JUDGE_WINDOW, JudgeCore};
 use crate::messages::{BoxCommand, BoxEvent, Conclusion, RefuseReason, RequestId};
 use crate::names::{Name, TargetKey};
 use crate::requests::{OpenAttempt, RequestTable, TimedCheck};
@@ -26,15 +26,15 @@
 use crate::time::TimePoint;
 
 /// How long good news waits for more before it is sent; bad news goes with the next window.
-const REPORT_PERIOD: Duration = Duration::from_millis(100);
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 /// Time between two probes of a leaving target.
-const PROBE_PERIOD: Duration = Duration::from_secs(2);
+const PROBE_INTERVAL: Duration = Duration::from_secs(2);
 /// What a request is taken to need while nothing is known.
 const ASSUMED_SERVICE_TIME: Duration = Duration::from_millis(20);
 /// The shortest time that a refused caller is told to stay away.
-const RETRY_AFTER_LEAST: Duration = Duration::from_secs(1);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Over how much longer the return of refused callers is spread.
-const RETRY_AFTER_SPREAD: Duration = Duration::from_secs(4);
+const RETRY_AFTER_JITTER: Duration = Duration::from_secs(4);
 
 /// The decisions of one box.
 #[derive(Debug)]
@@ -43,9 +43,9 @@
     chart: HealthChart,
     services: BTreeMap<Name, ServiceState>,
     requests: RequestTable,
-    local: JudgeCore,
+    local_detector: OutlierDetector,
     batches: BTreeMap<Name, PendingBatch>,
-    window_at: TimePoint,
+    window_started: TimePoint,
     self_check: SelfCheck,
     random: SmallRng,
 }
@@ -53,15 +53,15 @@
 impl BoxCore {
     /// A core for the box `source`, which draws from a random source seeded with `seed`.
     pub fn new(source: EvidenceSource, chart: HealthChart, seed: u64) -> BoxCore {
-        let local = JudgeCore::local(&source.data_centre);
+        let local_detector = OutlierDetector::local(&source.data_centre);
         BoxCore {
             source,
             chart,
             services: BTreeMap::new(),
             requests: RequestTable::default(),
-            local,
+            local_detector,
             batches: BTreeMap::new(),
-            window_at: TimePoint::default(),
+            window_started: TimePoint::default(),
             self_check: SelfCheck::default(),
             random: SmallRng::seed_from_u64(seed),
         }
@@ -72,24 +72,24 @@
         match event {
             BoxEvent::ServiceConfigured(setup) => self.configure(now, setup),
             BoxEvent::ServiceRemoved(service) => self.remove_service(&service, commands),
-            BoxEvent::HandOrdersSet { service, orders } => {
-                self.set_hand(now, &service, &orders, commands);
+            BoxEvent::OverridesSet { service, overrides } => {
+                self.set_overrides(now, &service, &overrides, commands);
             }
-            BoxEvent::RequestArrived { request, plan } => self.arrive(now, request, plan, commands),
+            BoxEvent::RequestArrived { request, plan } => self.admit(now, request, plan, commands),
             BoxEvent::AttemptEnded { request, attempt, outcome } => {
-                self.end_attempt(now, request, attempt, outcome, commands);
+                self.finish_attempt(now, request, attempt, outcome, commands);
             }
             BoxEvent::RequestCancelled(request) => self.cancel(now, request, commands),
             BoxEvent::AnswerBroken { service, target } => {
                 let open = OpenAttempt { target, started: now, overdue: false };
                 self.add_evidence(now, &service, &open, SampleKind::Error, commands);
             }
-            BoxEvent::VerdictReceived(verdict) => self.take_verdict(now, &verdict, commands),
-            BoxEvent::LeavingReceived { service, target } => {
-                self.note_leaving(now, &service, target, false, commands);
+            BoxEvent::VerdictReceived(verdict) => self.apply_verdict(now, &verdict, commands),
+            BoxEvent::DrainingReceived { service, target } => {
+                self.mark_draining(now, &service, target, false, commands);
             }
             BoxEvent::ProbeEnded { service, target, state } => {
-                self.end_probe(now, &service, target, state, commands);
+                self.finish_probe(now, &service, target, state, commands);
             }
             BoxEvent::TimerFired => self.tick(now, commands),
         }
@@ -111,7 +111,7 @@
     }
 
     fn configure(&mut self, now: TimePoint, setup: ServiceSetup) {
-        self.local.configure(&setup);
+        self.local_detector.configure(&setup);
         match self.services.get_mut(&setup.name) {
             Some(service) => service.configure(setup, now),
             None => {
@@ -122,13 +122,13 @@
     }
 
     fn remove_service(&mut self, name: &str, commands: &mut Vec<BoxCommand>) {
-        self.local.remove(name);
+        self.local_detector.remove(name);
         let Some(mut service) = self.services.remove(name) else {
             return;
         };
         while let Some(request) = service.queue.pop() {
             self.requests.remove(request);
-            let retry_after = self.retry_after();
+            let retry_after = self.random_retry_after();
             commands.push(not_run(request, RefuseReason::UnknownService, retry_after));
         }
     }
@@ -139,24 +139,24 @@
                 TimedCheck::Overdue { attempt } => {
                     self.check_overdue(now, request, attempt, commands);
                 }
-                TimedCheck::Deadline => self.pass_deadline(now, request, commands),
+                TimedCheck::Deadline => self.expire_request(now, request, commands),
             }
         }
-        if now.since(self.window_at) < JUDGE_WINDOW {
+        if now.since(self.window_started) < DETECTION_WINDOW {
             return;
         }
-        self.window_at = now;
-        self.tick_health(now, commands);
+        self.window_started = now;
+        self.advance_health(now, commands);
         self.send_reports(now, commands);
-        self.judge_locally(now, commands);
+        self.run_local_detector(now, commands);
         if let Some(suspected) = self.self_check.tick(now) {
             commands.push(BoxCommand::SelfSuspected(suspected));
         }
     }
 
-    fn retry_after(&mut self) -> Duration {
-        let spread = RETRY_AFTER_SPREAD.mul_f64(self.random.random());
-        RETRY_AFTER_LEAST + spread
+    fn random_retry_after(&mut self) -> Duration {
+        let spread = RETRY_AFTER_JITTER.mul_f64(self.random.random());
+        MIN_RETRY_AFTER + spread
     }
 }
 
--- a/crates/decide/src/core/requests.rs
+++ b/crates/decide/src/core/requests.rs
@@ -13,7 +13,7 @@
 use crate::time::TimePoint;
 
 impl BoxCore {
-    pub(super) fn arrive(
+    pub(super) fn admit(
         &mut self,
         now: TimePoint,
         request: RequestId,
@@ -21,7 +21,7 @@
         commands: &mut Vec<BoxCommand>,
     ) {
         if let Some(reason) = self.refusal(now, &plan) {
-            let retry_after = self.retry_after();
+            let retry_after = self.random_retry_after();
             commands.push(not_run(request, reason, retry_after));
             return;
         }
@@ -47,7 +47,7 @@
         }
         service.open += 1;
         self.requests.insert(request, state);
-        self.send_first(now, request, commands);
+        self.send_first_attempt(now, request, commands);
     }
 
     /// Why a request can't be taken, if it can't.
@@ -81,22 +81,22 @@
     }
 
     pub(super) fn service_time(&self, service: &str) -> Duration {
-        self.local.usual_time(service).unwrap_or(ASSUMED_SERVICE_TIME)
+        self.local_detector.typical_time(service).unwrap_or(ASSUMED_SERVICE_TIME)
     }
 
-    pub(super) fn send_first(
+    pub(super) fn send_first_attempt(
         &mut self,
         now: TimePoint,
         request: RequestId,
         commands: &mut Vec<BoxCommand>,
     ) {
-        if !self.send(now, request, commands) {
+        if !self.send_attempt(now, request, commands) {
             self.conclude_failed(now, request, RefuseReason::NoTarget, commands);
         }
     }
 
     /// Sends a request to a target that it has not been to; false if there is none.
-    pub(super) fn send(
+    pub(super) fn send_attempt(
         &mut self,
         now: TimePoint,
         request: RequestId,
@@ -126,14 +126,14 @@
             target: target.setup.address.clone(),
             fresh_connection: !repeatable,
         });
-        if let Some(after) = self.local.overdue_after(&state.plan.service) {
+        if let Some(after) = self.local_detector.overdue_after(&state.plan.service) {
             let check = TimedCheck::Overdue { attempt: state.attempts };
             self.requests.check_at(now + after, request, check);
         }
         true
     }
 
-    pub(super) fn end_attempt(
+    pub(super) fn finish_attempt(
         &mut self,
         now: TimePoint,
         request: RequestId,
@@ -159,14 +159,14 @@
         | AttemptOutcome::AnsweredError(report)
         | AttemptOutcome::Shed(report) = outcome
         {
-            self.note_report(now, &service, open.target, &report, commands);
+            self.record_report(now, &service, open.target, &report, commands);
         }
-        self.note_outcome(now, &service, &open, outcome, commands);
-        self.go_on(now, request, outcome, commands);
+        self.record_outcome(now, &service, &open, outcome, commands);
+        self.continue_request(now, request, outcome, commands);
     }
 
     /// What follows for the request after an attempt of it ended.
-    pub(super) fn go_on(
+    pub(super) fn continue_request(
         &mut self,
         now: TimePoint,
         request: RequestId,
@@ -213,12 +213,12 @@
         if !service.budget.spend() {
             return false;
         }
-        if self.send(now, request, commands) {
+        if self.send_attempt(now, request, commands) {
             return true;
         }
         // Nobody was asked, so nothing was spent.
         if let Some(service) = self.services.get_mut(&name) {
-            service.budget.give_back();
+            service.budget.refund();
         }
         false
     }
@@ -230,7 +230,7 @@
         reason: RefuseReason,
         commands: &mut Vec<BoxCommand>,
     ) {
-        let retry_after = self.retry_after();
+        let retry_after = self.random_retry_after();
         let may_have_run = self.requests.get(request).is_some_and(|state| state.may_have_run);
         let conclusion = if may_have_run {
             Conclusion::Unknown { retry_after }
@@ -248,11 +248,11 @@
         commands: &mut Vec<BoxCommand>,
     ) {
         commands.push(BoxCommand::Conclude { request, conclusion });
-        self.drop_request(now, request, commands);
+        self.remove_request(now, request, commands);
     }
 
     /// Takes a request off the books and lets the next one in.
-    pub(super) fn drop_request(
+    pub(super) fn remove_request(
         &mut self,
         now: TimePoint,
         request: RequestId,
@@ -275,7 +275,7 @@
         }
         if let Some(next) = service.queue.pop() {
             service.open += 1;
-            self.send_first(now, next, commands);
+            self.send_first_attempt(now, next, commands);
         }
     }
 
@@ -286,7 +286,7 @@
         commands: &mut Vec<BoxCommand>,
     ) {
         self.abandon_attempt(request);
-        self.drop_request(now, request, commands);
+        self.remove_request(now, request, commands);
     }
 
     /// Counts an attempt that is still open as closed; the driver drops its connection.
@@ -340,7 +340,7 @@
         }
     }
 
-    pub(super) fn pass_deadline(
+    pub(super) fn expire_request(
         &mut self,
         now: TimePoint,
         request: RequestId,
@@ -352,8 +352,8 @@
         if let RequestPhase::Open(open) = state.phase.clone() {
             state.may_have_run = true;
             let service = state.plan.service.clone();
-            let unjudged = self.local.overdue_after(&service).is_none();
-            if !open.overdue && unjudged {
+            let no_threshold = self.local_detector.overdue_after(&service).is_none();
+            if !open.overdue && no_threshold {
                 self.add_evidence(now, &service, &open, SampleKind::Overdue, commands);
             }
         }
--- a/crates/decide/src/judge/hypotheses.rs
+++ b/crates/decide/src/detector/hypotheses.rs
@@ -2,11 +2,11 @@
 
 use crate::messages::VerdictCause;
 
-pub(super) const MEASURES: usize = 4;
+pub(super) const FAILURE_MODES: usize = 4;
 
 /// What a bad outcome is, from the plain to the subtle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Measure {
+pub(super) enum FailureMode {
     /// Failed.
     Error = 0,
     /// Open for too long.
@@ -17,22 +17,22 @@
     VerySlow = 3,
 }
 
-impl Measure {
+impl FailureMode {
     pub(super) fn cause(self) -> VerdictCause {
         match self {
-            Measure::Error => VerdictCause::Errors,
-            Measure::Overdue => VerdictCause::Stalls,
-            Measure::Slow | Measure::VerySlow => VerdictCause::Slowness,
+            FailureMode::Error => VerdictCause::Errors,
+            FailureMode::Overdue => VerdictCause::Stalls,
+            FailureMode::Slow | FailureMode::VerySlow => VerdictCause::Slowness,
         }
     }
 }
 
 /// One way to be sick.
 pub(super) struct Hypothesis {
-    pub(super) measure: Measure,
+    pub(super) mode: FailureMode,
     /// Rate of bad outcomes if it is so.
     pub(super) rate: f32,
-    /// The least factor between that rate and the usual one.
+    /// The least factor between that rate and the baseline one.
     pub(super) factor: f32,
     /// What of the threshold one window can add. Queues pass, so slowness must last.
     pub(super) window_share: f32,
@@ -42,21 +42,21 @@
 
 pub(super) const HYPOTHESES: [Hypothesis; 6] = [
     Hypothesis {
-        measure: Measure::Error,
+        mode: FailureMode::Error,
         rate: 0.04,
         factor: 4.0,
         window_share: 0.25,
         remote_factor: 6.0,
     },
     Hypothesis {
-        measure: Measure::Error,
+        mode: FailureMode::Error,
         rate: 0.25,
         factor: 4.0,
         window_share: 0.25,
         remote_factor: 6.0,
     },
     Hypothesis {
-        measure: Measure::Error,
+        mode: FailureMode::Error,
         rate: 0.8,
         factor: 4.0,
         window_share: 0.25,
@@ -64,21 +64,21 @@
     },
     // A target that stalls answers nothing at all, so one answer speaks loudly against it.
     Hypothesis {
-        measure: Measure::Overdue,
+        mode: FailureMode::Overdue,
         rate: 0.999,
         factor: 4.0,
         window_share: 0.25,
         remote_factor: 3.0,
     },
     Hypothesis {
-        measure: Measure::Slow,
+        mode: FailureMode::Slow,
         rate: 0.35,
         factor: 2.2,
         window_share: 0.05,
         remote_factor: 3.0,
     },
     Hypothesis {
-        measure: Measure::VerySlow,
+        mode: FailureMode::VerySlow,
         rate: 0.2,
         factor: 3.0,
         window_share: 0.05,
@@ -86,36 +86,36 @@
     },
 ];
 
-/// The least usual rate of bad outcomes, for each measure.
-pub(super) const LEAST_RATE: [f32; MEASURES] = [0.001, 0.002, 0.1, 0.02];
-/// The dispersion that is assumed at first, for each measure: errors come alone more
+/// The least baseline rate of bad outcomes, for each mode.
+pub(super) const MIN_BASELINE_RATE: [f32; FAILURE_MODES] = [0.001, 0.002, 0.1, 0.02];
+/// The dispersion that is assumed at first, for each mode: errors come alone more
 /// often than what queues bring about.
-pub(super) const ASSUMED_DISPERSION: [f32; MEASURES] = [1.0, 2.0, 2.0, 2.0];
+pub(super) const ASSUMED_DISPERSION: [f32; FAILURE_MODES] = [1.0, 2.0, 2.0, 2.0];
 /// The highest rate that a hypothesis can be raised to.
-pub(super) const MOST_RATE: f32 = 0.9995;
+pub(super) const MAX_FAILURE_RATE: f32 = 0.9995;
 
 /// What one outcome adds to the sum of a hypothesis.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct LikelihoodStep {
+pub(super) struct LogLikelihoodRatios {
     pub(super) bad: f32,
     pub(super) good: f32,
 }
 
-impl LikelihoodStep {
+impl LogLikelihoodRatios {
     /// `None` where the siblings are so bad that the hypothesis says nothing.
     pub(super) fn of(
         hypothesis: &Hypothesis,
-        usual: &[f32; MEASURES],
-        factors: &[f32; MEASURES],
-    ) -> Option<LikelihoodStep> {
-        let factor = factors[hypothesis.measure as usize];
-        let usual = usual[hypothesis.measure as usize];
-        let rate = hypothesis.rate.max(usual * hypothesis.factor);
-        if rate > MOST_RATE {
+        baseline: &[f32; FAILURE_MODES],
+        factors: &[f32; FAILURE_MODES],
+    ) -> Option<LogLikelihoodRatios> {
+        let factor = factors[hypothesis.mode as usize];
+        let baseline = baseline[hypothesis.mode as usize];
+        let rate = hypothesis.rate.max(baseline * hypothesis.factor);
+        if rate > MAX_FAILURE_RATE {
             return None;
         }
-        let bad = (rate / usual).ln();
-        let good = ((1.0 - rate) / (1.0 - usual)).ln();
-        Some(LikelihoodStep { bad: bad / factor, good: good / factor })
+        let bad = (rate / baseline).ln();
+        let good = ((1.0 - rate) / (1.0 - baseline)).ln();
+        Some(LogLikelihoodRatios { bad: bad / factor, good: good / factor })
     }
 }
--- a/crates/decide/src/judge/mod.rs
+++ b/crates/decide/src/detector/mod.rs
@@ -3,7 +3,7 @@
 //! For each target and data centre a cumulative sum of log-likelihood ratios is
 //! kept for a few hypotheses ("a quarter of its answers are errors"). Bad
 //! outcomes raise it, good ones lower it, and it never falls below zero. The rate
-//! of bad outcomes that is held to be usual is what the target's siblings show in
+//! of bad outcomes that is held to be baseline is what the target's siblings show in
 //! the same moments, so a service that fails or slows as a whole convicts nobody.
 //!
 //! Bad outcomes come in bursts (a queue, a pause), so a ratio that took them for
@@ -16,51 +16,51 @@
 //! - other data centres add at most a few times what this one saw itself, so
 //!   a cut between one data centre and a target costs that path and not the target.
 
+mod counts;
 mod hypotheses;
 mod service;
-mod tally;
 mod target;
 
 use std::collections::HashMap;
 use std::time::Duration;
 
+use crate::detector::service::MonitoredService;
+use crate::detector::target::{MonitoredTarget, SourceRef};
 use crate::evidence::{EvidenceBatch, EvidenceSource};
-use crate::judge::service::JudgedService;
-use crate::judge::target::{JudgedTarget, SourceRef};
 use crate::messages::Verdict;
 use crate::names::{Name, TargetKey};
 use crate::setup::ServiceSetup;
 use crate::time::TimePoint;
 
 /// How long evidence is gathered before it is weighed.
-pub const JUDGE_WINDOW: Duration = Duration::from_millis(50);
+pub const DETECTION_WINDOW: Duration = Duration::from_millis(50);
 /// What of the threshold one box can add in a pool of several.
 const SOURCE_SHARE: f32 = 0.55;
 
 /// Judges targets by the evidence handed to it.
 #[derive(Debug)]
-pub struct JudgeCore {
+pub struct OutlierDetector {
     own_data_centre: Name,
     pooled: bool,
-    services: HashMap<Name, JudgedService>,
+    services: HashMap<Name, MonitoredService>,
     dirty: Vec<Name>,
     sources: HashMap<EvidenceSource, u32>,
     data_centres: Vec<Name>,
 }
 
-impl JudgeCore {
+impl OutlierDetector {
     /// The judge of an agent, over the evidence of many boxes.
-    pub fn pooled(own_data_centre: &str) -> JudgeCore {
-        JudgeCore::new(own_data_centre, true)
+    pub fn pooled(own_data_centre: &str) -> OutlierDetector {
+        OutlierDetector::new(own_data_centre, true)
     }
 
     /// The judge within a box, over its own evidence alone.
-    pub fn local(own_data_centre: &str) -> JudgeCore {
-        JudgeCore::new(own_data_centre, false)
+    pub fn local(own_data_centre: &str) -> OutlierDetector {
+        OutlierDetector::new(own_data_centre, false)
     }
 
-    fn new(own_data_centre: &str, pooled: bool) -> JudgeCore {
-        JudgeCore {
+    fn new(own_data_centre: &str, pooled: bool) -> OutlierDetector {
+        OutlierDetector {
             own_data_centre: own_data_centre.into(),
             pooled,
             services: HashMap::new(),
@@ -75,7 +75,7 @@
         let service = self
             .services
             .entry(setup.name.clone())
-            .or_insert_with(|| JudgedService::new(setup.name.clone()));
+            .or_insert_with(|| MonitoredService::new(setup.name.clone()));
         service.configure(setup);
     }
 
@@ -85,17 +85,17 @@
     }
 
     /// Forgets what is held against a target: another one answers at its address.
-    pub fn forget(&mut self, service: &str, target: TargetKey) {
+    pub fn reset_target(&mut self, service: &str, target: TargetKey) {
         let Some(service) = self.services.get_mut(service) else {
             return;
         };
         if let Some(&index) = service.index.get(&target) {
-            service.targets[index] = JudgedTarget::new(target);
+            service.targets[index] = MonitoredTarget::new(target);
         }
     }
 
     /// Takes what `source` saw.
-    pub fn take(&mut self, now: TimePoint, source: &EvidenceSource, batch: &EvidenceBatch) {
+    pub fn add_batch(&mut self, now: TimePoint, source: &EvidenceSource, batch: &EvidenceBatch) {
         let source = self.source_ref(source);
         let Some(service) = self.services.get_mut(&batch.service) else {
             return;
@@ -108,7 +108,7 @@
             let Some(&index) = service.index.get(&seen.target) else {
                 continue;
             };
-            service.targets[index].note_load(now, seen.load);
+            service.targets[index].record_load(now, seen.load);
             for sample in &seen.samples {
                 service.add_sample(now, index, source, sample);
             }
@@ -118,20 +118,20 @@
     /// Weighs what came since the last window.
     pub fn tick(&mut self, now: TimePoint) -> Vec<Verdict> {
         let mut verdicts = Vec::new();
-        let scene = JudgeScene { now, pooled: self.pooled, sources: self.sources.len() };
+        let context = WindowContext { now, pooled: self.pooled, sources: self.sources.len() };
         for name in std::mem::take(&mut self.dirty) {
             if let Some(service) = self.services.get_mut(&name) {
                 service.dirty = false;
-                service.weigh(&scene, &mut verdicts);
+                service.evaluate(&context, &mut verdicts);
             }
         }
         verdicts
     }
 
     /// The verdicts in force, for a box that is new.
-    pub fn standing(&self) -> Vec<Verdict> {
+    pub fn verdicts_in_force(&self) -> Vec<Verdict> {
         let services = self.services.values();
-        services.flat_map(JudgedService::standing).collect()
+        services.flat_map(MonitoredService::verdicts_in_force).collect()
     }
 
     /// How long an attempt of `service` may be open before it counts as overdue.
@@ -141,8 +141,8 @@
     }
 
     /// The median time of an answer of `service`. `None` while too little is known.
-    pub fn usual_time(&self, service: &str) -> Option<Duration> {
-        self.services.get(service)?.usual_time()
+    pub fn typical_time(&self, service: &str) -> Option<Duration> {
+        self.services.get(service)?.typical_time()
     }
 
     fn source_ref(&mut self, source: &EvidenceSource) -> SourceRef {
@@ -159,15 +159,15 @@
 }
 
 /// What is the same for all services in one window.
-struct JudgeScene {
+struct WindowContext {
     now: TimePoint,
     pooled: bool,
     sources: usize,
 }
 
-impl JudgeScene {
+impl WindowContext {
     /// The most that one source can add to a sum.
-    fn source_cap(&self, threshold: f32) -> f32 {
+    fn max_source_contribution(&self, threshold: f32) -> f32 {
         if self.pooled && self.sources > 1 { threshold * SOURCE_SHARE } else { f32::INFINITY }
     }
 }
--- a/crates/decide/src/judge/service.rs
+++ b/crates/decide/src/detector/service.rs
@@ -1,14 +1,14 @@
-//! One service before its judge: what is usual, what is slow, who is found failing.
+//! One service before its judge: what is baseline, what is slow, who is found failing.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
+use crate::detector::WindowContext;
+use crate::detector::counts::{BaselineRates, median};
+use crate::detector::hypotheses::{ASSUMED_DISPERSION, FAILURE_MODES, FailureMode, HYPOTHESES};
+use crate::detector::target::{Finding, MonitoredTarget, SourceRef};
 use crate::dispersion::Dispersion;
 use crate::evidence::{Sample, SampleKind};
-use crate::judge::JudgeScene;
-use crate::judge::hypotheses::{ASSUMED_DISPERSION, HYPOTHESES, MEASURES, Measure};
-use crate::judge::tally::{UsualRates, median};
-use crate::judge::target::{Finding, JudgedTarget, SourceRef};
 use crate::messages::{Verdict, VerdictKind};
 use crate::names::{Name, TargetKey};
 use crate::setup::ServiceSetup;
@@ -52,25 +52,25 @@
 const LOAD_COUNTS: Duration = Duration::from_secs(2);
 
 #[derive(Debug)]
-pub(super) struct JudgedService {
+pub(super) struct MonitoredService {
     pub(super) name: Name,
     pub(super) threshold: f32,
-    pub(super) targets: Vec<JudgedTarget>,
+    pub(super) targets: Vec<MonitoredTarget>,
     pub(super) index: HashMap<TargetKey, usize>,
     pub(super) sketch: LatencySketch,
     pub(super) slow_limit: LatencyBucket,
     pub(super) very_slow_limit: LatencyBucket,
-    pub(super) dispersion: [Dispersion; MEASURES],
+    pub(super) dispersion: [Dispersion; FAILURE_MODES],
     pub(super) span_started: TimePoint,
     pub(super) care: f64,
     pub(super) backoff: Duration,
-    pub(super) backoff_most: Duration,
+    pub(super) backoff_max: Duration,
     pub(super) dirty: bool,
 }
 
-impl JudgedService {
-    pub(super) fn new(name: Name) -> JudgedService {
-        JudgedService {
+impl MonitoredService {
+    pub(super) fn new(name: Name) -> MonitoredService {
+        MonitoredService {
             name,
             threshold: 0.0,
             targets: Vec::new(),
@@ -82,7 +82,7 @@
             span_started: TimePoint::default(),
             care: CARE_MOST,
             backoff: Duration::ZERO,
-            backoff_most: Duration::ZERO,
+            backoff_max: Duration::ZERO,
             dirty: false,
         }
     }
@@ -93,19 +93,19 @@
         let careful = setup.false_alarm_days.max(1.0).log10() / 2.0;
         self.care = careful.clamp(CARE_LEAST, CARE_MOST);
         self.backoff = setup.limits.backoff;
-        self.backoff_most = setup.limits.backoff_most;
-        let mut known: HashMap<TargetKey, JudgedTarget> =
+        self.backoff_max = setup.limits.backoff_max;
+        let mut known: HashMap<TargetKey, MonitoredTarget> =
             self.targets.drain(..).map(|target| (target.key, target)).collect();
         for setup in &setup.targets {
             let key = setup.key();
-            self.targets.push(known.remove(&key).unwrap_or_else(|| JudgedTarget::new(key)));
+            self.targets.push(known.remove(&key).unwrap_or_else(|| MonitoredTarget::new(key)));
         }
         let numbered = self.targets.iter().enumerate();
         self.index = numbered.map(|(index, target)| (target.key, index)).collect();
     }
 
     /// The median time of an answer. `None` while too little is known.
-    pub(super) fn usual_time(&self) -> Option<Duration> {
+    pub(super) fn typical_time(&self) -> Option<Duration> {
         if self.sketch.total() < SKETCH_LEAST {
             return None;
         }
@@ -139,16 +139,16 @@
         if target.conviction.is_none() && sample.kind == SampleKind::Good {
             self.sketch.add(sample.bucket, sample.count);
         }
-        let effect = self.effect_of(sample);
+        let effect = self.classify(sample);
         let own = source.data_centre == 0;
         if own && !sample.kind.is_bad() {
             self.targets[index].last_good = now;
         }
-        self.targets[index].window_of(source).tally.note(sample.count as f32, effect);
+        self.targets[index].window_for(source).counts.note(sample.count as f32, effect);
     }
 
-    /// Whether a sample is bad by each measure, or says nothing about it.
-    pub(super) fn effect_of(&self, sample: &Sample) -> [Option<bool>; MEASURES] {
+    /// Whether a sample is bad by each mode, or says nothing about it.
+    pub(super) fn classify(&self, sample: &Sample) -> [Option<bool>; FAILURE_MODES] {
         let slow = Some(sample.bucket > self.slow_limit);
         let very_slow = Some(sample.bucket > self.very_slow_limit);
         match sample.kind {
@@ -160,29 +160,29 @@
         }
     }
 
-    pub(super) fn weigh(&mut self, scene: &JudgeScene, verdicts: &mut Vec<Verdict>) {
-        self.sketch.decay(scene.now);
-        let usual = self.usual_rates(scene.now);
-        self.measure_dispersion(scene.now, &usual);
-        let factors: [f32; MEASURES] = std::array::from_fn(|m| self.dispersion[m].factor());
+    pub(super) fn evaluate(&mut self, context: &WindowContext, verdicts: &mut Vec<Verdict>) {
+        self.sketch.decay(context.now);
+        let baseline = self.baseline_rates(context.now);
+        self.measure_dispersion(context.now, &baseline);
+        let factors: [f32; FAILURE_MODES] = std::array::from_fn(|m| self.dispersion[m].factor());
         let threshold = self.threshold;
         for index in 0..self.targets.len() {
             let target = &mut self.targets[index];
             if target.windows.is_empty() {
                 continue;
             }
-            let rates = usual.without(target);
-            target.raise_sums(scene, threshold, &rates, &factors);
-            let verdict = self.conclude(scene, index, &rates);
+            let rates = baseline.without(target);
+            target.update_sums(context, threshold, &rates, &factors);
+            let verdict = self.decide(context, index, &rates);
             verdicts.extend(verdict);
         }
-        self.set_limits();
+        self.update_slow_limits();
     }
 
-    /// Rates over all targets that are not on trial, now, lately and as usual.
-    pub(super) fn usual_rates(&mut self, now: TimePoint) -> UsualRates {
-        let mut usual = UsualRates::default();
-        let mut shown: [[Vec<f32>; 2]; MEASURES] = Default::default();
+    /// Rates over all targets that are not on trial, now, lately and as baseline.
+    pub(super) fn baseline_rates(&mut self, now: TimePoint) -> BaselineRates {
+        let mut baseline = BaselineRates::default();
+        let mut shown: [[Vec<f32>; 2]; FAILURE_MODES] = Default::default();
         for target in &mut self.targets {
             let window = target.window_total();
             target.recent.add(now, &window);
@@ -191,22 +191,22 @@
             if target.conviction.is_some() {
                 continue;
             }
-            usual.recent.add(&target.recent.tally);
-            usual.long.add(&target.long.tally);
-            usual.window.add(&window);
-            for (measure, [recent, long]) in shown.iter_mut().enumerate() {
-                recent.extend(target.recent.rate(measure));
-                long.extend(target.long.rate(measure));
+            baseline.recent.add(&target.recent.counts);
+            baseline.long.add(&target.long.counts);
+            baseline.window.add(&window);
+            for (mode, [recent, long]) in shown.iter_mut().enumerate() {
+                recent.extend(target.recent.rate(mode));
+                long.extend(target.long.rate(mode));
             }
         }
-        for (measure, [recent, long]) in shown.iter_mut().enumerate() {
-            usual.median[measure] = median(recent).max(median(long));
+        for (mode, [recent, long]) in shown.iter_mut().enumerate() {
+            baseline.median[mode] = median(recent).max(median(long));
         }
-        usual
+        baseline
     }
 
     /// Measures, once a span, how much bad outcomes cluster.
-    pub(super) fn measure_dispersion(&mut self, now: TimePoint, usual: &UsualRates) {
+    pub(super) fn measure_dispersion(&mut self, now: TimePoint, baseline: &BaselineRates) {
         if now.since(self.span_started) < DISPERSION_WINDOW {
             return;
         }
@@ -216,14 +216,14 @@
             if target.conviction.is_some() {
                 continue;
             }
-            for measure in 0..MEASURES {
-                let rate = usual.long.rate_without(&target.long.tally, measure);
-                self.dispersion[measure].note(now, span.count[measure], span.bad[measure], rate);
+            for mode in 0..FAILURE_MODES {
+                let rate = baseline.long.rate_without(&target.long.counts, mode);
+                self.dispersion[mode].note(now, span.count[mode], span.bad[mode], rate);
             }
         }
     }
 
-    pub(super) fn set_limits(&mut self) {
+    pub(super) fn update_slow_limits(&mut self) {
         if self.sketch.total() < SKETCH_LEAST {
             return;
         }
@@ -233,56 +233,65 @@
         }
     }
 
-    pub(super) fn conclude(
+    pub(super) fn decide(
         &mut self,
-        scene: &JudgeScene,
+        context: &WindowContext,
         index: usize,
-        rates: &[f32; MEASURES],
+        rates: &[f32; FAILURE_MODES],
     ) -> Option<Verdict> {
         let target = &self.targets[index];
         let on_trial = target.conviction.is_some();
         let needed = if on_trial { self.threshold * TRIAL_THRESHOLD } else { self.threshold };
-        let finding = target.score(scene.now, self.threshold);
+        let finding = target.score(context.now, self.threshold);
         if finding.score >= needed
-            && !self.is_shared(scene, index, finding.measure)
-            && !self.still_answers(scene.now, index, finding.measure)
+            && !self.is_shared_by_siblings(context, index, finding.mode)
+            && !self.answered_recently(context.now, index, finding.mode)
         {
             let target = &mut self.targets[index];
-            target.convict(scene.now, finding, self.backoff, self.backoff_most);
-            return Some(self.verdict(index, VerdictKind::Convicted, finding, scene.now));
+            target.convict(context.now, finding, self.backoff, self.backoff_max);
+            return Some(self.verdict(index, VerdictKind::Convicted, finding, context.now));
         }
-        if on_trial && target.trial_went_well(rates) {
+        if on_trial && target.trial_succeeded(rates) {
             self.targets[index].conviction = None;
-            return Some(self.verdict(index, VerdictKind::Acquitted, finding, scene.now));
+            return Some(self.verdict(index, VerdictKind::Acquitted, finding, context.now));
         }
         None
     }
 
     /// Whether a target that is taken to stall has answered too lately for that: a pause
     /// or a queue in front of its few slots makes it silent for a while too.
-    pub(super) fn still_answers(&self, now: TimePoint, index: usize, measure: Measure) -> bool {
+    pub(super) fn answered_recently(
+        &self,
+        now: TimePoint,
+        index: usize,
+        mode: FailureMode,
+    ) -> bool {
         let Some(overdue) = self.overdue_after() else { return false };
         let target = &self.targets[index];
         let queued = target.load >= QUEUED_LOAD && now.since(target.load_at) <= LOAD_COUNTS;
-        let usual = STALL_SILENCE + CAREFUL_SILENCE * self.care;
-        let patience = if queued { QUEUED_SILENCE } else { usual };
+        let baseline = STALL_SILENCE + CAREFUL_SILENCE * self.care;
+        let patience = if queued { QUEUED_SILENCE } else { baseline };
         let silence = now.since(target.last_good);
-        measure == Measure::Overdue && silence < overdue.mul_f64(patience)
+        mode == FailureMode::Overdue && silence < overdue.mul_f64(patience)
     }
 
     /// Whether many siblings show the same just now, if more weakly: then it is the
     /// service or what is behind it, and the target is only the first to be noticed.
-    pub(super) fn is_shared(&self, scene: &JudgeScene, index: usize, measure: Measure) -> bool {
-        let measure = measure as usize;
-        let Some(own) = self.targets[index].recent.rate(measure) else { return false };
+    pub(super) fn is_shared_by_siblings(
+        &self,
+        context: &WindowContext,
+        index: usize,
+        mode: FailureMode,
+    ) -> bool {
+        let mode = mode as usize;
+        let Some(own) = self.targets[index].recent.rate(mode) else { return false };
         let siblings = self
             .targets
             .iter()
             .enumerate()
             .filter(|(sibling, target)| *sibling != index && target.conviction.is_none());
-        let rates: Vec<f32> =
-            siblings.filter_map(|(_, target)| target.recent.rate(measure)).collect();
-        let shared_from = if scene.pooled { SHARED_FROM } else { SHARED_FROM_ALONE };
+        let rates: Vec<f32> = siblings.filter_map(|(_, target)| target.recent.rate(mode)).collect();
+        let shared_from = if context.pooled { SHARED_FROM } else { SHARED_FROM_ALONE };
         let similar = rates.iter().filter(|rate| **rate >= own * SIMILAR_RATE).count();
         similar > 0 && similar as f32 >= rates.len() as f32 * shared_from
     }
@@ -300,13 +309,13 @@
             target: target.key,
             kind,
             scope: finding.scope,
-            cause: finding.measure.cause(),
+            cause: finding.mode.cause(),
             flaps: target.flaps.count(),
             stamp: now.as_micros(),
         }
     }
 
-    pub(super) fn standing(&self) -> Vec<Verdict> {
+    pub(super) fn verdicts_in_force(&self) -> Vec<Verdict> {
         let mut verdicts = Vec::new();
         for (index, target) in self.targets.iter().enumerate() {
             if let Some(held) = &target.conviction {
--- a/crates/decide/src/judge/target.rs
+++ b/crates/decide/src/detector/target.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
+use crate::detector::WindowContext;
+use crate::detector::counts::{DecayingCounts, OutcomeCounts};
+use crate::detector::hypotheses::{FAILURE_MODES, FailureMode, HYPOTHESES, LogLikelihoodRatios};
 use crate::flaps::FlapCount;
-use crate::judge::JudgeScene;
-use crate::judge::hypotheses::{HYPOTHESES, LikelihoodStep, MEASURES, Measure};
-use crate::judge::tally::{RateMemory, Tally};
 use crate::messages::VerdictScope;
 use crate::names::TargetKey;
 use crate::time::TimePoint;
@@ -22,7 +22,7 @@
 const ACQUIT_CLEAN: f32 = 10.0;
 /// How long the rates of siblings are remembered, for what goes on just now.
 const RECENT_HALF_LIFE: Duration = Duration::from_secs(2);
-/// How long they are remembered for what is usual.
+/// How long they are remembered for what is baseline.
 const LONG_HALF_LIFE: Duration = Duration::from_secs(60);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -44,24 +44,24 @@
 pub(super) struct Finding {
     pub(super) score: f32,
     pub(super) scope: VerdictScope,
-    pub(super) measure: Measure,
+    pub(super) mode: FailureMode,
 }
 
 #[derive(Debug)]
-pub(super) struct JudgedTarget {
+pub(super) struct MonitoredTarget {
     pub(super) key: TargetKey,
     pub(super) windows: Vec<SourceWindow>,
-    pub(super) recent: RateMemory,
-    pub(super) long: RateMemory,
-    pub(super) span: Tally,
-    pub(super) pools: Vec<CentrePool>,
+    pub(super) recent: DecayingCounts,
+    pub(super) long: DecayingCounts,
+    pub(super) span: OutcomeCounts,
+    pub(super) pools: Vec<DataCentreSums>,
     /// When its last good answer to this data centre came to notice.
     pub(super) last_good: TimePoint,
     pub(super) load: f32,
     pub(super) load_at: TimePoint,
     pub(super) conviction: Option<Conviction>,
     pub(super) flaps: FlapCount,
-    pub(super) trial: Tally,
+    pub(super) trial: OutcomeCounts,
 }
 
 #[derive(Debug)]
@@ -75,12 +75,12 @@
 #[derive(Debug)]
 pub(super) struct SourceWindow {
     pub(super) source: SourceRef,
-    pub(super) tally: Tally,
+    pub(super) counts: OutcomeCounts,
 }
 
 /// The sums over the evidence of one data centre.
 #[derive(Debug)]
-pub(super) struct CentrePool {
+pub(super) struct DataCentreSums {
     pub(super) data_centre: usize,
     pub(super) sums: [f32; HYPOTHESES.len()],
     /// What each source has added since the sum was last zero.
@@ -88,67 +88,69 @@
     pub(super) last_seen: TimePoint,
 }
 
-impl JudgedTarget {
-    pub(super) fn new(key: TargetKey) -> JudgedTarget {
-        JudgedTarget {
+impl MonitoredTarget {
+    pub(super) fn new(key: TargetKey) -> MonitoredTarget {
+        MonitoredTarget {
             key,
             windows: Vec::new(),
-            recent: RateMemory::new(RECENT_HALF_LIFE),
-            long: RateMemory::new(LONG_HALF_LIFE),
-            span: Tally::default(),
+            recent: DecayingCounts::new(RECENT_HALF_LIFE),
+            long: DecayingCounts::new(LONG_HALF_LIFE),
+            span: OutcomeCounts::default(),
             pools: Vec::new(),
             last_good: TimePoint::default(),
             load: 0.0,
             load_at: TimePoint::default(),
             conviction: None,
             flaps: FlapCount::default(),
-            trial: Tally::default(),
+            trial: OutcomeCounts::default(),
         }
     }
 
-    pub(super) fn note_load(&mut self, now: TimePoint, load: f32) {
+    pub(super) fn record_load(&mut self, now: TimePoint, load: f32) {
         if load > 0.0 {
             self.load = load;
             self.load_at = now;
         }
     }
 
-    pub(super) fn window_of(&mut self, source: SourceRef) -> &mut SourceWindow {
+    pub(super) fn window_for(&mut self, source: SourceRef) -> &mut SourceWindow {
         let known = self.windows.iter().position(|window| window.source == source);
         let index = known.unwrap_or_else(|| {
-            self.windows.push(SourceWindow { source, tally: Tally::default() });
+            self.windows.push(SourceWindow { source, counts: OutcomeCounts::default() });
             self.windows.len() - 1
         });
         &mut self.windows[index]
     }
 
-    pub(super) fn window_total(&self) -> Tally {
-        let mut total = Tally::default();
+    pub(super) fn window_total(&self) -> OutcomeCounts {
+        let mut total = OutcomeCounts::default();
         for window in &self.windows {
-            total.add(&window.tally);
+            total.add(&window.counts);
         }
         total
     }
 
-    pub(super) fn raise_sums(
+    pub(super) fn update_sums(
         &mut self,
-        scene: &JudgeScene,
+        context: &WindowContext,
         threshold: f32,
-        usual: &[f32; MEASURES],
-        factors: &[f32; MEASURES],
+        baseline: &[f32; FAILURE_MODES],
+        factors: &[f32; FAILURE_MODES],
     ) {
-        let steps: [Option<LikelihoodStep>; HYPOTHESES.len()] =
-            std::array::from_fn(|number| LikelihoodStep::of(&HYPOTHESES[number], usual, factors));
+        let steps: [Option<LogLikelihoodRatios>; HYPOTHESES.len()] =
+            std::array::from_fn(|number| {
+                LogLikelihoodRatios::of(&HYPOTHESES[number], baseline, factors)
+            });
         let before: Vec<(usize, [f32; HYPOTHESES.len()])> =
             self.pools.iter().map(|pool| (pool.data_centre, pool.sums)).collect();
-        let cap = scene.source_cap(threshold);
+        let max_contribution = context.max_source_contribution(threshold);
         for window in std::mem::take(&mut self.windows) {
             if self.conviction.is_some() {
-                self.trial.add(&window.tally);
+                self.trial.add(&window.counts);
             }
-            let pool = pool_of(&mut self.pools, window.source.data_centre);
-            pool.last_seen = scene.now;
-            pool.add(window.source.number, &window.tally, &steps, cap);
+            let pool = sums_of(&mut self.pools, window.source.data_centre);
+            pool.last_seen = context.now;
+            pool.add(window.source.number, &window.counts, &steps, max_contribution);
         }
         for pool in &mut self.pools {
             let earlier = before.iter().find(|(centre, _)| *centre == pool.data_centre);
@@ -164,7 +166,8 @@
     pub(super) fn score(&self, now: TimePoint, threshold: f32) -> Finding {
         let own = self.pools.iter().find(|pool| pool.data_centre == 0);
         let silent = own.is_none_or(|pool| now.since(pool.last_seen) > OWN_SILENCE);
-        let mut best = Finding { score: 0.0, scope: VerdictScope::Target, measure: Measure::Error };
+        let mut best =
+            Finding { score: 0.0, scope: VerdictScope::Target, mode: FailureMode::Error };
         for (number, hypothesis) in HYPOTHESES.iter().enumerate() {
             let own_sum = own.map_or(0.0, |pool| pool.sums[number]);
             let remote = self.remote_sum(now, number, threshold);
@@ -178,7 +181,7 @@
             if score > best.score {
                 let shared = self.pools.len() == 1 || remote >= own_sum / 4.0;
                 let scope = if shared { VerdictScope::Target } else { VerdictScope::DataCentre };
-                best = Finding { score, scope, measure: hypothesis.measure };
+                best = Finding { score, scope, mode: hypothesis.mode };
             }
         }
         best
@@ -186,8 +189,8 @@
 
     /// What other data centres hold against the target by one hypothesis.
     fn remote_sum(&self, now: TimePoint, number: usize, threshold: f32) -> RemoteSum {
-        let counts = match HYPOTHESES[number].measure {
-            Measure::Error => ERRORS_COUNT,
+        let counts = match HYPOTHESES[number].mode {
+            FailureMode::Error => ERRORS_COUNT,
             _ => REMOTE_FRESH,
         };
         let mut remote = RemoteSum { sum: 0.0, fresh: true };
@@ -206,35 +209,36 @@
         now: TimePoint,
         finding: Finding,
         backoff: Duration,
-        backoff_most: Duration,
+        backoff_max: Duration,
     ) {
         self.flaps.note(now, 0);
-        let wait = self.flaps.backoff(backoff, backoff_most);
+        let wait = self.flaps.backoff(backoff, backoff_max);
         self.conviction = Some(Conviction { since: now, trial_from: now + wait, finding });
         self.pools.clear();
-        self.trial = Tally::default();
-        self.recent = RateMemory::new(RECENT_HALF_LIFE);
-        self.long = RateMemory::new(LONG_HALF_LIFE);
+        self.trial = OutcomeCounts::default();
+        self.recent = DecayingCounts::new(RECENT_HALF_LIFE);
+        self.long = DecayingCounts::new(LONG_HALF_LIFE);
     }
 
-    pub(super) fn trial_went_well(&self, usual: &[f32; MEASURES]) -> bool {
-        const JUDGED: [Measure; 3] = [Measure::Error, Measure::Overdue, Measure::VerySlow];
-        let Tally { count, bad } = &self.trial;
-        let seen = count[Measure::Error as usize].max(count[Measure::Overdue as usize]);
-        let clean = bad[Measure::Error as usize] + bad[Measure::Overdue as usize] < 0.5
-            && bad[Measure::VerySlow as usize] < 2.5;
-        let fair = JUDGED.iter().all(|measure| {
-            let measure = *measure as usize;
-            bad[measure] <= count[measure] * (usual[measure] + 0.02)
+    pub(super) fn trial_succeeded(&self, baseline: &[f32; FAILURE_MODES]) -> bool {
+        const JUDGED: [FailureMode; 3] =
+            [FailureMode::Error, FailureMode::Overdue, FailureMode::VerySlow];
+        let OutcomeCounts { count, bad } = &self.trial;
+        let seen = count[FailureMode::Error as usize].max(count[FailureMode::Overdue as usize]);
+        let clean = bad[FailureMode::Error as usize] + bad[FailureMode::Overdue as usize] < 0.5
+            && bad[FailureMode::VerySlow as usize] < 2.5;
+        let fair = JUDGED.iter().all(|mode| {
+            let mode = *mode as usize;
+            bad[mode] <= count[mode] * (baseline[mode] + 0.02)
         });
         (seen >= ACQUIT_CLEAN && clean) || (seen >= 4.0 * ACQUIT_CLEAN && fair)
     }
 }
 
-pub(super) fn pool_of(pools: &mut Vec<CentrePool>, data_centre: usize) -> &mut CentrePool {
+pub(super) fn sums_of(pools: &mut Vec<DataCentreSums>, data_centre: usize) -> &mut DataCentreSums {
     let known = pools.iter().position(|pool| pool.data_centre == data_centre);
     let index = known.unwrap_or_else(|| {
-        pools.push(CentrePool {
+        pools.push(DataCentreSums {
             data_centre,
             sums: [0.0; HYPOTHESES.len()],
             shares: Vec::new(),
@@ -245,13 +249,13 @@
     &mut pools[index]
 }
 
-impl CentrePool {
+impl DataCentreSums {
     pub(super) fn add(
         &mut self,
         source: u32,
-        tally: &Tally,
-        steps: &[Option<LikelihoodStep>; HYPOTHESES.len()],
-        cap: f32,
+        counts: &OutcomeCounts,
+        steps: &[Option<LogLikelihoodRatios>; HYPOTHESES.len()],
+        max_contribution: f32,
     ) {
         let known = self.shares.iter().position(|(number, _)| *number == source);
         let index = known.unwrap_or_else(|| {
@@ -263,19 +267,19 @@
                 self.sums[number] = 0.0;
                 continue;
             };
-            let measure = HYPOTHESES[number].measure as usize;
-            let bad = tally.bad[measure];
-            let change = bad * step.bad + (tally.count[measure] - bad) * step.good;
+            let mode = HYPOTHESES[number].mode as usize;
+            let bad = counts.bad[mode];
+            let change = bad * step.bad + (counts.count[mode] - bad) * step.good;
             let share = &mut self.shares[index].1[number];
-            let allowed = change.min(cap - *share);
+            let allowed = change.min(max_contribution - *share);
             *share = (*share + allowed).max(0.0);
             self.sums[number] = (self.sums[number] + allowed).max(0.0);
         }
-        self.drop_idle_shares();
+        self.reset_spent_shares();
     }
 
-    /// Once a sum is back at zero, what was added to it no longer counts against a cap.
-    pub(super) fn drop_idle_shares(&mut self) {
+    /// Once a sum is back at zero, what was added to it no longer counts against a max_contribution.
+    pub(super) fn reset_spent_shares(&mut self) {
         for number in 0..HYPOTHESES.len() {
             if self.sums[number] == 0.0 {
                 self.shares.iter_mut().for_each(|(_, shares)| shares[number] = 0.0);
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -14,15 +14,15 @@
 const CHART: &str = include_str!("../charts/target-health.toml");
 
 /// Share of its usual requests that a target on trial gets.
-const TRIAL_SHARE: f64 = 0.05;
+const TRIAL_TRAFFIC_SHARE: f64 = 0.05;
 /// Share that a warming target starts from.
-const WARM_START: f64 = 0.1;
+const INITIAL_WARMING_SHARE: f64 = 0.1;
 /// Good answers that end a trial for this box.
-const TRIAL_GOOD: u32 = 5;
+const MIN_TRIAL_SUCCESSES: u32 = 5;
 /// Failures that end a trial the other way.
-const TRIAL_BAD: u32 = 2;
+const MAX_TRIAL_FAILURES: u32 = 2;
 /// A trial that brings no news for so long ends well: the service is quiet.
-const TRIAL_MOST: Duration = Duration::from_secs(60);
+const MAX_TRIAL_DURATION: Duration = Duration::from_secs(60);
 
 /// The states of the chart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -36,7 +36,7 @@
     /// Its share grows.
     Warming,
     /// It gets nothing.
-    Leaving,
+    Draining,
 }
 
 impl HealthState {
@@ -45,7 +45,7 @@
         HealthState::Ejected,
         HealthState::Trial,
         HealthState::Warming,
-        HealthState::Leaving,
+        HealthState::Draining,
     ];
 
     /// The state's name, as in the chart file.
@@ -55,7 +55,7 @@
             HealthState::Ejected => "ejected",
             HealthState::Trial => "trial",
             HealthState::Warming => "warming",
-            HealthState::Leaving => "leaving",
+            HealthState::Draining => "leaving",
         }
     }
 }
@@ -72,7 +72,7 @@
     /// Its share has grown to the whole.
     Warm,
     /// It leaves.
-    Leave,
+    Drain,
     /// It takes work again after leaving.
     Returned,
     /// It has just started.
@@ -132,8 +132,8 @@
     ejection: Option<Ejection>,
     flaps: FlapCount,
     backoff_until: TimePoint,
-    trial_good: u32,
-    trial_bad: u32,
+    trial_successes: u32,
+    trial_failures: u32,
 }
 
 impl TargetHealth {
@@ -145,8 +145,8 @@
             ejection: None,
             flaps: FlapCount::default(),
             backoff_until: TimePoint::default(),
-            trial_good: 0,
-            trial_bad: 0,
+            trial_successes: 0,
+            trial_failures: 0,
         }
     }
 
@@ -176,9 +176,9 @@
     }
 
     /// Whether it would be in service if no ejection kept it out.
-    pub fn counted(&self) -> bool {
+    pub fn counts_toward_floor(&self) -> bool {
         match self.state {
-            HealthState::Leaving => false,
+            HealthState::Draining => false,
             HealthState::Warming => self.ejection.is_some(),
             HealthState::Healthy | HealthState::Ejected | HealthState::Trial => true,
         }
@@ -188,11 +188,11 @@
     pub fn share(&self, now: TimePoint, limits: &LimitSetup) -> f64 {
         match self.state {
             HealthState::Healthy => 1.0,
-            HealthState::Ejected | HealthState::Leaving => 0.0,
-            HealthState::Trial => TRIAL_SHARE,
+            HealthState::Ejected | HealthState::Draining => 0.0,
+            HealthState::Trial => TRIAL_TRAFFIC_SHARE,
             HealthState::Warming => {
                 let grown = now.since(self.since).as_secs_f64() / limits.warm_up.as_secs_f64();
-                (WARM_START + (1.0 - WARM_START) * grown).min(1.0)
+                (INITIAL_WARMING_SHARE + (1.0 - INITIAL_WARMING_SHARE) * grown).min(1.0)
             }
         }
     }
@@ -220,7 +220,7 @@
             return true;
         }
         self.flaps.note(now, flaps);
-        self.backoff_until = now + self.flaps.backoff(limits.backoff, limits.backoff_most);
+        self.backoff_until = now + self.flaps.backoff(limits.backoff, limits.backoff_max);
         true
     }
 
@@ -230,8 +230,8 @@
     }
 
     /// It leaves. What it was ejected for is forgotten: it comes back as another one.
-    pub fn leave(&mut self, chart: &HealthChart, now: TimePoint) -> bool {
-        let left = self.apply(chart, now, HealthEvent::Leave);
+    pub fn drain(&mut self, chart: &HealthChart, now: TimePoint) -> bool {
+        let left = self.apply(chart, now, HealthEvent::Drain);
         if left {
             self.ejection = None;
         }
@@ -239,12 +239,12 @@
     }
 
     /// It takes work again after leaving.
-    pub fn come_back(&mut self, chart: &HealthChart, now: TimePoint) -> bool {
+    pub fn restore(&mut self, chart: &HealthChart, now: TimePoint) -> bool {
         self.apply(chart, now, HealthEvent::Returned)
     }
 
     /// It says that it has just started.
-    pub fn note_cold(&mut self, chart: &HealthChart, now: TimePoint) -> bool {
+    pub fn mark_cold(&mut self, chart: &HealthChart, now: TimePoint) -> bool {
         self.apply(chart, now, HealthEvent::Cold)
     }
 
@@ -254,16 +254,16 @@
     }
 
     /// Counts a trial's attempt and says whether the trial failed by it.
-    pub fn note_trial(&mut self, chart: &HealthChart, now: TimePoint, good: bool) -> bool {
+    pub fn record_trial_result(&mut self, chart: &HealthChart, now: TimePoint, good: bool) -> bool {
         if self.state != HealthState::Trial {
             return false;
         }
         if !good {
-            self.trial_bad += 1;
-            return self.trial_bad >= TRIAL_BAD;
+            self.trial_failures += 1;
+            return self.trial_failures >= MAX_TRIAL_FAILURES;
         }
-        self.trial_good += 1;
-        if self.trial_good >= TRIAL_GOOD {
+        self.trial_successes += 1;
+        if self.trial_successes >= MIN_TRIAL_SUCCESSES {
             self.apply(chart, now, HealthEvent::Acquitted);
         }
         false
@@ -275,7 +275,7 @@
             HealthState::Ejected if now >= self.backoff_until => {
                 self.apply(chart, now, HealthEvent::BackoffOver)
             }
-            HealthState::Trial if now.since(self.since) >= TRIAL_MOST => {
+            HealthState::Trial if now.since(self.since) >= MAX_TRIAL_DURATION => {
                 self.apply(chart, now, HealthEvent::Acquitted)
             }
             HealthState::Warming if now.since(self.since) >= limits.warm_up => {
@@ -293,8 +293,8 @@
         if next != self.state {
             self.state = next;
             self.since = now;
-            self.trial_good = 0;
-            self.trial_bad = 0;
+            self.trial_successes = 0;
+            self.trial_failures = 0;
         }
         true
     }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -4,19 +4,19 @@
 //! There is no I/O here, no thread, no clock and no global state. Time and the
 //! seed of the random source are handed in, events come in, commands go out, and
 //! the same events give the same commands. The proxy drives [`BoxCore`], the
-//! agent drives [`JudgeCore`], the measurements drive both; nothing decides
+//! agent drives [`OutlierDetector`], the measurements drive both; nothing decides
 //! beside them.
 
 pub mod budget;
 pub mod core;
 pub mod crashes;
+pub mod detector;
 pub mod dispersion;
 pub mod evidence;
 pub mod fingerprint;
 mod flaps;
 pub mod floor;
 pub mod health;
-pub mod judge;
 pub mod messages;
 pub mod names;
 pub mod permits;
@@ -32,14 +32,14 @@
 pub mod time;
 
 pub use crate::core::BoxCore;
+pub use detector::OutlierDetector;
 pub use evidence::{EvidenceBatch, EvidenceSource, Sample, SampleKind, TargetSamples};
 pub use fingerprint::Fingerprint;
 pub use health::{HealthChart, HealthState};
-pub use judge::JudgeCore;
 pub use messages::{
     AttemptOutcome, BoxCommand, BoxEvent, Conclusion, RefuseReason, ReportedState, RequestId,
     RequestPlan, TargetReport, Verdict, VerdictCause, VerdictKind, VerdictScope,
 };
 pub use names::{Name, TargetKey};
-pub use setup::{HandOrder, HandOrderKind, LimitSetup, ServiceSetup, TargetSetup};
+pub use setup::{LimitSetup, ManualOverride, OverrideKind, ServiceSetup, TargetSetup};
 pub use time::TimePoint;
--- a/crates/decide/src/messages.rs
+++ b/crates/decide/src/messages.rs
@@ -5,7 +5,7 @@
 use crate::evidence::EvidenceBatch;
 use crate::health::HealthState;
 use crate::names::{Name, TargetKey};
-use crate::setup::{HandOrder, ServiceSetup};
+use crate::setup::{ManualOverride, ServiceSetup};
 use crate::time::TimePoint;
 
 /// A request's number within one box.
@@ -77,11 +77,11 @@
     /// A service is gone.
     ServiceRemoved(Name),
     /// All orders by hand for a service.
-    HandOrdersSet {
+    OverridesSet {
         /// The service.
         service: Name,
         /// The orders now in force.
-        orders: Vec<HandOrder>,
+        overrides: Vec<ManualOverride>,
     },
     /// A caller's request, with what the policy says.
     RequestArrived {
@@ -111,7 +111,7 @@
     /// A judge's verdict.
     VerdictReceived(Verdict),
     /// A peer saw that a target leaves.
-    LeavingReceived {
+    DrainingReceived {
         /// The service.
         service: Name,
         /// The target.
@@ -161,21 +161,21 @@
     /// Send this to the service's judges.
     Report(EvidenceBatch),
     /// Tell all boxes that a target leaves.
-    AnnounceLeaving {
+    AnnounceDraining {
         /// The service.
         service: Name,
         /// The target.
         target: TargetKey,
     },
     /// A target's state changed here.
-    HealthChanged(HealthNotice),
+    HealthChanged(HealthTransition),
     /// The box holds itself sick (or well again): everything fails here.
     SelfSuspected(bool),
 }
 
 /// A target's change of state, for logs and the time line.
 #[derive(Debug, Clone, PartialEq)]
-pub struct HealthNotice {
+pub struct HealthTransition {
     /// The service.
     pub service: Name,
     /// The target's address.
@@ -185,7 +185,7 @@
     /// The state now.
     pub to: HealthState,
     /// Why.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 /// How a request ended towards its caller.
--- a/crates/decide/src/pick.rs
+++ b/crates/decide/src/pick.rs
@@ -54,7 +54,7 @@
         return false;
     }
     let target = service.target(index);
-    context.repeatable || target.health.state() != HealthState::Trial || !target.limited
+    context.repeatable || target.health.state() != HealthState::Trial || !target.ejection_enforced
 }
 
 /// Whether the target's share lets this draw through.
--- a/crates/decide/src/service.rs
+++ b/crates/decide/src/service.rs
@@ -9,11 +9,11 @@
 use crate::messages::{ReportedState, TargetReport};
 use crate::names::TargetKey;
 use crate::queue::ServiceQueue;
-use crate::setup::{HandOrder, HandOrderKind, ServiceSetup, TargetSetup};
+use crate::setup::{ManualOverride, OverrideKind, ServiceSetup, TargetSetup};
 use crate::time::TimePoint;
 
 /// A reported load is passed on as evidence if it is not older.
-const LOAD_FRESH: Duration = Duration::from_millis(100);
+const MAX_EVIDENCE_LOAD_AGE: Duration = Duration::from_millis(100);
 
 /// A service as one box holds it.
 #[derive(Debug)]
@@ -36,9 +36,9 @@
     /// Its place in the chart.
     pub health: TargetHealth,
     /// What operators ordered about it.
-    pub hand: Option<HandOrderKind>,
+    pub manual_override: Option<OverrideKind>,
     /// Whether the floor guard lets an ejection limit it.
-    pub limited: bool,
+    pub ejection_enforced: bool,
     /// Attempts of this box that are open.
     pub open: u32,
     /// The load that it last reported.
@@ -54,8 +54,8 @@
         TargetState {
             setup,
             health,
-            hand: None,
-            limited: false,
+            manual_override: None,
+            ejection_enforced: false,
             open: 0,
             load: 0.0,
             load_at: TimePoint::default(),
@@ -65,18 +65,18 @@
     }
 
     /// The load that it has just reported, or 0.
-    pub(crate) fn fresh_load(&self, now: TimePoint) -> f32 {
-        if now.since(self.load_at) <= LOAD_FRESH { self.load } else { 0.0 }
+    pub(crate) fn recent_load(&self, now: TimePoint) -> f32 {
+        if now.since(self.load_at) <= MAX_EVIDENCE_LOAD_AGE { self.load } else { 0.0 }
     }
 
     /// Whether this box sends it nothing because of an ejection.
-    pub fn kept_out(&self) -> bool {
+    pub fn is_excluded(&self) -> bool {
         let ejected = self.health.state() == HealthState::Ejected;
-        self.limited && (ejected || self.hand == Some(HandOrderKind::Eject))
+        self.ejection_enforced && (ejected || self.manual_override == Some(OverrideKind::Eject))
     }
 
-    fn wanted(&self) -> Option<EjectionRank> {
-        if self.hand == Some(HandOrderKind::Eject) {
+    fn ejection_rank(&self) -> Option<EjectionRank> {
+        if self.manual_override == Some(OverrideKind::Eject) {
             return Some(EjectionRank { source: 0, stamp: 0, key: self.setup.key().0 });
         }
         self.health.ejection().map(|ejection| ejection.rank)
@@ -84,7 +84,11 @@
 
     fn guarded(&self) -> GuardedTarget {
         let slots = self.setup.slots;
-        GuardedTarget { slots, counted: self.health.counted(), wanted: self.wanted() }
+        GuardedTarget {
+            slots,
+            counted: self.health.counts_toward_floor(),
+            wanted: self.ejection_rank(),
+        }
     }
 }
 
@@ -145,8 +149,8 @@
 
     /// Slots of targets that are in service and not kept out or limited.
     pub fn slots_in_service(&self) -> u32 {
-        let counted = self.targets.iter().filter(|target| target.health.counted());
-        counted.filter(|target| !target.limited).map(|target| target.setup.slots).sum()
+        let counted = self.targets.iter().filter(|target| target.health.counts_toward_floor());
+        counted.filter(|target| !target.ejection_enforced).map(|target| target.setup.slots).sum()
     }
 
     pub(crate) fn target(&self, index: usize) -> &TargetState {
@@ -169,21 +173,21 @@
     /// The share of its usual requests that a target gets now.
     pub(crate) fn share(&self, index: usize, now: TimePoint) -> f64 {
         let target = &self.targets[index];
-        let spared = target.wanted().is_some() && !target.limited;
-        if self.below_floor || spared {
+        let protected_by_floor = target.ejection_rank().is_some() && !target.ejection_enforced;
+        if self.below_floor || protected_by_floor {
             return 1.0;
         }
         target.health.share(now, &self.setup.limits)
     }
 
-    /// Sets all orders by hand. Returns the targets that were drained before and are not now.
-    pub(crate) fn set_hand(&mut self, orders: &[HandOrder]) -> Vec<usize> {
+    /// Sets all overrides by hand. Returns the targets that were drained before and are not now.
+    pub(crate) fn set_overrides(&mut self, overrides: &[ManualOverride]) -> Vec<usize> {
         let mut released = Vec::new();
         for (index, target) in self.targets.iter_mut().enumerate() {
-            let order = orders.iter().find(|order| order.target == target.setup.address);
-            let drained = target.hand == Some(HandOrderKind::Drain);
-            target.hand = order.map(|order| order.kind);
-            if drained && target.hand != Some(HandOrderKind::Drain) {
+            let order = overrides.iter().find(|order| order.target == target.setup.address);
+            let drained = target.manual_override == Some(OverrideKind::Drain);
+            target.manual_override = order.map(|order| order.kind);
+            if drained && target.manual_override != Some(OverrideKind::Drain) {
                 released.push(index);
             }
         }
@@ -191,7 +195,7 @@
     }
 
     /// Notes what a target said of itself and returns whether it is another target now.
-    pub(crate) fn note_report(
+    pub(crate) fn record_report(
         &mut self,
         index: usize,
         now: TimePoint,
@@ -209,26 +213,26 @@
         earlier.is_some_and(|earlier| earlier != incarnation)
     }
 
-    /// Decides anew who is in service, after any change of health, orders or setup.
+    /// Decides anew who is in service, after any change of health, overrides or setup.
     pub(crate) fn rebuild(&mut self) {
         let numbered = self.targets.iter().enumerate();
         self.index = numbered.map(|(index, target)| (target.setup.key(), index)).collect();
         let floor = floor_slots(self.setup.total_slots(), self.setup.floor);
         let guarded: Vec<GuardedTarget> = self.targets.iter().map(TargetState::guarded).collect();
         for (target, limited) in self.targets.iter_mut().zip(guard_floor(&guarded, floor)) {
-            target.limited = limited;
+            target.ejection_enforced = limited;
         }
         self.below_floor = self.slots_in_service() < floor;
         let below_floor = self.below_floor;
         let eligible = self.targets.iter().enumerate().filter(|(_, target)| {
-            let leaving = target.health.state() == HealthState::Leaving;
-            !leaving && (below_floor || !target.kept_out())
+            let leaving = target.health.state() == HealthState::Draining;
+            !leaving && (below_floor || !target.is_excluded())
         });
         self.eligible = eligible.map(|(index, _)| index).collect();
     }
 }
 
 /// Whether a report says that the target takes nothing new.
-pub(crate) fn says_leaving(report: &TargetReport) -> bool {
+pub(crate) fn is_draining(report: &TargetReport) -> bool {
     report.state == ReportedState::Draining
 }
--- a/crates/decide/src/setup.rs
+++ b/crates/decide/src/setup.rs
@@ -57,7 +57,7 @@
     /// The first back-off after an ejection; it doubles with each one that follows.
     pub backoff: Duration,
     /// The longest back-off.
-    pub backoff_most: Duration,
+    pub backoff_max: Duration,
     /// How long a target's share grows after a trial or a cold start.
     pub warm_up: Duration,
 }
@@ -70,7 +70,7 @@
             retry_share: 0.1,
             retry_burst: 10.0,
             backoff: Duration::from_secs(5),
-            backoff_most: Duration::from_secs(600),
+            backoff_max: Duration::from_secs(600),
             warm_up: Duration::from_secs(10),
         }
     }
@@ -78,16 +78,16 @@
 
 /// An operator's order about one target.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HandOrder {
+pub struct ManualOverride {
     /// The target's address.
     pub target: Name,
     /// What is ordered.
-    pub kind: HandOrderKind,
+    pub kind: OverrideKind,
 }
 
 /// What an operator can order by hand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HandOrderKind {
+pub enum OverrideKind {
     /// Keep it out, as far as the floor allows.
     Eject,
     /// It leaves: no new work, whatever the floor.
--- a/crates/decide/tests/fleet/mod.rs
+++ b/crates/decide/tests/fleet/mod.rs
@@ -104,9 +104,9 @@
         found.expect("a known target").health.state()
     }
 
-    pub fn kept_out(&self) -> Vec<Name> {
+    pub fn excluded_targets(&self) -> Vec<Name> {
         let service = self.core.service(SERVICE).expect("configured");
-        let out = service.targets().iter().filter(|target| target.kept_out());
+        let out = service.targets().iter().filter(|target| target.is_excluded());
         out.map(|target| target.setup.address.clone()).collect()
     }
 }
--- a/crates/decide/tests/properties.rs
+++ b/crates/decide/tests/properties.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use wingbridge_decide::floor::{EjectionRank, GuardedTarget, floor_slots, guard_floor};
 use wingbridge_decide::{
-    AttemptOutcome, BoxCommand, BoxEvent, HandOrder, HandOrderKind, HealthState, Name,
+    AttemptOutcome, BoxCommand, BoxEvent, HealthState, ManualOverride, Name, OverrideKind,
     ReportedState, RequestId, RequestPlan, TargetKey, TargetReport, VerdictKind,
 };
 
@@ -26,7 +26,7 @@
     Acquit { target: usize },
     Leave { target: usize },
     Back { target: usize },
-    Hand { orders: Vec<(usize, bool)> },
+    Override { overrides: Vec<(usize, bool)> },
     Grow { targets: usize },
     Pass { millis: u64 },
 }
@@ -52,7 +52,7 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let hands = prop::collection::vec((0..TARGETS, any::<bool>()), 0..4);
+    let overrides = prop::collection::vec((0..TARGETS, any::<bool>()), 0..4);
     prop_oneof![
         6 => any::<bool>().prop_map(|repeatable| Step::Arrive { repeatable }),
         6 => (0usize..8, outcome()).prop_map(|(which, outcome)| Step::End { which, outcome }),
@@ -61,7 +61,7 @@
         1 => (0..TARGETS).prop_map(|target| Step::Acquit { target }),
         1 => (0..TARGETS).prop_map(|target| Step::Leave { target }),
         1 => (0..TARGETS).prop_map(|target| Step::Back { target }),
-        1 => hands.prop_map(|orders| Step::Hand { orders }),
+        1 => overrides.prop_map(|overrides| Step::Override { overrides }),
         1 => (1..=TARGETS).prop_map(|targets| Step::Grow { targets }),
         4 => (1u64..20_000).prop_map(|millis| Step::Pass { millis }),
     ]
@@ -135,20 +135,20 @@
         }
         Step::Leave { target } => {
             let target = TargetKey::of(&address(target));
-            test.event(BoxEvent::LeavingReceived { service: SERVICE.into(), target })
+            test.event(BoxEvent::DrainingReceived { service: SERVICE.into(), target })
         }
         Step::Back { target } => {
             let target = TargetKey::of(&address(target));
             let state = Some(ReportedState::Ready);
             test.event(BoxEvent::ProbeEnded { service: SERVICE.into(), target, state })
         }
-        Step::Hand { orders } => {
-            let order = |(target, drain): (usize, bool)| HandOrder {
+        Step::Override { overrides } => {
+            let manual_override = |(target, drain): (usize, bool)| ManualOverride {
                 target: address(target).as_str().into(),
-                kind: if drain { HandOrderKind::Drain } else { HandOrderKind::Eject },
+                kind: if drain { OverrideKind::Drain } else { OverrideKind::Eject },
             };
-            let orders = orders.into_iter().map(order).collect();
-            test.event(BoxEvent::HandOrdersSet { service: SERVICE.into(), orders })
+            let overrides = overrides.into_iter().map(manual_override).collect();
+            test.event(BoxEvent::OverridesSet { service: SERVICE.into(), overrides })
         }
         Step::Grow { targets } => test.event(BoxEvent::ServiceConfigured(service(targets, 0.6))),
         Step::Pass { millis } => test.pass(Duration::from_millis(millis)),
@@ -163,8 +163,8 @@
         let targets = service.targets().iter().filter(|target| full(target));
         targets.map(|target| target.setup.slots).sum()
     };
-    let without = slots(&|target| target.health.counted());
-    let with = slots(&|target| target.health.counted() && !target.limited);
+    let without = slots(&|target| target.health.counts_toward_floor());
+    let with = slots(&|target| target.health.counts_toward_floor() && !target.ejection_enforced);
     (without, with, floor_slots(service.setup().total_slots(), 0.6))
 }
 
@@ -184,7 +184,7 @@
             let (without, with, floor) = in_service(&test);
             prop_assert!(with >= floor.min(without), "{with} of {without} in service, floor {floor}");
             for target in books.sent_now.drain(..) {
-                prop_assert_ne!(test.state(&target), HealthState::Leaving);
+                prop_assert_ne!(test.state(&target), HealthState::Draining);
             }
         }
         books.note(&test.pass(Duration::from_secs(5)));
@@ -247,7 +247,7 @@
             for (target, stamp) in order {
                 test.event(BoxEvent::VerdictReceived(convicted(&address(*target), *stamp)));
             }
-            test.kept_out()
+            test.excluded_targets()
         };
         let straight = outcome(&verdicts);
         let turn = (seed as usize) % verdicts.len();
@@ -284,7 +284,7 @@
         test.event(BoxEvent::VerdictReceived(convicted(&address(target), target as u64)));
     }
     // Two of six may go at a floor of 0.6: the two that were found first.
-    assert_eq!(test.kept_out().len(), 2);
+    assert_eq!(test.excluded_targets().len(), 2);
     let mut used: HashSet<_> = HashSet::new();
     for _ in 0..100 {
         let plan = test.plan();
--- a/crates/decide/tests/requests.rs
+++ b/crates/decide/tests/requests.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use wingbridge_decide::{
-    AttemptOutcome, BoxCommand, BoxEvent, Conclusion, HandOrder, HandOrderKind, HealthState,
+    AttemptOutcome, BoxCommand, BoxEvent, Conclusion, HealthState, ManualOverride, OverrideKind,
     RefuseReason, ReportedState, RequestPlan, TargetKey, TargetReport,
 };
 
@@ -243,7 +243,7 @@
     let gone = attempt.target.clone();
     let commands = test.end(&attempt, leaving);
     let key = TargetKey::of(&gone);
-    let told = BoxCommand::AnnounceLeaving { service: SERVICE.into(), target: key };
+    let told = BoxCommand::AnnounceDraining { service: SERVICE.into(), target: key };
     assert!(commands.contains(&told), "{commands:?}");
     test.run(200, Duration::from_millis(10), |target| {
         assert_ne!(*target, gone);
@@ -265,13 +265,13 @@
 fn a_drain_by_hand_holds_until_it_is_taken_back() {
     let mut test = TestBox::new(service(4, 0.6));
     let target = address(1);
-    let order = HandOrder { target: target.as_str().into(), kind: HandOrderKind::Drain };
-    test.event(BoxEvent::HandOrdersSet { service: SERVICE.into(), orders: vec![order] });
+    let drain = ManualOverride { target: target.as_str().into(), kind: OverrideKind::Drain };
+    test.event(BoxEvent::OverridesSet { service: SERVICE.into(), overrides: vec![drain] });
     let key = TargetKey::of(&target);
     let state = Some(ReportedState::Ready);
     test.event(BoxEvent::ProbeEnded { service: SERVICE.into(), target: key, state });
-    assert_eq!(test.state(&target), HealthState::Leaving);
-    test.event(BoxEvent::HandOrdersSet { service: SERVICE.into(), orders: Vec::new() });
+    assert_eq!(test.state(&target), HealthState::Draining);
+    test.event(BoxEvent::OverridesSet { service: SERVICE.into(), overrides: Vec::new() });
     assert_eq!(test.state(&target), HealthState::Warming);
 }
 
--- a/crates/demo/tests/failures.rs
+++ b/crates/demo/tests/failures.rs
@@ -11,7 +11,7 @@
 use wingbridge_process::Outcome;
 use wingbridge_standin::{StoreFaults, TargetFaults};
 use wingbridge_store::StoredValue;
-use wingctl::hands;
+use wingctl::overrides;
 
 use crate::small::{CALL_TIME, Load, eventually, kept_out_everywhere, small_system};
 
@@ -267,12 +267,12 @@
 fn orders_by_hand_are_configuration_like_any_other() {
     let system = small_system(2);
     let target = system.targets_of("availability")[0].address.to_string();
-    let eject = Some(wingbridge_decide::HandOrderKind::Eject);
+    let eject = Some(wingbridge_decide::OverrideKind::Eject);
     let changer = system.changer();
-    let report = task::block_on(hands::order(&changer, "availability", &target, eject));
+    let report = task::block_on(overrides::set_override(&changer, "availability", &target, eject));
     assert_eq!(report.expect("accepted").in_force, 2);
     eventually("kept out", || kept_out_everywhere(&system, &target));
-    let report = task::block_on(hands::order(&changer, "availability", &target, None));
+    let report = task::block_on(overrides::set_override(&changer, "availability", &target, None));
     assert_eq!(report.expect("accepted").in_force, 2);
     eventually("back", || !kept_out_everywhere(&system, &target));
 }
--- a/crates/proxy/src/active_config.rs
+++ b/crates/proxy/src/active_config.rs
@@ -4,10 +4,10 @@
 use std::sync::{Arc, PoisonError, RwLock};
 
 use wingbridge_config::{
-    HAND_PREFIX, POLICY_PREFIX, RouteTable, SERVICE_PREFIX, ServiceConfig, parse_hand,
+    OVERRIDES_PREFIX, POLICY_PREFIX, RouteTable, SERVICE_PREFIX, ServiceConfig, parse_overrides,
     parse_service,
 };
-use wingbridge_decide::{BoxEvent, HandOrder, Name};
+use wingbridge_decide::{BoxEvent, ManualOverride, Name};
 use wingbridge_policy::PolicyProgram;
 use wingbridge_wire::{Entry, KeyStamp, Stamp};
 
@@ -54,7 +54,7 @@
     stamps: HashMap<String, Stamp>,
     services: HashMap<Name, ServiceConfig>,
     policies: HashMap<String, PolicyProgram>,
-    hands: HashMap<Name, Vec<HandOrder>>,
+    overrides: HashMap<Name, Vec<ManualOverride>>,
 }
 
 /// What follows from some entries.
@@ -108,8 +108,8 @@
         if let Some(name) = entry.key.strip_prefix(POLICY_PREFIX) {
             return self.take_policy(name, entry);
         }
-        if let Some(name) = entry.key.strip_prefix(HAND_PREFIX) {
-            return self.take_hand(name, entry, events);
+        if let Some(name) = entry.key.strip_prefix(OVERRIDES_PREFIX) {
+            return self.apply_overrides(name, entry, events);
         }
         Err("no such kind of key".into())
     }
@@ -131,10 +131,10 @@
         }
         let name = service.setup.name.clone();
         events.push(BoxEvent::ServiceConfigured(service.setup.clone()));
-        if let Some(orders) = self.hands.get(&name) {
-            // Orders may have come before the service, or name a target that it gains.
-            let orders = orders.clone();
-            events.push(BoxEvent::HandOrdersSet { service: name.clone(), orders });
+        if let Some(overrides) = self.overrides.get(&name) {
+            // Overrides may arrive before the service, or name a target that it gains later.
+            let overrides = overrides.clone();
+            events.push(BoxEvent::OverridesSet { service: name.clone(), overrides });
         }
         self.services.insert(name, service);
         Ok(())
@@ -150,19 +150,19 @@
         Ok(())
     }
 
-    fn take_hand(
+    fn apply_overrides(
         &mut self,
         name: &str,
         entry: &Entry,
         events: &mut Vec<BoxEvent>,
     ) -> Result<(), String> {
-        let orders = if entry.deleted {
+        let overrides = if entry.deleted {
             Vec::new()
         } else {
-            parse_hand(&entry.text).map_err(|error| error.to_string())?
+            parse_overrides(&entry.text).map_err(|error| error.to_string())?
         };
-        self.hands.insert(name.into(), orders.clone());
-        events.push(BoxEvent::HandOrdersSet { service: name.into(), orders });
+        self.overrides.insert(name.into(), overrides.clone());
+        events.push(BoxEvent::OverridesSet { service: name.into(), overrides });
         Ok(())
     }
 }
--- a/crates/proxy/src/agent_link.rs
+++ b/crates/proxy/src/agent_link.rs
@@ -127,7 +127,7 @@
             FrameBody::Leaving(leaving) => {
                 let service = leaving.service.as_str().into();
                 let target = TargetKey(leaving.target);
-                self.decide(BoxEvent::LeavingReceived { service, target }).await;
+                self.decide(BoxEvent::DrainingReceived { service, target }).await;
             }
             FrameBody::Readiness(readiness) => {
                 self.context.ready.suspend(!readiness.allowed);
--- a/crates/proxy/src/decision.rs
+++ b/crates/proxy/src/decision.rs
@@ -6,10 +6,10 @@
 use async_channel::{Receiver, Sender};
 use async_std::task;
 use wingbridge_decide::core::BoxCore;
-use wingbridge_decide::messages::HealthNotice;
+use wingbridge_decide::messages::HealthTransition;
 use wingbridge_decide::service::{ServiceState, TargetState};
 use wingbridge_decide::{
-    BoxCommand, BoxEvent, HandOrderKind, HealthState, Name, RequestId, TargetKey, TimePoint,
+    BoxCommand, BoxEvent, HealthState, Name, OverrideKind, RequestId, TargetKey, TimePoint,
     VerdictScope,
 };
 use wingbridge_wire::convert::service_evidence;
@@ -89,12 +89,12 @@
                     services: vec![service_evidence(&batch)],
                 }));
             }
-            BoxCommand::AnnounceLeaving { service, target: TargetKey(target) } => {
+            BoxCommand::AnnounceDraining { service, target: TargetKey(target) } => {
                 let service = service.to_string();
                 let leaving = Leaving { service, target, ..Leaving::default() };
                 self.to_agent(FrameBody::Leaving(leaving));
             }
-            BoxCommand::HealthChanged(notice) => self.note_health(notice),
+            BoxCommand::HealthChanged(transition) => self.on_health_changed(transition),
             BoxCommand::SelfSuspected(failing) => {
                 self.failing = failing;
                 let kind = if failing { "box-fails" } else { "box-works-again" };
@@ -112,23 +112,27 @@
         }
     }
 
-    fn note_health(&mut self, notice: HealthNotice) {
-        let HealthNotice { service, target, from, to, why } = notice;
+    fn on_health_changed(&mut self, transition: HealthTransition) {
+        let HealthTransition { service, target, from, to, reason } = transition;
         let kind = match to {
             HealthState::Healthy => "target-healthy",
             HealthState::Ejected => "target-ejected",
             HealthState::Trial => "target-on-trial",
             HealthState::Warming => "target-warming",
-            HealthState::Leaving => "target-leaving",
+            HealthState::Draining => "target-leaving",
         };
-        let fields =
-            [("service", &*service), ("target", &*target), ("from", from.as_str()), ("why", why)];
+        let fields = [
+            ("service", &*service),
+            ("target", &*target),
+            ("from", from.as_str()),
+            ("why", reason),
+        ];
         self.context.line.note(kind, &fields);
-        log::info!(service:% = service, target:% = target, from = from.as_str(), why; "{kind}");
+        log::info!(service:% = service, target:% = target, from = from.as_str(), why = reason; "{kind}");
         let labels = [("service", service.to_string()), ("to", to.as_str().to_string())];
         metrics::counter!("wingbridge_target_changes", &labels).increment(1);
-        if matches!(to, HealthState::Ejected | HealthState::Leaving) {
-            self.reasons.insert((service, target), why);
+        if matches!(to, HealthState::Ejected | HealthState::Draining) {
+            self.reasons.insert((service, target), reason);
         }
     }
 
@@ -155,15 +159,16 @@
         let name = service.setup().name.clone();
         let address = target.setup.address.clone();
         let why = self.reasons.get(&(name.clone(), address.clone())).copied().unwrap_or_default();
-        let scope = match (target.hand, target.health.ejection().map(|held| held.scope)) {
+        let scope = match (target.manual_override, target.health.ejection().map(|held| held.scope))
+        {
             (Some(_), _) => "by hand",
             (None, Some(VerdictScope::Path)) => "path",
             (None, Some(VerdictScope::DataCentre)) => "data centre",
             (None, Some(VerdictScope::Target)) => "target",
             (None, None) => "",
         };
-        let wanted =
-            target.health.ejection().is_some() || target.hand == Some(HandOrderKind::Eject);
+        let wanted = target.health.ejection().is_some()
+            || target.manual_override == Some(OverrideKind::Eject);
         wingbridge_wire::TargetState {
             service: name.to_string(),
             target: address.to_string(),
@@ -171,12 +176,12 @@
             for_ms: now.since(target.health.since()).as_millis() as u64,
             why: why.to_string(),
             scope: scope.to_string(),
-            kept_out: target.kept_out() && !service.below_floor(),
-            kept_by_floor: wanted && (!target.limited || service.below_floor()),
+            kept_out: target.is_excluded() && !service.below_floor(),
+            kept_by_floor: wanted && (!target.ejection_enforced || service.below_floor()),
         }
     }
 }
 
 fn is_notable(target: &TargetState) -> bool {
-    target.health.state() != HealthState::Healthy || target.hand.is_some()
+    target.health.state() != HealthState::Healthy || target.manual_override.is_some()
 }
--- a/crates/spread/src/members.rs
+++ b/crates/spread/src/members.rs
@@ -14,9 +14,9 @@
 /// Fleets up to this size pool evidence over all data centres. Larger ones pool
 /// it in each data centre, which there sees enough, and saves the rest its messages.
 pub const SMALL_FLEET: usize = 200;
-/// Judges of a service in a box's own data centre; a second one covers for the
+/// Detectors of a service in a box's own data centre; a second one covers for the
 /// first while the box list still shows one that is gone.
-const OWN_JUDGES: usize = 2;
+const LOCAL_DETECTORS: usize = 2;
 /// Boxes of each data centre that watch the store.
 const WATCHERS: usize = 2;
 
@@ -101,17 +101,17 @@
         self.by_centre.keys()
     }
 
-    /// The boxes that judge `service` for one in `data_centre`, best first.
-    pub fn judges(&self, service: &str, data_centre: &str) -> Vec<Arc<str>> {
-        let mut judges = highest(self.of_centre(data_centre), service, OWN_JUDGES);
+    /// The boxes that run a detector for `service` for one in `data_centre`, best first.
+    pub fn detectors(&self, service: &str, data_centre: &str) -> Vec<Arc<str>> {
+        let mut detectors = highest(self.of_centre(data_centre), service, LOCAL_DETECTORS);
         if self.members.len() <= SMALL_FLEET {
             for (centre, boxes) in &self.by_centre {
                 if **centre != *data_centre {
-                    judges.extend(highest(boxes, service, 1));
+                    detectors.extend(highest(boxes, service, 1));
                 }
             }
         }
-        judges
+        detectors
     }
 
     /// Whether `identity` is one of its data centre's watchers of the store.
--- a/crates/spread/tests/exchange.rs
+++ b/crates/spread/tests/exchange.rs
@@ -179,7 +179,7 @@
     let all = network.cores[&id(0)].members().clone();
     let gone = id(3);
     let services: Vec<String> = (0..200).map(|number| format!("service-{number}")).collect();
-    let judges = |service: &str| all.judges(service, "dc-0");
+    let detectors = |service: &str| all.detectors(service, "dc-0");
     let mut moved = 0;
     let mut smaller = TestNetwork::new(40, 3);
     let mut list = box_list(40, 3);
@@ -189,9 +189,9 @@
     smaller.store_read(0, &list);
     let rest = smaller.cores[&id(0)].members().clone();
     for service in &services {
-        let before = judges(service);
-        let after = rest.judges(service, "dc-0");
-        let kept = before.iter().filter(|judge| after.contains(judge)).count();
+        let before = detectors(service);
+        let after = rest.detectors(service, "dc-0");
+        let kept = before.iter().filter(|detector| after.contains(detector)).count();
         let lost = usize::from(before.contains(&gone));
         assert_eq!(kept, before.len() - lost, "{service}");
         moved += lost;
