--- a/crates/agent/src/exchange/evidence.rs
+++ b/crates/agent/src/exchange/evidence.rs
@@ -6,7 +6,7 @@
 use wingbridge_spread::BoxIdentity;
 use wingbridge_spread::members::SMALL_FLEET;
 use wingbridge_wire::convert::{batches_of, service_evidence};
-use wingbridge_wire::{Evidence, FrameBody, Leaving, VerdictMessage, Verdicts};
+use wingbridge_wire::{Evidence, FrameBody, TargetDraining, VerdictMessage, Verdicts};
 
 use super::{Exchange, NewsKey};
 
@@ -96,13 +96,13 @@
         &mut self,
         now: TimePoint,
         from: Option<&Arc<str>>,
-        leaving: Leaving,
+        leaving: TargetDraining,
     ) {
         let news = NewsKey::Leaving { origin: leaving.origin.clone(), number: leaving.number };
         if !self.heard.note(news) {
             return;
         }
-        let body = FrameBody::Leaving(leaving);
+        let body = FrameBody::Draining(leaving);
         if from.is_some() {
             self.to_proxy(body.clone());
         }
--- a/crates/agent/src/exchange/mod.rs
+++ b/crates/agent/src/exchange/mod.rs
@@ -166,7 +166,7 @@
         if !self.whole && self.parts.core.is_whole() {
             self.whole = true;
             self.parts.line.note("box-whole", &[]);
-            self.to_proxy(FrameBody::CaughtUp(CaughtUp { whole: true }));
+            self.to_proxy(FrameBody::CaughtUp(CaughtUp { complete: true }));
         }
     }
 
@@ -208,7 +208,7 @@
                     self.pass_on_verdict(now, Some(from), verdict);
                 }
             }
-            FrameBody::Leaving(leaving) => self.pass_on_leaving(now, Some(from), leaving),
+            FrameBody::Draining(leaving) => self.pass_on_leaving(now, Some(from), leaving),
             body => {
                 if let FrameBody::Digest(Digest { failing, .. }) = &body {
                     self.suspicion.note_peer(now, from, *failing);
@@ -221,7 +221,7 @@
     fn receive_from_proxy(&mut self, now: TimePoint, body: FrameBody) {
         match body {
             FrameBody::Evidence(evidence) => self.route_evidence(now, &evidence),
-            FrameBody::Leaving(mut leaving) => {
+            FrameBody::Draining(mut leaving) => {
                 self.leavings += 1;
                 leaving.origin = self.parts.identity.box_id.to_string();
                 // The start's time makes numbers of a box that was replaced new ones.
@@ -259,7 +259,7 @@
             .get(&peer)
             .is_none_or(|member| *member.data_centre == *self.parts.identity.data_centre);
         for (at, body) in &self.recent {
-            let for_all = matches!(body, FrameBody::Leaving(_));
+            let for_all = matches!(body, FrameBody::Draining(_));
             if now.since(*at) < RECENT && (for_all || same_centre) {
                 let _ = ring.try_send(body.clone());
             }
@@ -280,7 +280,7 @@
         if !standing.is_empty() {
             self.to_proxy(FrameBody::Verdicts(Verdicts { verdicts: standing }));
         }
-        self.to_proxy(FrameBody::CaughtUp(CaughtUp { whole: self.whole }));
+        self.to_proxy(FrameBody::CaughtUp(CaughtUp { complete: self.whole }));
     }
 
     /// Hands the proxy what of `entries` is configuration, in messages of bounded length.
@@ -305,7 +305,7 @@
         let why = if allowed { "" } else { "most attempts fail here and not in other boxes" };
         self.parts.line.note(if allowed { "box-well-again" } else { "box-holds-itself-sick" }, &[]);
         log::warn!(allowed; "box-readiness-changed");
-        self.to_proxy(FrameBody::Readiness(Readiness { allowed, why: why.into() }));
+        self.to_proxy(FrameBody::Readiness(Readiness { allowed, reason: why.into() }));
     }
 
     fn send(&mut self, to: &Arc<str>, body: FrameBody) {
--- a/crates/agent/src/views.rs
+++ b/crates/agent/src/views.rs
@@ -41,9 +41,9 @@
             target: state.target.clone(),
             state: state.state.clone(),
             for_ms: state.for_ms,
-            why: state.why.clone(),
+            why: state.reason.clone(),
             scope: state.scope.clone(),
-            kept_out: state.kept_out,
+            kept_out: state.excluded,
             kept_by_floor: state.kept_by_floor,
         }
     }
--- a/crates/bench/src/crashes/fleet.rs
+++ b/crates/bench/src/crashes/fleet.rs
@@ -9,7 +9,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use wingbridge_decide::crashes::{CrashLedger, CrashNews};
+use wingbridge_decide::crashes::{CrashLedger, CrashReport};
 use wingbridge_decide::{Fingerprint, TargetKey, TimePoint};
 
 use crate::crashes::{CrashScenario, CrashWay};
@@ -103,8 +103,8 @@
     /// When each of them is there.
     up_from: HashMap<u64, TimePoint>,
     open: BTreeMap<u64, Attempt>,
-    told: Vec<Vec<CrashNews>>,
-    stored: Vec<CrashNews>,
+    told: Vec<Vec<CrashReport>>,
+    stored: Vec<CrashReport>,
     third: Option<TimePoint>,
     bytes: usize,
     run: CrashRun,
@@ -179,7 +179,7 @@
             Event::Ends { attempt } => self.end(attempt),
             Event::Told { by, at, number } => self.hear(by, at, number),
             Event::Learns { at, target } => {
-                let _ = self.ledgers[at].note_gone(self.now, TargetKey(target));
+                let _ = self.ledgers[at].record_target_ended(self.now, TargetKey(target));
                 self.tell(at);
             }
             Event::OthersEnd => self.end_others(),
@@ -240,7 +240,7 @@
         attempt.waits = false;
         if self.way.marks {
             let target = TargetKey(attempt.target);
-            self.ledgers[attempt.at].note_unseen(now, attempt.fingerprint, target);
+            self.ledgers[attempt.at].record_unknown_outcome(now, attempt.fingerprint, target);
         }
     }
 
@@ -259,7 +259,7 @@
             return;
         }
         let attempt = self.open.remove(&number).expect("it was there");
-        let _ = self.ledgers[attempt.at].note_success(self.now, attempt.fingerprint);
+        let _ = self.ledgers[attempt.at].record_success(self.now, attempt.fingerprint);
         self.tell(attempt.at);
     }
 
@@ -282,7 +282,7 @@
         for attempt in &broken {
             if attempt.waits {
                 let key = TargetKey(target);
-                let _ = self.ledgers[attempt.at].note_ended(self.now, attempt.fingerprint, key);
+                let _ = self.ledgers[attempt.at].record_crash(self.now, attempt.fingerprint, key);
                 self.tell(attempt.at);
             } else {
                 let wait = LEARNS_WITHIN.mul_f64(self.random.random());
@@ -325,7 +325,7 @@
 
     /// A box tells all others what is new.
     fn tell(&mut self, by: usize) {
-        let news = self.ledgers[by].take_untold(self.now);
+        let news = self.ledgers[by].take_unreported(self.now);
         if news.is_empty() || !self.way.told {
             return;
         }
@@ -338,7 +338,7 @@
             return;
         }
         for by in 0..BOXES {
-            let news = self.ledgers[by].retold(self.now, 12);
+            let news = self.ledgers[by].reports_to_repeat(self.now, 12);
             if !news.is_empty() {
                 let far = self.random.random_range(0..BOXES);
                 self.send_news(by, news, |at| at % CENTRES == by % CENTRES || at == far);
@@ -346,7 +346,7 @@
         }
     }
 
-    fn send_news(&mut self, by: usize, news: Vec<CrashNews>, wanted: impl Fn(usize) -> bool) {
+    fn send_news(&mut self, by: usize, news: Vec<CrashReport>, wanted: impl Fn(usize) -> bool) {
         let size: usize = news.iter().map(|news| RECORD_BYTES + END_BYTES * news.ends.len()).sum();
         let number = self.told.len();
         self.told.push(news);
@@ -365,7 +365,7 @@
             return;
         }
         for news in &self.told[number] {
-            let _ = self.ledgers[at].take(self.now, news);
+            let _ = self.ledgers[at].merge_report(self.now, news);
         }
     }
 
@@ -382,12 +382,12 @@
             return;
         }
         let writers = BOXES - CENTRES..BOXES;
-        let refused = writers.flat_map(|at| self.ledgers[at].refused_news(self.now, 64));
+        let refused = writers.flat_map(|at| self.ledgers[at].refused_reports(self.now, 64));
         self.stored = refused.collect();
         for at in 0..BOXES {
             if self.is_cut_off(at) {
                 for news in &self.stored {
-                    let _ = self.ledgers[at].take(self.now, news);
+                    let _ = self.ledgers[at].merge_report(self.now, news);
                 }
             }
         }
@@ -400,7 +400,7 @@
         }
         for ledger in &mut self.ledgers {
             for news in &self.stored {
-                let _ = ledger.take(self.now, news);
+                let _ = ledger.merge_report(self.now, news);
             }
         }
     }
--- a/crates/bench/src/quota/target_ways.rs
+++ b/crates/bench/src/quota/target_ways.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use wingbridge_decide::permits::{LoneShare, PermitAnswer, PermitKeeper};
-use wingbridge_decide::quota::bucket::CreditBucket;
+use wingbridge_decide::permits::{FallbackShare, PermitAnswer, PermitCoordinator};
+use wingbridge_decide::quota::bucket::TokenBucket;
 use wingbridge_decide::quota::{Admission, QuotaLimit};
 use wingbridge_decide::steer::RequestRate;
 use wingbridge_decide::{TargetKey, TimePoint};
@@ -36,8 +36,8 @@
     life: u64,
     boxes: usize,
     started: TimePoint,
-    keeper: PermitKeeper,
-    share: LoneShare,
+    keeper: PermitCoordinator,
+    share: FallbackShare,
     asks: u64,
     /// The ask that is open, and whether it was sent.
     open: Option<(u64, TimePoint, bool)>,
@@ -68,7 +68,7 @@
 
     fn admit_alone(&mut self, now: TimePoint, limit: QuotaLimit) -> Admission {
         let drawn = drawn_by(self.number, self.life);
-        match self.share.take(now, rate_of(limit), self.boxes, drawn) {
+        match self.share.acquire(now, rate_of(limit), self.boxes, drawn) {
             PermitAnswer::Granted => Admission::Admitted,
             PermitAnswer::Denied(wait) => {
                 self.used_up_until = now + wait.min(SILENT_PAUSE);
@@ -87,8 +87,8 @@
             life,
             boxes,
             started: now,
-            keeper: PermitKeeper::default(),
-            share: LoneShare::default(),
+            keeper: PermitCoordinator::default(),
+            share: FallbackShare::default(),
             asks: 0,
             open: None,
             is_granted: false,
@@ -176,20 +176,20 @@
     number: usize,
     life: u64,
     boxes: usize,
-    share: LoneShare,
+    share: FallbackShare,
 }
 
 impl WayBox for ShareBox {
     type Message = ();
 
     fn start(_: TimePoint, number: usize, life: u64, boxes: usize) -> ShareBox {
-        ShareBox { number, life, boxes, share: LoneShare::default() }
+        ShareBox { number, life, boxes, share: FallbackShare::default() }
     }
 
     fn admit(&mut self, now: TimePoint, limit: QuotaLimit, _: bool) -> Admission {
         // A lone box spends half of its share; here it is all that there is.
         let rate = RequestRate::new(limit.per_second * 2.0).unwrap_or_default();
-        match self.share.take(now, rate, self.boxes, drawn_by(self.number, self.life)) {
+        match self.share.acquire(now, rate, self.boxes, drawn_by(self.number, self.life)) {
             PermitAnswer::Granted => Admission::Admitted,
             PermitAnswer::Denied(wait) => Admission::Refused(wait),
         }
@@ -201,20 +201,20 @@
     number: usize,
     /// Whether it is one of the first by rank, as far as it knows.
     is_holder: bool,
-    bucket: CreditBucket,
+    bucket: TokenBucket,
 }
 
 impl WayBox for HolderBox {
     type Message = ();
 
     fn start(now: TimePoint, number: usize, _: u64, _: usize) -> HolderBox {
-        HolderBox { number, is_holder: false, bucket: CreditBucket::new(now, 0.0) }
+        HolderBox { number, is_holder: false, bucket: TokenBucket::new(now, 0.0) }
     }
 
     fn admit(&mut self, now: TimePoint, limit: QuotaLimit, _: bool) -> Admission {
         let rate = limit.per_second / HOLDERS as f64;
         self.bucket.fill(now, rate, rate.max(1.0));
-        if self.is_holder && self.bucket.take_one() {
+        if self.is_holder && self.bucket.try_take_one() {
             return Admission::Admitted;
         }
         Admission::Refused(SILENT_PAUSE)
--- a/crates/bench/src/quota/ways.rs
+++ b/crates/bench/src/quota/ways.rs
@@ -3,10 +3,10 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use wingbridge_decide::quota::bucket::CreditBucket;
+use wingbridge_decide::quota::bucket::TokenBucket;
 use wingbridge_decide::quota::{
-    Admission, CreditBook, DueAsk, KeeperPlace, KeeperRole, QuotaAsk, QuotaAsker, QuotaGrant,
-    QuotaKeeper, QuotaLimit, QuotaSlack,
+    Admission, CoordinatorRole, CoordinatorStatus, DueRequest, QuotaCoordinator, QuotaGrant,
+    QuotaLimit, QuotaRequest, QuotaRequester, QuotaSlack, TokenAccounts,
 };
 use wingbridge_decide::{Name, TimePoint};
 
@@ -31,14 +31,14 @@
     /// For how long its process had run when it was started here.
     before: Duration,
     customer: Name,
-    book: CreditBook,
-    keeper: QuotaKeeper,
+    book: TokenAccounts,
+    keeper: QuotaCoordinator,
     started: TimePoint,
 }
 
 #[derive(Clone)]
 pub(crate) enum KeeperMessage {
-    Ask(QuotaAsk),
+    Ask(QuotaRequest),
     Grant(QuotaGrant),
 }
 
@@ -53,7 +53,7 @@
     type Message = KeeperMessage;
 
     fn start(now: TimePoint, number: usize, life: u64, boxes: usize) -> KeeperBox {
-        let mut book = CreditBook::default();
+        let mut book = TokenAccounts::default();
         book.set_boxes(boxes);
         let slack = QuotaSlack { requests: SLACK, window: WINDOW };
         // The first boxes of a fleet have run for a while when traffic begins.
@@ -63,7 +63,7 @@
             before,
             customer: "customer".into(),
             book,
-            keeper: QuotaKeeper::new(TimePoint::default(), slack),
+            keeper: QuotaCoordinator::new(TimePoint::default(), slack),
             started: now,
         }
     }
@@ -71,9 +71,9 @@
     fn admit(&mut self, now: TimePoint, limit: QuotaLimit, is_new: bool) -> Admission {
         let now = self.own(now);
         if is_new {
-            self.book.take(now, &self.customer, limit)
+            self.book.admit(now, &self.customer, limit)
         } else {
-            self.book.take_again(now, &self.customer, limit)
+            self.book.admit_waiting(now, &self.customer, limit)
         }
     }
 
@@ -83,9 +83,10 @@
         _: QuotaLimit,
         ranks: &[usize],
     ) -> Vec<(usize, KeeperMessage)> {
-        let due = self.book.due_asks(self.own(now)).into_iter();
-        let send =
-            |due: DueAsk| Some((*ranks.get(due.place as usize)?, KeeperMessage::Ask(due.ask)));
+        let due = self.book.due_requests(self.own(now)).into_iter();
+        let send = |due: DueRequest| {
+            Some((*ranks.get(due.rank as usize)?, KeeperMessage::Ask(due.request)))
+        };
         due.filter_map(send).collect()
     }
 
@@ -101,21 +102,23 @@
         match message {
             KeeperMessage::Ask(ask) => {
                 let is_first = table.ranks.first() == Some(&self.number);
-                let role = if is_first { KeeperRole::First } else { KeeperRole::Deputy };
-                let place = KeeperPlace { role, hears_all: table.hears_all };
-                let asker = QuotaAsker { box_key: from as u64, life };
-                let grant = self.keeper.answer(now, asker, &self.customer, limit, ask, place);
+                let role =
+                    if is_first { CoordinatorRole::Primary } else { CoordinatorRole::Standby };
+                let status = CoordinatorStatus { role, reaches_all: table.hears_all };
+                let asker = QuotaRequester { box_key: from as u64, incarnation: life };
+                let grant = self.keeper.answer(now, asker, &self.customer, limit, ask, status);
                 Some(KeeperMessage::Grant(grant))
             }
             KeeperMessage::Grant(grant) => {
-                self.book.take_grant(now, &self.customer, grant);
+                self.book.apply_grant(now, &self.customer, grant);
                 None
             }
         }
     }
 
     fn note_ended(&mut self, (number, life): (usize, u64)) {
-        self.keeper.note_ended(QuotaAsker { box_key: number as u64, life });
+        self.keeper
+            .record_box_stopped(QuotaRequester { box_key: number as u64, incarnation: life });
     }
 
     fn bytes(message: &KeeperMessage) -> usize {
@@ -216,7 +219,7 @@
     asked: f64,
     seen: TimePoint,
     peers: ToldByPeers,
-    bucket: CreditBucket,
+    bucket: TokenBucket,
     told: TimePoint,
 }
 
@@ -238,7 +241,7 @@
             asked: 0.0,
             seen: now,
             peers: HashMap::new(),
-            bucket: CreditBucket::new(now, 1.0),
+            bucket: TokenBucket::new(now, 1.0),
             told: now,
         }
     }
@@ -258,7 +261,7 @@
         let part = share * (1.0 - HELD_BACK);
         let rate = limit.per_second * part + SLACK * part / WINDOW.as_secs_f64() / 2.0;
         self.bucket.fill(now, rate, (limit.burst * part).max(1.0));
-        if self.bucket.take_one() { Admission::Admitted } else { Admission::Refused(PART) }
+        if self.bucket.try_take_one() { Admission::Admitted } else { Admission::Refused(PART) }
     }
 
     fn due(&mut self, now: TimePoint, _: QuotaLimit, ranks: &[usize]) -> Vec<(usize, f64)> {
--- a/crates/bench/src/steer/limits.rs
+++ b/crates/bench/src/steer/limits.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 use wingbridge_decide::TimePoint;
-use wingbridge_decide::permits::{LoneShare, PermitKeeper};
+use wingbridge_decide::permits::{FallbackShare, PermitCoordinator};
 use wingbridge_decide::steer::RequestRate;
 
 /// The time over which arrivals are counted, and from when on after a limit was named. Source: the users' pages.
@@ -101,10 +101,10 @@
     spans: HashMap<usize, LimitSpan>,
     sums: LimitSums,
     /// The box that keeps permits for all.
-    pub(super) keeper: PermitKeeper,
+    pub(super) keeper: PermitCoordinator,
     /// What each box does alone, by box and target.
-    pub(super) alone: HashMap<(usize, usize), PermitKeeper>,
-    pub(super) shares: HashMap<(usize, usize), LoneShare>,
+    pub(super) alone: HashMap<(usize, usize), PermitCoordinator>,
+    pub(super) shares: HashMap<(usize, usize), FallbackShare>,
 }
 
 /// A time in which a target names a limit.
--- a/crates/bench/src/steer/world/limits.rs
+++ b/crates/bench/src/steer/world/limits.rs
@@ -63,7 +63,7 @@
             LimitWay::Shares => {
                 let drawn = self.random.random();
                 let share = self.limits.shares.entry(place).or_default();
-                match share.take(now, rate, self.boxes.len(), drawn) {
+                match share.acquire(now, rate, self.boxes.len(), drawn) {
                     PermitAnswer::Denied(wait) => PermitAnswer::Denied(wait.min(ALONE_PAUSE)),
                     PermitAnswer::Granted => PermitAnswer::Granted,
                 }
--- a/crates/decide/src/crashes/mod.rs
+++ b/crates/decide/src/crashes/mod.rs
@@ -11,13 +11,13 @@
 //! A box may not see how an attempt ends: its caller hangs up, or its time is over. The target's name
 //! is kept for a while as a mark, and counts once the target is known to have ended.
 
-mod marks;
+mod open_attempts;
 mod record;
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::crashes::marks::MarkRing;
+use crate::crashes::open_attempts::OpenAttemptRing;
 use crate::crashes::record::RequestRecord;
 use crate::fingerprint::Fingerprint;
 use crate::names::TargetKey;
@@ -83,7 +83,7 @@
 
 /// What is known of one request, as boxes tell it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CrashNews {
+pub struct CrashReport {
     /// The request.
     pub fingerprint: Fingerprint,
     /// Targets that ended under it.
@@ -115,7 +115,7 @@
 #[derive(Debug, Default)]
 pub struct CrashLedger {
     requests: HashMap<Fingerprint, RequestRecord>,
-    marks: MarkRing,
+    marks: OpenAttemptRing,
 }
 
 impl CrashLedger {
@@ -125,46 +125,51 @@
     }
 
     /// Requests that are refused now.
-    pub fn refused(&self, now: TimePoint) -> usize {
+    pub fn refused_count(&self, now: TimePoint) -> usize {
         let is_refused =
             |record: &&RequestRecord| matches!(record.verdict(now), CrashVerdict::Refused { .. });
         self.requests.values().filter(is_refused).count()
     }
 
     /// A target ended under a request: it closed the connection and takes no other one.
-    pub fn note_ended(
+    pub fn record_crash(
         &mut self,
         now: TimePoint,
         fingerprint: Fingerprint,
         target: TargetKey,
     ) -> Vec<CrashChange> {
         self.marks.add(now, fingerprint, target);
-        self.note_gone(now, target)
+        self.record_target_ended(now, target)
     }
 
     /// An attempt ended and this box doesn't know how.
-    pub fn note_unseen(&mut self, now: TimePoint, fingerprint: Fingerprint, target: TargetKey) {
+    pub fn record_unknown_outcome(
+        &mut self,
+        now: TimePoint,
+        fingerprint: Fingerprint,
+        target: TargetKey,
+    ) {
         self.marks.add(now, fingerprint, target);
     }
 
     /// A target has ended: what it had of this box's requests a moment before counts.
-    pub fn note_gone(&mut self, now: TimePoint, target: TargetKey) -> Vec<CrashChange> {
+    pub fn record_target_ended(&mut self, now: TimePoint, target: TargetKey) -> Vec<CrashChange> {
         let marked = self.marks.take(now, target);
         marked.into_iter().filter_map(|mark| self.add_end(now, mark.fingerprint, target)).collect()
     }
 
     /// A target ran a request to a good end.
-    pub fn note_success(
+    pub fn record_success(
         &mut self,
         now: TimePoint,
         fingerprint: Fingerprint,
     ) -> Option<CrashChange> {
         let record = self.requests.get_mut(&fingerprint)?;
-        record.note_success(now)
+        record.record_success(now)
     }
 
     /// Takes what a peer told. Targets of which it tells have ended, so that marks of this box count.
-    pub fn take(&mut self, now: TimePoint, news: &CrashNews) -> Vec<CrashChange> {
+    pub fn merge_report(&mut self, now: TimePoint, news: &CrashReport) -> Vec<CrashChange> {
         let mut changes = Vec::new();
         let record = self.record(now, news.fingerprint);
         if let Some(age) = news.succeeded {
@@ -174,21 +179,23 @@
             changes.extend(record.add(now, now.before(end.age), end.target));
         }
         for end in &news.ends {
-            changes.extend(self.note_gone(now, end.target));
+            changes.extend(self.record_target_ended(now, end.target));
         }
         changes
     }
 
     /// What is new since the last call.
-    pub fn take_untold(&mut self, now: TimePoint) -> Vec<CrashNews> {
-        let untold =
-            self.requests.values_mut().filter_map(|record| record.take_untold().then_some(record));
-        untold.map(|record| record.news(now)).collect()
+    pub fn take_unreported(&mut self, now: TimePoint) -> Vec<CrashReport> {
+        let unreported = self
+            .requests
+            .values_mut()
+            .filter_map(|record| record.take_unreported().then_some(record));
+        unreported.map(|record| record.news(now)).collect()
     }
 
     /// What is told again and again, `most` requests at most: those that are refused, by the number of targets that
     /// ended, and those of which something was new lately.
-    pub fn retold(&self, now: TimePoint, most: usize) -> Vec<CrashNews> {
+    pub fn reports_to_repeat(&self, now: TimePoint, most: usize) -> Vec<CrashReport> {
         let mut told: Vec<&RequestRecord> =
             self.requests.values().filter(|record| record.is_retold(now, RETOLD_FOR)).collect();
         told.sort_by_key(|record| std::cmp::Reverse(record.rank()));
@@ -197,8 +204,8 @@
 
     /// What is known of requests that are refused now, `most` of them at most, those under which most targets
     /// ended first.
-    pub fn refused_news(&self, now: TimePoint, most: usize) -> Vec<CrashNews> {
-        let mut news = self.retold(now, REQUESTS_KEPT);
+    pub fn refused_reports(&self, now: TimePoint, most: usize) -> Vec<CrashReport> {
+        let mut news = self.reports_to_repeat(now, REQUESTS_KEPT);
         news.retain(|news| {
             matches!(self.verdict(now, news.fingerprint), CrashVerdict::Refused { .. })
         });
@@ -214,7 +221,7 @@
     ) -> Option<CrashChange> {
         let record = self.record(now, fingerprint);
         let change = record.add(now, now, target);
-        record.set_untold();
+        record.set_unreported();
         change
     }
 
--- a/crates/decide/src/crashes/marks.rs
+++ b/crates/decide/src/crashes/open_attempts.rs
@@ -16,7 +16,7 @@
 
 /// An attempt whose end was not seen.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct AttemptMark {
+pub(super) struct OpenAttemptMark {
     pub(super) fingerprint: Fingerprint,
     target: TargetKey,
     at: TimePoint,
@@ -24,20 +24,20 @@
 
 /// The last such attempts.
 #[derive(Debug, Default)]
-pub(super) struct MarkRing {
-    marks: VecDeque<AttemptMark>,
+pub(super) struct OpenAttemptRing {
+    marks: VecDeque<OpenAttemptMark>,
 }
 
-impl MarkRing {
+impl OpenAttemptRing {
     pub(super) fn add(&mut self, now: TimePoint, fingerprint: Fingerprint, target: TargetKey) {
         if self.marks.len() >= MARKS_KEPT {
             self.marks.pop_front();
         }
-        self.marks.push_back(AttemptMark { fingerprint, target, at: now });
+        self.marks.push_back(OpenAttemptMark { fingerprint, target, at: now });
     }
 
     /// Takes out the marks at `target` that are young enough to count.
-    pub(super) fn take(&mut self, now: TimePoint, target: TargetKey) -> Vec<AttemptMark> {
+    pub(super) fn take(&mut self, now: TimePoint, target: TargetKey) -> Vec<OpenAttemptMark> {
         while self.marks.front().is_some_and(|mark| now.since(mark.at) > MARK_TIME) {
             self.marks.pop_front();
         }
--- a/crates/decide/src/crashes/record.rs
+++ b/crates/decide/src/crashes/record.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::crashes::{
-    CrashChange, CrashNews, CrashVerdict, DOUBLINGS, REFUSED_FOR, REFUSED_FROM, TargetEnd,
+    CrashChange, CrashReport, CrashVerdict, DOUBLINGS, REFUSED_FOR, REFUSED_FROM, TargetEnd,
 };
 use crate::fingerprint::Fingerprint;
 use crate::names::TargetKey;
@@ -23,7 +23,7 @@
     succeeded: Option<TimePoint>,
     /// When something new became known of it.
     changed: TimePoint,
-    untold: bool,
+    unreported: bool,
 }
 
 impl RequestRecord {
@@ -33,7 +33,7 @@
             ends: Vec::new(),
             succeeded: None,
             changed: TimePoint::default(),
-            untold: false,
+            unreported: false,
         }
     }
 
@@ -78,11 +78,11 @@
     }
 
     /// It succeeded at one of this box's targets.
-    pub(super) fn note_success(&mut self, now: TimePoint) -> Option<CrashChange> {
+    pub(super) fn record_success(&mut self, now: TimePoint) -> Option<CrashChange> {
         if self.ends.is_empty() {
             return None;
         }
-        self.untold = true;
+        self.unreported = true;
         self.take_success(now)
     }
 
@@ -100,20 +100,20 @@
         is_cleared.then_some(CrashChange::Cleared { fingerprint: self.fingerprint })
     }
 
-    pub(super) fn set_untold(&mut self) {
-        self.untold = true;
+    pub(super) fn set_unreported(&mut self) {
+        self.unreported = true;
     }
 
-    pub(super) fn take_untold(&mut self) -> bool {
-        std::mem::take(&mut self.untold)
+    pub(super) fn take_unreported(&mut self) -> bool {
+        std::mem::take(&mut self.unreported)
     }
 
-    pub(super) fn news(&self, now: TimePoint) -> CrashNews {
+    pub(super) fn news(&self, now: TimePoint) -> CrashReport {
         let end = |(at, target): &(TimePoint, TargetKey)| TargetEnd {
             target: *target,
             age: now.since(*at),
         };
-        CrashNews {
+        CrashReport {
             fingerprint: self.fingerprint,
             ends: self.ends.iter().map(end).collect(),
             succeeded: self.succeeded.map(|at| now.since(at)),
--- a/crates/decide/src/permits/keeper.rs
+++ b/crates/decide/src/permits/coordinator.rs
@@ -5,7 +5,7 @@
 
 use crate::names::TargetKey;
 use crate::permits::PermitAnswer;
-use crate::quota::bucket::CreditBucket;
+use crate::quota::bucket::TokenBucket;
 use crate::steer::RequestRate;
 use crate::time::TimePoint;
 
@@ -27,19 +27,19 @@
 
 /// The buckets that this box keeps.
 #[derive(Debug, Default)]
-pub struct PermitKeeper {
+pub struct PermitCoordinator {
     targets: HashMap<TargetKey, KeptLimit>,
 }
 
 #[derive(Debug)]
 struct KeptLimit {
-    bucket: CreditBucket,
+    bucket: TokenBucket,
     /// Up to when permits are spoken for by boxes that were told to come back.
     queued_until: TimePoint,
     asked: TimePoint,
 }
 
-impl PermitKeeper {
+impl PermitCoordinator {
     /// Answers an ask for a permit at the target `key`, which takes `rate`. `part` is the part of the boxes
     /// that this one speaks for, 0 to 1: those that it can't hear may have a keeper of their own.
     pub fn answer(
@@ -55,7 +55,7 @@
         let kept = self.targets.entry(key).or_insert_with(|| KeptLimit::empty(now));
         kept.asked = now;
         kept.bucket.fill(now, rate, (rate * BURST_TIME).max(BURST_LEAST));
-        if kept.bucket.take_one() {
+        if kept.bucket.try_take_one() {
             return PermitAnswer::Granted;
         }
         PermitAnswer::Denied(kept.take_turn(now, rate))
@@ -64,7 +64,7 @@
 
 impl KeptLimit {
     fn empty(now: TimePoint) -> KeptLimit {
-        KeptLimit { bucket: CreditBucket::new(now, 0.0), queued_until: now, asked: now }
+        KeptLimit { bucket: TokenBucket::new(now, 0.0), queued_until: now, asked: now }
     }
 
     /// The time until there is a permit for one more box, behind those that were told before. All told
@@ -72,7 +72,7 @@
     fn take_turn(&mut self, now: TimePoint, rate: f64) -> Duration {
         let seconds =
             |permits: f64| Duration::try_from_secs_f64(permits / rate).unwrap_or(WAIT_MOST);
-        let next = now + seconds((1.0 - self.bucket.credit()).max(0.0)).min(WAIT_MOST);
+        let next = now + seconds((1.0 - self.bucket.tokens()).max(0.0)).min(WAIT_MOST);
         let turn = self.queued_until.max(next).min(now + WAIT_MOST);
         self.queued_until = turn + seconds(TURN_PERMITS).min(WAIT_MOST);
         turn.since(now).max(WAIT_LEAST)
--- a/crates/decide/src/permits/mod.rs
+++ b/crates/decide/src/permits/mod.rs
@@ -5,7 +5,7 @@
 //! keeps alone holds, and equal shares of it are mostly at boxes that have no use for them just then.
 //!
 //! For each such target one box of its data centre, the first by rendezvous, keeps a bucket of permits
-//! ([`keeper`]). A request whose choice falls on the target asks it, one round trip, and goes elsewhere if there is
+//! ([`coordinator`]). A request whose choice falls on the target asks it, one round trip, and goes elsewhere if there is
 //! none; the target then is no choice of that box until its turn. A box that the keeper does not answer lives on
 //! a small share of its own ([`share`]).
 //!
@@ -14,13 +14,13 @@
 //! each time and never waited for while another target is free; at one a second, what forty boxes would spend
 //! ahead is ten times what is allowed.
 
-pub mod keeper;
+pub mod coordinator;
 pub mod share;
 
 use std::time::Duration;
 
-pub use keeper::PermitKeeper;
-pub use share::LoneShare;
+pub use coordinator::PermitCoordinator;
+pub use share::FallbackShare;
 
 /// Whether a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/decide/src/permits/share.rs
+++ b/crates/decide/src/permits/share.rs
@@ -16,14 +16,14 @@
 
 /// The times at which a box may send while it is alone.
 #[derive(Debug, Default)]
-pub struct LoneShare {
+pub struct FallbackShare {
     next: Option<TimePoint>,
 }
 
-impl LoneShare {
+impl FallbackShare {
     /// Whether a request may be sent to a target that takes `rate` from `boxes` boxes. `drawn`, from 0 to 1, is
     /// where in its first turn the box begins, so that turns of boxes that fell alone together don't meet.
-    pub fn take(
+    pub fn acquire(
         &mut self,
         now: TimePoint,
         rate: RequestRate,
--- a/crates/decide/src/quota/credit.rs
+++ b/crates/decide/src/quota/accounts.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use crate::names::Name;
-use crate::quota::bucket::CreditBucket;
-use crate::quota::keeper::{HASTY_PART, SILENT_AFTER};
-use crate::quota::{QuotaAsk, QuotaGrant, QuotaLimit, SHARE_TIME};
+use crate::quota::bucket::TokenBucket;
+use crate::quota::coordinator::{HASTY_PART, SILENT_AFTER};
+use crate::quota::{QuotaGrant, QuotaLimit, QuotaRequest, SHARE_TIME};
 use crate::time::TimePoint;
 
 /// Requests that are owed at most, in time of this box's usual rate; one is always allowed.
@@ -69,25 +69,25 @@
 
 /// An ask that is to be sent.
 #[derive(Debug, Clone, PartialEq)]
-pub struct DueAsk {
+pub struct DueRequest {
     /// The customer.
     pub customer: Name,
     /// The place of the keeper by rank: 0 for the first, 1 for its deputy.
-    pub place: u32,
+    pub rank: u32,
     /// The ask.
-    pub ask: QuotaAsk,
+    pub request: QuotaRequest,
 }
 
 /// A box's accounts with all customers.
 #[derive(Debug, Default)]
-pub struct CreditBook {
-    accounts: HashMap<Name, CreditAccount>,
+pub struct TokenAccounts {
+    accounts: HashMap<Name, TokenAccount>,
     boxes: usize,
     asks: u64,
 }
 
 #[derive(Debug)]
-struct CreditAccount {
+struct TokenAccount {
     limit: QuotaLimit,
     /// Requests that may be admitted, and until when.
     credit: u32,
@@ -111,7 +111,7 @@
     closed_until: TimePoint,
     share: Option<(f64, TimePoint)>,
     /// What this box spends while it is cut off.
-    alone: CreditBucket,
+    alone: TokenBucket,
     /// Requests of late, fading with [`RATE_TIME`].
     asked: f64,
     seen: TimePoint,
@@ -126,14 +126,14 @@
     sent: TimePoint,
 }
 
-impl CreditBook {
+impl TokenAccounts {
     /// How many boxes there are, this one counted.
     pub fn set_boxes(&mut self, boxes: usize) {
         self.boxes = boxes;
     }
 
     /// A request of the customer came; whether it may go on.
-    pub fn take(&mut self, now: TimePoint, customer: &Name, limit: QuotaLimit) -> Admission {
+    pub fn admit(&mut self, now: TimePoint, customer: &Name, limit: QuotaLimit) -> Admission {
         let boxes = self.counted_boxes();
         let account = self.account(now, customer, limit);
         account.note_request(now);
@@ -141,13 +141,18 @@
     }
 
     /// The same for a request that has waited.
-    pub fn take_again(&mut self, now: TimePoint, customer: &Name, limit: QuotaLimit) -> Admission {
+    pub fn admit_waiting(
+        &mut self,
+        now: TimePoint,
+        customer: &Name,
+        limit: QuotaLimit,
+    ) -> Admission {
         let boxes = self.counted_boxes();
         self.account(now, customer, limit).admit(now, boxes)
     }
 
     /// A request that was admitted ran nowhere.
-    pub fn give_back(&mut self, now: TimePoint, customer: &Name) {
+    pub fn refund(&mut self, now: TimePoint, customer: &Name) {
         let Some(account) = self.accounts.get_mut(customer) else {
             return;
         };
@@ -168,7 +173,7 @@
     }
 
     /// Asks that are to be sent now.
-    pub fn due_asks(&mut self, now: TimePoint) -> Vec<DueAsk> {
+    pub fn due_requests(&mut self, now: TimePoint) -> Vec<DueRequest> {
         let boxes = self.counted_boxes();
         let mut due = Vec::new();
         for (customer, account) in &mut self.accounts {
@@ -177,8 +182,8 @@
                 continue;
             }
             self.asks += 1;
-            let (place, ask) = account.ask(now, self.asks, boxes);
-            due.push(DueAsk { customer: customer.clone(), place, ask });
+            let (rank, request) = account.ask(now, self.asks, boxes);
+            due.push(DueRequest { customer: customer.clone(), rank, request });
         }
         due
     }
@@ -190,19 +195,19 @@
     }
 
     /// Takes a keeper's answer, if it is waited for.
-    pub fn take_grant(&mut self, now: TimePoint, customer: &Name, grant: &QuotaGrant) {
+    pub fn apply_grant(&mut self, now: TimePoint, customer: &Name, grant: &QuotaGrant) {
         if let Some(account) = self.accounts.get_mut(customer) {
-            account.take_grant(now, grant);
+            account.apply_grant(now, grant);
         }
     }
 
     /// Whether the box reaches no keeper of that customer.
     pub fn is_cut_off(&self, customer: &Name) -> bool {
-        self.accounts.get(customer).is_some_and(CreditAccount::is_cut_off)
+        self.accounts.get(customer).is_some_and(TokenAccount::is_cut_off)
     }
 
     /// Forgets customers that rest.
-    pub fn forget_resting(&mut self, now: TimePoint) {
+    pub fn remove_idle(&mut self, now: TimePoint) {
         self.accounts.retain(|_, account| now.since(account.seen) < REST_TIME);
     }
 
@@ -210,22 +215,17 @@
         self.boxes.max(LEAST_BOXES)
     }
 
-    fn account(
-        &mut self,
-        now: TimePoint,
-        customer: &Name,
-        limit: QuotaLimit,
-    ) -> &mut CreditAccount {
+    fn account(&mut self, now: TimePoint, customer: &Name, limit: QuotaLimit) -> &mut TokenAccount {
         let account = self.accounts.entry(customer.clone());
-        let account = account.or_insert_with(|| CreditAccount::new(now, limit));
+        let account = account.or_insert_with(|| TokenAccount::new(now, limit));
         account.limit = limit;
         account
     }
 }
 
-impl CreditAccount {
-    fn new(now: TimePoint, limit: QuotaLimit) -> CreditAccount {
-        CreditAccount {
+impl TokenAccount {
+    fn new(now: TimePoint, limit: QuotaLimit) -> TokenAccount {
+        TokenAccount {
             limit,
             credit: 0,
             good_until: now,
@@ -240,7 +240,7 @@
             scarce_until: now,
             closed_until: now,
             share: None,
-            alone: CreditBucket::new(now, 1.0),
+            alone: TokenBucket::new(now, 1.0),
             asked: 0.0,
             seen: now,
         }
@@ -288,10 +288,10 @@
         let part = self.own_part(now, boxes) * if is_hasty { HASTY_PART } else { 1.0 };
         let rate = self.limit.per_second * part;
         self.alone.fill(now, rate, rate.max(1.0));
-        if self.alone.take_one() {
+        if self.alone.try_take_one() {
             return Admission::Admitted;
         }
-        let missing = (1.0 - self.alone.credit()) / rate.max(0.01);
+        let missing = (1.0 - self.alone.tokens()) / rate.max(0.01);
         Admission::Refused(Duration::from_secs_f64(missing.min(SCARCE_TIME.as_secs_f64())))
     }
 
@@ -331,7 +331,7 @@
         self.failed_at = now;
         if self.failed == FAILED_ASKS {
             // Its share counts from now on: filled from before, it came on top of what it was granted.
-            self.alone = CreditBucket::new(now, 1.0);
+            self.alone = TokenBucket::new(now, 1.0);
             self.cut_since = now;
         }
         if open.place == 0 && self.failed >= FIRST_ASKS {
@@ -363,7 +363,7 @@
         Some(now)
     }
 
-    fn ask(&mut self, now: TimePoint, number: u64, boxes: usize) -> (u32, QuotaAsk) {
+    fn ask(&mut self, now: TimePoint, number: u64, boxes: usize) -> (u32, QuotaRequest) {
         let is_passed = now < self.first_from || self.failed >= FIRST_ASKS;
         // A box that is cut off tries both by turns.
         let turn = self.failed.saturating_sub(FIRST_ASKS) % KEEPERS;
@@ -384,10 +384,20 @@
         let told = self.share.filter(|(_, told)| now.since(*told) < SHARE_TIME);
         let share = told.map_or(equal, |(share, _)| share);
         let is_told = told.is_some();
-        (place, QuotaAsk { number, owed, unused, wish, share, is_told })
+        (
+            place,
+            QuotaRequest {
+                number,
+                debt: owed,
+                unused,
+                wanted: wish,
+                share,
+                is_share_assigned: is_told,
+            },
+        )
     }
 
-    fn take_grant(&mut self, now: TimePoint, grant: &QuotaGrant) {
+    fn apply_grant(&mut self, now: TimePoint, grant: &QuotaGrant) {
         let Some(open) = self.outstanding.take_if(|open| open.number == grant.number) else {
             return;
         };
--- a/crates/decide/src/quota/bucket.rs
+++ b/crates/decide/src/quota/bucket.rs
@@ -4,15 +4,15 @@
 
 /// Credit that grows at a rate up to a most, and may be owed.
 #[derive(Debug, Clone, Copy)]
-pub struct CreditBucket {
+pub struct TokenBucket {
     credit: f64,
     filled: TimePoint,
 }
 
-impl CreditBucket {
+impl TokenBucket {
     /// A bucket that holds `credit` at `now`.
-    pub fn new(now: TimePoint, credit: f64) -> CreditBucket {
-        CreditBucket { credit, filled: now }
+    pub fn new(now: TimePoint, credit: f64) -> TokenBucket {
+        TokenBucket { credit, filled: now }
     }
 
     /// Fills it at `rate` a second up to `most`. What is above `most` by then is lost.
@@ -23,12 +23,12 @@
     }
 
     /// What it holds; below 0 if more was spent.
-    pub fn credit(&self) -> f64 {
+    pub fn tokens(&self) -> f64 {
         self.credit
     }
 
     /// Puts back what was not used, up to `most`.
-    pub fn put_back(&mut self, amount: f64, most: f64) {
+    pub fn refund(&mut self, amount: f64, most: f64) {
         self.credit = (self.credit + amount).min(most.max(self.credit));
     }
 
@@ -38,7 +38,7 @@
     }
 
     /// Takes one if it is there.
-    pub fn take_one(&mut self) -> bool {
+    pub fn try_take_one(&mut self) -> bool {
         let there = self.credit >= 1.0;
         if there {
             self.credit -= 1.0;
--- a/crates/decide/src/quota/keeper.rs
+++ b/crates/decide/src/quota/coordinator.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 use crate::names::Name;
-use crate::quota::bucket::CreditBucket;
-use crate::quota::{QuotaAsk, QuotaAsker, QuotaGrant, QuotaLimit, QuotaSlack, SHARE_TIME};
+use crate::quota::bucket::TokenBucket;
+use crate::quota::{QuotaGrant, QuotaLimit, QuotaRequest, QuotaRequester, QuotaSlack, SHARE_TIME};
 use crate::time::TimePoint;
 
 /// What boxes asked counts for about this long in their shares: the users count in windows of 5 s.
@@ -63,25 +63,25 @@
 
 /// What a keeper is to the box that asks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum KeeperRole {
+pub enum CoordinatorRole {
     /// The first by rank: where nobody holds shares yet, it has all of them to give.
-    First,
+    Primary,
     /// The second, for boxes that can't reach the first: it has what they bring.
-    Deputy,
+    Standby,
 }
 
 /// Where a keeper stands when it is asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KeeperPlace {
+pub struct CoordinatorStatus {
     /// What it is to the box that asks.
-    pub role: KeeperRole,
+    pub role: CoordinatorRole,
     /// Whether it hears all boxes of its data centre that it knows of and that did not end as planned.
-    pub hears_all: bool,
+    pub reaches_all: bool,
 }
 
 /// The buckets that this box keeps.
 #[derive(Debug)]
-pub struct QuotaKeeper {
+pub struct QuotaCoordinator {
     started: TimePoint,
     slack: QuotaSlack,
     customers: HashMap<Name, KeptQuota>,
@@ -90,7 +90,7 @@
 #[derive(Debug)]
 struct KeptQuota {
     /// `None` before the first box has asked.
-    bucket: Option<CreditBucket>,
+    bucket: Option<TokenBucket>,
     /// What boxes asked, by their keys.
     boxes: HashMap<u64, BoxUse>,
     /// The shares that boxes brought here, together: what is dealt anew among them.
@@ -118,69 +118,73 @@
     heard: TimePoint,
 }
 
-impl QuotaKeeper {
+impl QuotaCoordinator {
     /// A keeper in a process that starts at `now`.
-    pub fn new(now: TimePoint, slack: QuotaSlack) -> QuotaKeeper {
-        QuotaKeeper { started: now, slack, customers: HashMap::new() }
+    pub fn new(now: TimePoint, slack: QuotaSlack) -> QuotaCoordinator {
+        QuotaCoordinator { started: now, slack, customers: HashMap::new() }
     }
 
     /// Answers the box `asker`.
     pub fn answer(
         &mut self,
         now: TimePoint,
-        asker: QuotaAsker,
+        requester: QuotaRequester,
         customer: &Name,
         limit: QuotaLimit,
-        ask: &QuotaAsk,
-        place: KeeperPlace,
+        request: &QuotaRequest,
+        status: CoordinatorStatus,
     ) -> QuotaGrant {
-        let role = place.role;
+        let role = status.role;
         let is_young = now.since(self.started) < self.slack.window;
         let kept = self.customers.entry(customer.clone());
         let kept = kept.or_insert_with(|| KeptQuota::new(now));
-        kept.find_shares(now, place);
+        kept.find_shares(now, status);
         kept.fade(now);
-        kept.note_asker(now, asker, ask, role);
+        kept.record_requester(now, requester, request, role);
         let heard = kept.heard_shares(now);
         let part = match role {
-            KeeperRole::First if is_young => heard * YOUNG_PART,
-            KeeperRole::First => heard,
+            CoordinatorRole::Primary if is_young => heard * YOUNG_PART,
+            CoordinatorRole::Primary => heard,
             // The first keeper holds nothing back for its askers yet.
-            KeeperRole::Deputy if now.since(kept.since) < SILENT_AFTER => heard * HASTY_PART,
-            KeeperRole::Deputy => heard,
+            CoordinatorRole::Standby if now.since(kept.since) < SILENT_AFTER => heard * HASTY_PART,
+            CoordinatorRole::Standby => heard,
         };
         let slack = self.slack.requests * SLACK_PART * part;
         let rate = limit.per_second * part + slack / self.slack.window.as_secs_f64().max(0.1);
         let burst = match role {
-            KeeperRole::First => limit.burst,
-            KeeperRole::Deputy => limit.burst * DEPUTY_PART,
+            CoordinatorRole::Primary => limit.burst,
+            CoordinatorRole::Standby => limit.burst * DEPUTY_PART,
         };
         let most = burst * part + slack;
         let first = burst * part * FIRST_PART + slack;
-        let bucket = kept.bucket.get_or_insert_with(|| CreditBucket::new(now, first));
+        let bucket = kept.bucket.get_or_insert_with(|| TokenBucket::new(now, first));
         let least = (most * SCARCE_PART).max(SCARCE_LEAST);
-        let filled = if bucket.credit() < least { rate * SCARCE_RATE_PART } else { rate };
+        let filled = if bucket.tokens() < least { rate * SCARCE_RATE_PART } else { rate };
         bucket.fill(now, filled, most);
-        bucket.put_back(f64::from(ask.unused), most);
-        bucket.spend(f64::from(ask.owed), -limit.burst * DEBT_PART);
-        let scarce = bucket.credit() < least;
-        let granted = grant(bucket, ask.wish, scarce);
-        let more = ask.owed.saturating_add(granted);
-        let share = kept.deal_share(now, asker.box_key, more, heard);
-        QuotaGrant { number: ask.number, granted, scarce, wait: kept.wait(rate), share }
+        bucket.refund(f64::from(request.unused), most);
+        bucket.spend(f64::from(request.debt), -limit.burst * DEBT_PART);
+        let scarce = bucket.tokens() < least;
+        let granted = grant(bucket, request.wanted, scarce);
+        let more = request.debt.saturating_add(granted);
+        let share = kept.deal_share(now, requester.box_key, more, heard);
+        QuotaGrant { number: request.number, granted, scarce, wait: kept.wait(rate), share }
     }
 
     /// A box ends as planned: its shares go to the others.
-    pub fn note_ended(&mut self, asker: QuotaAsker) {
+    pub fn record_box_stopped(&mut self, requester: QuotaRequester) {
         for kept in self.customers.values_mut() {
-            if kept.boxes.get(&asker.box_key).is_some_and(|used| used.life == asker.life) {
-                kept.boxes.remove(&asker.box_key);
+            if kept
+                .boxes
+                .get(&requester.box_key)
+                .is_some_and(|used| used.life == requester.incarnation)
+            {
+                kept.boxes.remove(&requester.box_key);
             }
         }
     }
 
     /// Forgets customers of whom nobody asks any more.
-    pub fn forget_resting(&mut self, now: TimePoint) {
+    pub fn remove_idle(&mut self, now: TimePoint) {
         self.customers.retain(|_, kept| now.since(kept.faded) < REST_TIME);
     }
 }
@@ -203,10 +207,10 @@
     /// all boxes had been killed small customers were refused a third of their requests for 10 s.
     ///
     /// A deputy finds none: the first keeper has what it misses.
-    fn find_shares(&mut self, now: TimePoint, place: KeeperPlace) {
-        let (rate, until) = match place {
-            KeeperPlace { role: KeeperRole::Deputy, .. } => (0.0, now),
-            KeeperPlace { hears_all: false, .. } => (FOUND_PER_S_ALONE, now),
+    fn find_shares(&mut self, now: TimePoint, status: CoordinatorStatus) {
+        let (rate, until) = match status {
+            CoordinatorStatus { role: CoordinatorRole::Standby, .. } => (0.0, now),
+            CoordinatorStatus { reaches_all: false, .. } => (FOUND_PER_S_ALONE, now),
             _ => (FOUND_PER_S, now.before(FOUND_LAG).max(self.found_until)),
         };
         let passed = until.since(self.found_until).min(FOUND_LAG);
@@ -229,21 +233,27 @@
 
     /// Notes that a box asks. One that is new here brings its share; one that has started again
     /// has that of its life before, of which it knows nothing.
-    fn note_asker(&mut self, now: TimePoint, asker: QuotaAsker, ask: &QuotaAsk, role: KeeperRole) {
-        let QuotaAsker { box_key, life } = asker;
+    fn record_requester(
+        &mut self,
+        now: TimePoint,
+        requester: QuotaRequester,
+        request: &QuotaRequest,
+        role: CoordinatorRole,
+    ) {
+        let QuotaRequester { box_key, incarnation: life } = requester;
         if let Some(used) = self.boxes.get_mut(&box_key) {
             (used.life, used.heard) = (life, now);
             return;
         }
-        if ask.is_told && !self.is_dealt {
+        if request.is_share_assigned && !self.is_dealt {
             // All was there to give while nobody had a share. It is not any more.
             self.shares = self.dealt();
             self.is_dealt = true;
         }
-        let brought = ask.share.clamp(0.0, 1.0);
+        let brought = request.share.clamp(0.0, 1.0);
         let used = BoxUse { life, asked: 0.0, pace: 0.0, share: brought, heard: now };
         self.boxes.insert(box_key, used);
-        let all_are_new = !self.is_dealt && role == KeeperRole::First;
+        let all_are_new = !self.is_dealt && role == CoordinatorRole::Primary;
         self.shares = if all_are_new { 1.0 } else { (self.shares + brought).min(1.0) };
     }
 
@@ -299,8 +309,8 @@
 
 /// Takes what is wished for out of a bucket, and half of what there is at most while it is scarce, so
 /// that boxes that ask next get some.
-fn grant(bucket: &mut CreditBucket, wish: u32, scarce: bool) -> u32 {
-    let there = bucket.credit().max(0.0);
+fn grant(bucket: &mut TokenBucket, wish: u32, scarce: bool) -> u32 {
+    let there = bucket.tokens().max(0.0);
     let most = if scarce { (there / 2.0).ceil().min(there.floor()) } else { there.floor() };
     let granted = f64::from(wish).min(most);
     bucket.spend(granted, 0.0);
--- a/crates/decide/src/quota/mod.rs
+++ b/crates/decide/src/quota/mod.rs
@@ -5,9 +5,9 @@
 //! sends ten times its usual from everywhere at once, and the bound must hold over any window,
 //! also while boxes are cut off, restarted or slow.
 //!
-//! For each customer one box, the first by rendezvous, keeps a bucket of credit ([`keeper`]); a
+//! For each customer one box, the first by rendezvous, keeps a bucket of credit ([`coordinator`]); a
 //! second one steps in for boxes that can't reach it. Each box spends ahead of the keeper's word
-//! while credit is plentiful and tells what it spent ([`credit`]), so that no request waits and the
+//! while credit is plentiful and tells what it spent ([`accounts`]), so that no request waits and the
 //! keeper knows within a round trip. Once credit is scarce, boxes get it in advance, and a box
 //! without credit refuses at once. A box that reaches no keeper lives on the share of the customer's
 //! credit that it had before, which its keeper holds back for as long as it does not hear it.
@@ -15,14 +15,14 @@
 //! Sums of the window that each box tells all others were weighed against that: at 113 boxes
 //! with 9 requests a second each they are 1,000 datagrams a second at each box.
 
+pub mod accounts;
 pub mod bucket;
-pub mod credit;
-pub mod keeper;
+pub mod coordinator;
 
 use std::time::Duration;
 
-pub use credit::{Admission, CreditBook, DueAsk};
-pub use keeper::{KeeperPlace, KeeperRole, QuotaKeeper};
+pub use accounts::{Admission, DueRequest, TokenAccounts};
+pub use coordinator::{CoordinatorRole, CoordinatorStatus, QuotaCoordinator};
 
 /// For how long a box may live on the share that it was last told, and its keeper holds that back.
 pub(crate) const SHARE_TIME: Duration = Duration::from_secs(30);
@@ -47,28 +47,28 @@
 
 /// What a box tells a keeper, and wishes of it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct QuotaAsk {
+pub struct QuotaRequest {
     /// Another number for each ask of a box: the answer repeats it.
     pub number: u64,
     /// Requests that it admitted ahead of the keeper's word and has not told of.
-    pub owed: u32,
+    pub debt: u32,
     /// Requests that it was granted and did not use in time.
     pub unused: u32,
     /// Requests that it wants to admit soon.
-    pub wish: u32,
+    pub wanted: u32,
     /// Its share of the customer's credit, 0 to 1.
     pub share: f64,
     /// Whether a keeper told it that share. A box that has just begun brings an equal one.
-    pub is_told: bool,
+    pub is_share_assigned: bool,
 }
 
 /// The box that asks a keeper.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct QuotaAsker {
+pub struct QuotaRequester {
     /// A number for the box that outlasts its restarts.
     pub box_key: u64,
     /// Another number after each of its starts.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// A keeper's answer.
--- a/crates/decide/tests/crashes.rs
+++ b/crates/decide/tests/crashes.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use wingbridge_decide::crashes::{
-    CrashLedger, CrashNews, CrashVerdict, REFUSED_FOR, REFUSED_FROM, TargetEnd,
+    CrashLedger, CrashReport, CrashVerdict, REFUSED_FOR, REFUSED_FROM, TargetEnd,
 };
 use wingbridge_decide::{Fingerprint, TargetKey, TimePoint};
 
@@ -121,24 +121,24 @@
     },
 ];
 
-fn told(target: u64, age: u64) -> CrashNews {
+fn told(target: u64, age: u64) -> CrashReport {
     let end = TargetEnd { target: TargetKey(target), age: SECOND * age as u32 };
-    CrashNews { fingerprint: DEADLY, ends: vec![end], succeeded: None }
+    CrashReport { fingerprint: DEADLY, ends: vec![end], succeeded: None }
 }
 
 fn play(steps: &[Step]) -> (CrashLedger, TimePoint) {
     let (mut ledger, mut now) = (CrashLedger::default(), start());
     for step in steps {
         match *step {
-            Ends(target) => drop(ledger.note_ended(now, DEADLY, TargetKey(target))),
-            Unseen(target) => ledger.note_unseen(now, DEADLY, TargetKey(target)),
-            Gone(target) => drop(ledger.note_gone(now, TargetKey(target))),
-            Told(target, age) => drop(ledger.take(now, &told(target, age))),
-            Succeeds => drop(ledger.note_success(now, DEADLY)),
+            Ends(target) => drop(ledger.record_crash(now, DEADLY, TargetKey(target))),
+            Unseen(target) => ledger.record_unknown_outcome(now, DEADLY, TargetKey(target)),
+            Gone(target) => drop(ledger.record_target_ended(now, TargetKey(target))),
+            Told(target, age) => drop(ledger.merge_report(now, &told(target, age))),
+            Succeeds => drop(ledger.record_success(now, DEADLY)),
             ToldSuccess(age) => {
                 let succeeded = Some(SECOND * age as u32);
-                let news = CrashNews { fingerprint: DEADLY, ends: Vec::new(), succeeded };
-                drop(ledger.take(now, &news));
+                let news = CrashReport { fingerprint: DEADLY, ends: Vec::new(), succeeded };
+                drop(ledger.merge_report(now, &news));
             }
             Rest(seconds) => now = now + SECOND * seconds as u32,
         }
@@ -155,28 +155,28 @@
         assert_eq!(verdict.ended(), case.ended, "{}", case.name);
         let refused = matches!(verdict, CrashVerdict::Refused { .. });
         assert_eq!(refused, case.refused, "{}", case.name);
-        assert_eq!(ledger.refused(now), usize::from(case.refused), "{}", case.name);
+        assert_eq!(ledger.refused_count(now), usize::from(case.refused), "{}", case.name);
     }
 }
 
 #[test]
 fn what_is_new_is_told_once_and_what_is_refused_again_and_again() {
     let (mut ledger, now) = play(&[Ends(1), Ends(2), Ends(3)]);
-    let told = ledger.take_untold(now);
+    let told = ledger.take_unreported(now);
     assert_eq!((told.len(), told[0].ends.len()), (1, 3));
-    assert_eq!(ledger.take_untold(now), []);
+    assert_eq!(ledger.take_unreported(now), []);
     let later = now + REFUSED_FOR / 2;
-    assert_eq!(ledger.retold(later, 10).len(), 1);
-    assert_eq!(ledger.retold(now + REFUSED_FOR * 2, 10), []);
+    assert_eq!(ledger.reports_to_repeat(later, 10).len(), 1);
+    assert_eq!(ledger.reports_to_repeat(now + REFUSED_FOR * 2, 10), []);
     // A peer that takes it tells it by its own beacons, and not at once.
     let mut peer = CrashLedger::default();
     assert_eq!(
-        peer.take(now, &told[0]).len(),
+        peer.merge_report(now, &told[0]).len(),
         1,
         "it is refused there, which is told to operators"
     );
-    assert_eq!(peer.take_untold(now), []);
-    assert_eq!(peer.retold(now, 10), told);
+    assert_eq!(peer.take_unreported(now), []);
+    assert_eq!(peer.reports_to_repeat(now, 10), told);
 }
 
 /// Callers that hang up, and targets that end under them, fill no memory: 40,000 requests under which
@@ -185,10 +185,10 @@
 fn memory_is_bounded_and_keeps_what_is_refused() {
     let (mut ledger, now) = play(&[Ends(1), Ends(2), Ends(3)]);
     for number in 0..40_000 {
-        ledger.note_unseen(now, Fingerprint(1_000 + number), TargetKey(1_000 + number));
-        ledger.note_ended(now, Fingerprint(100_000 + number), TargetKey(100_000 + number));
+        ledger.record_unknown_outcome(now, Fingerprint(1_000 + number), TargetKey(1_000 + number));
+        ledger.record_crash(now, Fingerprint(100_000 + number), TargetKey(100_000 + number));
     }
-    assert_eq!(ledger.retold(now, usize::MAX).len(), 1024);
+    assert_eq!(ledger.reports_to_repeat(now, usize::MAX).len(), 1024);
     assert!(matches!(ledger.verdict(now, DEADLY), CrashVerdict::Refused { ended: 3, .. }));
 }
 
@@ -208,13 +208,13 @@
     prop_oneof![4 => end, 1 => success]
 }
 
-fn news_of(word: Word) -> CrashNews {
+fn news_of(word: Word) -> CrashReport {
     match word {
         Word::End { target, age_ms } => {
             let end = TargetEnd { target: TargetKey(target), age: Duration::from_millis(age_ms) };
-            CrashNews { fingerprint: DEADLY, ends: vec![end], succeeded: None }
+            CrashReport { fingerprint: DEADLY, ends: vec![end], succeeded: None }
         }
-        Word::Success { age_ms } => CrashNews {
+        Word::Success { age_ms } => CrashReport {
             fingerprint: DEADLY,
             ends: Vec::new(),
             succeeded: Some(Duration::from_millis(age_ms)),
@@ -233,7 +233,7 @@
         let mut straight = CrashLedger::default();
         let mut mixed = CrashLedger::default();
         for word in &words {
-            straight.take(now, &news_of(*word));
+            straight.merge_report(now, &news_of(*word));
         }
         let mut shuffled = words.clone();
         shuffled.sort_by_key(|word| {
@@ -241,11 +241,11 @@
             wingbridge_decide::names::stable_hash(&text)
         });
         for word in shuffled.iter().chain(&words) {
-            mixed.take(now, &news_of(*word));
+            mixed.merge_report(now, &news_of(*word));
         }
         let mut third = CrashLedger::default();
-        for news in mixed.retold(now, 10) {
-            third.take(now, &news);
+        for news in mixed.reports_to_repeat(now, 10) {
+            third.merge_report(now, &news);
         }
         let verdict = straight.verdict(now, DEADLY);
         prop_assert_eq!(mixed.verdict(now, DEADLY), verdict);
--- a/crates/decide/tests/limits.rs
+++ b/crates/decide/tests/limits.rs
@@ -9,7 +9,7 @@
 
 use steering::{at, settled};
 use wingbridge_decide::TargetKey;
-use wingbridge_decide::permits::{LoneShare, PermitAnswer, PermitKeeper};
+use wingbridge_decide::permits::{FallbackShare, PermitAnswer, PermitCoordinator};
 use wingbridge_decide::steer::{LimitSaid, RequestRate, SteerCore};
 
 /// When the first word of each test comes, in milliseconds.
@@ -151,7 +151,7 @@
 }
 
 /// Permits that a keeper gives out to boxes that ask each 10 ms, in seconds.
-fn granted(keeper: &mut PermitKeeper, rate: RequestRate, part: f64, seconds: u64) -> usize {
+fn granted(keeper: &mut PermitCoordinator, rate: RequestRate, part: f64, seconds: u64) -> usize {
     let times = (0..seconds * 100).map(|step| at(TOLD + step * 10));
     let answers = times.map(|now| keeper.answer(now, key(), rate, part));
     answers.filter(|answer| *answer == PermitAnswer::Granted).count()
@@ -175,7 +175,8 @@
 #[test]
 fn a_keeper_gives_out_what_the_limit_allows() {
     for case in KEEPERS {
-        let granted = granted(&mut PermitKeeper::default(), rate(case.per_second), case.part, 101);
+        let granted =
+            granted(&mut PermitCoordinator::default(), rate(case.per_second), case.part, 101);
         let more = (case.per_second * case.part) as usize + 1;
         let bounds = case.granted..=case.granted + more;
         assert!(bounds.contains(&granted), "{} x {}: {granted}", case.per_second, case.part);
@@ -184,7 +185,7 @@
 
 #[test]
 fn boxes_without_a_permit_are_told_different_turns() {
-    let mut keeper = PermitKeeper::default();
+    let mut keeper = PermitCoordinator::default();
     let turn = |_| match keeper.answer(at(TOLD), key(), rate(2.0), 1.0) {
         PermitAnswer::Denied(wait) => wait,
         PermitAnswer::Granted => panic!("a bucket begins empty"),
@@ -197,13 +198,14 @@
 #[test]
 fn boxes_without_a_keeper_send_half_of_a_limit_together() {
     const BOXES: usize = 40;
-    let mut shares: Vec<LoneShare> = (0..BOXES).map(|_| LoneShare::default()).collect();
+    let mut shares: Vec<FallbackShare> = (0..BOXES).map(|_| FallbackShare::default()).collect();
     let mut sent = 0;
     for step in 0..4_000 {
         let now = at(TOLD + step * 100);
         for (number, share) in shares.iter_mut().enumerate() {
             let drawn = number as f64 / BOXES as f64;
-            sent += usize::from(share.take(now, rate(1.0), BOXES, drawn) == PermitAnswer::Granted);
+            sent +=
+                usize::from(share.acquire(now, rate(1.0), BOXES, drawn) == PermitAnswer::Granted);
         }
     }
     assert!((190..=200).contains(&sent), "{sent}");
--- a/crates/demo/tests/failures.rs
+++ b/crates/demo/tests/failures.rs
@@ -287,7 +287,10 @@
         let side = wingbridge_wire::HandshakeSide::Client;
         wingbridge_wire::handshake::prove(&mut stream, &key, side).await
     });
-    assert_eq!(result.map_err(|error| error.kind()), Err(wingbridge_wire::ErrorKind::Stranger));
+    assert_eq!(
+        result.map_err(|error| error.kind()),
+        Err(wingbridge_wire::ErrorKind::Unauthenticated)
+    );
 }
 
 fn generation(system: &wingbridge_demo::SmallSystem, key: &str) -> u64 {
--- a/crates/gateway/src/config_exchange.rs
+++ b/crates/gateway/src/config_exchange.rs
@@ -6,7 +6,7 @@
 use async_std::future::timeout;
 use async_std::net::TcpStream;
 use prost::Message;
-use wingbridge_wire::gossip::{ConfigReply, ConfigRequest, ConfigStep, ExchangeQuestion};
+use wingbridge_wire::gossip::{ConfigDelta, ConfigReply, ConfigRequest, ExchangeQuestion};
 use wingbridge_wire::{ErrorKind, WireError, send_message};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -42,24 +42,24 @@
         }
     };
     if reply.busy {
-        let holders = reply.holders.iter().filter_map(|host| host.parse().ok());
+        let holders = reply.seeders.iter().filter_map(|host| host.parse().ok());
         return ConfigFetch::Busy(holders.collect());
     }
     let as_of = Instant::now().checked_sub(Duration::from_millis(reply.age_ms));
     let as_of = as_of.map(|as_of| context.correct(&start, as_of));
-    let (Some(as_of), false) = (as_of, reply.steps.is_empty()) else {
+    let (Some(as_of), false) = (as_of, reply.deltas.is_empty()) else {
         log::info!(peer:% = host, revision = reply.revision; "configuration-not-newer");
         return ConfigFetch::Failed;
     };
-    match follow_steps(held.as_ref(), &reply.steps) {
+    match follow_steps(held.as_ref(), &reply.deltas) {
         Ok(text) => {
             log::info!(
-                peer:% = host, revision = text.revision, from = reply.steps[0].from,
+                peer:% = host, revision = text.revision, from = reply.deltas[0].from,
                 bytes = reply.encoded_len(), text_bytes = text.text.len(),
                 taken_ms = millis(began.elapsed());
                 "configuration-fetched"
             );
-            context.take_config(text, reply.steps, as_of, "peer");
+            context.take_config(text, reply.deltas, as_of, "peer");
             ConfigFetch::Taken
         }
         Err(reason) => {
@@ -82,7 +82,7 @@
     // As long as the peer waits for it: less would throw away what is nearly through.
     let time = context.budget.config_fetch_time();
     timeout(time, send_message(stream, source.message())).await.map_err(late)??;
-    if !source.message().steps.is_empty() {
+    if !source.message().deltas.is_empty() {
         context.config_source.note_holder(peer, source.message().revision);
     }
     Ok(())
@@ -90,7 +90,7 @@
 
 fn follow_steps(
     held: Option<&ConfigText>,
-    steps: &[ConfigStep],
+    steps: &[ConfigDelta],
 ) -> Result<ConfigText, &'static str> {
     let mut text: Vec<u8> = Vec::new();
     let mut revision = 0;
--- a/crates/gateway/src/config_source.rs
+++ b/crates/gateway/src/config_source.rs
@@ -8,7 +8,7 @@
 use std::net::IpAddr;
 use std::sync::Mutex;
 
-use wingbridge_wire::gossip::{ConfigReply, ConfigRequest, ConfigStep};
+use wingbridge_wire::gossip::{ConfigDelta, ConfigReply, ConfigRequest};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::context::lock;
@@ -35,9 +35,9 @@
 struct SourceState {
     text: Option<ConfigText>,
     /// What led from earlier ones to this one, oldest first.
-    steps: VecDeque<ConfigStep>,
+    steps: VecDeque<ConfigDelta>,
     /// All of it, made when it is first needed.
-    whole: Option<ConfigStep>,
+    whole: Option<ConfigDelta>,
     /// Boxes to which it was sent, oldest first.
     holders: VecDeque<IpAddr>,
 }
@@ -64,7 +64,7 @@
 
     /// Holds `text` from now on. `steps` are those by which it came here from the one before;
     /// without them they are made.
-    pub fn put(&self, text: ConfigText, steps: Vec<ConfigStep>) {
+    pub fn put(&self, text: ConfigText, steps: Vec<ConfigDelta>) {
         let before = {
             let state = lock(&self.state);
             if state.text.as_ref().is_some_and(|held| held.revision >= text.revision) {
@@ -109,14 +109,14 @@
         let steps = state.steps_from(request.revision, &text);
         let bytes: usize = steps.iter().map(|step| step.patch.len()).sum();
         if bytes <= SMALL_REPLY {
-            return SourceReply { reply: ConfigReply { steps, ..reply }, _place: None };
+            return SourceReply { reply: ConfigReply { deltas: steps, ..reply }, _place: None };
         }
         let Some(place) = self.places.take() else {
             let holders = state.holders.iter().rev().map(IpAddr::to_string).collect();
-            let reply = ConfigReply { busy: true, holders, ..reply };
+            let reply = ConfigReply { busy: true, seeders: holders, ..reply };
             return SourceReply { reply, _place: None };
         };
-        SourceReply { reply: ConfigReply { steps, ..reply }, _place: Some(place) }
+        SourceReply { reply: ConfigReply { deltas: steps, ..reply }, _place: Some(place) }
     }
 
     /// Notes that the box at `host` has the configuration of `revision` from here.
@@ -133,7 +133,7 @@
 }
 
 impl SourceState {
-    fn steps_from(&mut self, revision: u64, text: &ConfigText) -> Vec<ConfigStep> {
+    fn steps_from(&mut self, revision: u64, text: &ConfigText) -> Vec<ConfigDelta> {
         let first = self.steps.iter().position(|step| step.from == revision);
         if let Some(first) = first.filter(|_| revision > 0) {
             return self.steps.iter().skip(first).cloned().collect();
@@ -143,8 +143,8 @@
     }
 }
 
-fn step(from: u64, before: &[u8], text: &ConfigText) -> ConfigStep {
-    ConfigStep {
+fn step(from: u64, before: &[u8], text: &ConfigText) -> ConfigDelta {
+    ConfigDelta {
         from,
         to: text.revision,
         hash: xxh3_64(&text.text),
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -10,7 +10,7 @@
 use wingbridge_decide::steer::split::WeightedSplit;
 use wingbridge_decide::steer::{SteerCore, SteerSetup, SuspicionChange};
 use wingbridge_decide::{Fingerprint, Name, TimePoint};
-use wingbridge_wire::gossip::ConfigStep;
+use wingbridge_wire::gossip::ConfigDelta;
 
 use crate::change_budget::ChangeBudget;
 use crate::config_source::ConfigSource;
@@ -261,7 +261,7 @@
     pub(crate) fn take_config(
         &self,
         config: ConfigText,
-        steps: Vec<ConfigStep>,
+        steps: Vec<ConfigDelta>,
         as_of: Instant,
         source: &str,
     ) {
@@ -277,7 +277,7 @@
 
     /// Hands on the configuration that is held now. Returns since when this box had known that
     /// there is a newer one.
-    fn settle_config(&self, steps: Vec<ConfigStep>) -> Option<Instant> {
+    fn settle_config(&self, steps: Vec<ConfigDelta>) -> Option<Instant> {
         let held = self.view().config_text().cloned()?;
         let heard = {
             let mut newer = self.newer_config();
--- a/crates/gateway/src/crash_desk.rs
+++ b/crates/gateway/src/crash_desk.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use prost::Message;
-use wingbridge_decide::crashes::{CrashChange, CrashLedger, CrashNews, CrashVerdict, TargetEnd};
+use wingbridge_decide::crashes::{CrashChange, CrashLedger, CrashReport, CrashVerdict, TargetEnd};
 use wingbridge_decide::{Fingerprint, TargetKey, TimePoint};
 use wingbridge_wire::gossip::{CrashNote, CrashRecord};
 
@@ -37,43 +37,43 @@
 
     /// A target ended under a request.
     pub(crate) fn note_ended(&self, fingerprint: Fingerprint, target: TargetKey) {
-        let changes = lock(&self.ledger).note_ended(self.now(), fingerprint, target);
+        let changes = lock(&self.ledger).record_crash(self.now(), fingerprint, target);
         self.note_changes(&changes, "own");
     }
 
     /// An attempt ended and this box doesn't know how.
     pub(crate) fn note_unseen(&self, fingerprint: Fingerprint, target: TargetKey) {
-        lock(&self.ledger).note_unseen(self.now(), fingerprint, target);
+        lock(&self.ledger).record_unknown_outcome(self.now(), fingerprint, target);
     }
 
     /// A target refuses connections, or another one has its address.
     pub(crate) fn note_gone(&self, target: TargetKey) {
-        let changes = lock(&self.ledger).note_gone(self.now(), target);
+        let changes = lock(&self.ledger).record_target_ended(self.now(), target);
         self.note_changes(&changes, "own");
     }
 
     /// A target ran a request to a good end.
     pub(crate) fn note_success(&self, fingerprint: Fingerprint) {
-        let change = lock(&self.ledger).note_success(self.now(), fingerprint);
+        let change = lock(&self.ledger).record_success(self.now(), fingerprint);
         self.note_changes(change.as_slice(), "own");
     }
 
     /// Takes what a peer told.
     pub(crate) fn take(&self, records: &[CrashRecord], peer: &str) {
         for record in records {
-            let changes = lock(&self.ledger).take(self.now(), &decode_record(record));
+            let changes = lock(&self.ledger).merge_report(self.now(), &decode_record(record));
             self.note_changes(&changes, peer);
         }
     }
 
     /// What is new since the last call.
     pub(crate) fn take_untold(&self) -> Vec<CrashRecord> {
-        lock(&self.ledger).take_untold(self.now()).iter().map(encode_news).collect()
+        lock(&self.ledger).take_unreported(self.now()).iter().map(encode_news).collect()
     }
 
     /// What is told again and again, `most` requests at most.
     pub(crate) fn retold(&self, most: usize) -> Vec<CrashRecord> {
-        lock(&self.ledger).retold(self.now(), most).iter().map(encode_news).collect()
+        lock(&self.ledger).reports_to_repeat(self.now(), most).iter().map(encode_news).collect()
     }
 
     /// Takes what boxes left in the store. Its times are those of the writers' clocks, which may differ
@@ -102,7 +102,7 @@
     /// The requests that are refused now, for the store; and a number that is another one when
     /// there is something else to write.
     pub(crate) fn note(&self) -> (u64, Vec<u8>) {
-        let refused = lock(&self.ledger).refused_news(self.now(), NOTED);
+        let refused = lock(&self.ledger).refused_reports(self.now(), NOTED);
         let known = refused.iter().map(|news| (news.fingerprint.0, news.ends.len()));
         let version = known.fold(0_u64, |sum, (fingerprint, ends)| {
             sum.wrapping_add(fingerprint.wrapping_mul(2 * ends as u64 + 1))
@@ -131,7 +131,7 @@
                 }
             }
         }
-        let refused = lock(&self.ledger).refused(self.now());
+        let refused = lock(&self.ledger).refused_count(self.now());
         metrics::gauge!("wingbridge_deadly_requests").set(refused as f64);
     }
 }
@@ -153,7 +153,7 @@
     record
 }
 
-fn encode_news(news: &CrashNews) -> CrashRecord {
+fn encode_news(news: &CrashReport) -> CrashRecord {
     CrashRecord {
         fingerprint: news.fingerprint.0,
         targets: news.ends.iter().map(|end| end.target.0).collect(),
@@ -162,12 +162,12 @@
     }
 }
 
-fn decode_record(record: &CrashRecord) -> CrashNews {
+fn decode_record(record: &CrashRecord) -> CrashReport {
     let ends = record.targets.iter().zip(&record.ages_ms).map(|(target, age_ms)| TargetEnd {
         target: TargetKey(*target),
         age: Duration::from_millis(*age_ms),
     });
-    CrashNews {
+    CrashReport {
         fingerprint: Fingerprint(record.fingerprint),
         ends: ends.collect(),
         succeeded: record.succeeded_plus_one.checked_sub(1).map(Duration::from_millis),
--- a/crates/gateway/src/credit_desk.rs
+++ b/crates/gateway/src/credit_desk.rs
@@ -11,11 +11,11 @@
 use wingbridge_decide::Name;
 use wingbridge_decide::names::stable_hash;
 use wingbridge_decide::quota::{
-    Admission, CreditBook, DueAsk, KeeperPlace, KeeperRole, QuotaAsk, QuotaAsker, QuotaGrant,
-    QuotaKeeper, QuotaLimit, QuotaSlack,
+    Admission, CoordinatorRole, CoordinatorStatus, DueRequest, QuotaCoordinator, QuotaGrant,
+    QuotaLimit, QuotaRequest, QuotaRequester, QuotaSlack, TokenAccounts,
 };
 use wingbridge_decide::time::TimePoint;
-use wingbridge_wire::gossip::{CreditAsk, CreditGrant, CreditNews};
+use wingbridge_wire::gossip::{TokenGrant, TokenMessage, TokenRequest};
 
 use crate::context::{BoxContext, lock, millis};
 use crate::customers::Customer;
@@ -59,8 +59,8 @@
 
 #[derive(Debug)]
 struct DeskState {
-    book: CreditBook,
-    keeper: QuotaKeeper,
+    book: TokenAccounts,
+    keeper: QuotaCoordinator,
     waiting: HashMap<Name, Vec<Sender<()>>>,
 }
 
@@ -69,8 +69,8 @@
     pub(crate) fn new(slack: QuotaSlack) -> (CreditDesk, Receiver<()>) {
         let (wake, notices) = async_channel::bounded(1);
         let state = DeskState {
-            book: CreditBook::default(),
-            keeper: QuotaKeeper::new(TimePoint::default(), slack),
+            book: TokenAccounts::default(),
+            keeper: QuotaCoordinator::new(TimePoint::default(), slack),
             waiting: HashMap::new(),
         };
         (CreditDesk { state: Mutex::new(state), wake }, notices)
@@ -113,8 +113,11 @@
         let mut state = lock(&self.state);
         let DeskState { book, waiting, .. } = &mut *state;
         let now = context.now();
-        let admission =
-            if is_new { book.take(now, name, limit) } else { book.take_again(now, name, limit) };
+        let admission = if is_new {
+            book.admit(now, name, limit)
+        } else {
+            book.admit_waiting(now, name, limit)
+        };
         match admission {
             Admission::Admitted => return Asked::Admitted,
             Admission::Refused(retry_after) => return Asked::Refused(retry_after),
@@ -133,7 +136,7 @@
     /// An admitted request ran nowhere.
     pub(crate) fn give_back(&self, context: &BoxContext, customer: &Customer) {
         if customer.quota.is_some() {
-            lock(&self.state).book.give_back(context.now(), &customer.name);
+            lock(&self.state).book.refund(context.now(), &customer.name);
         }
     }
 
@@ -171,54 +174,54 @@
     pub(crate) fn take_news(
         &self,
         context: &BoxContext,
-        peer: QuotaAsker,
-        news: &CreditNews,
-    ) -> Option<CreditNews> {
+        peer: QuotaRequester,
+        news: &TokenMessage,
+    ) -> Option<TokenMessage> {
         for grant in &news.grants {
             let customer: Name = grant.customer.as_str().into();
             self.take_grant(context, &customer, &decode_grant(grant));
         }
-        let grants = news.asks.iter().filter_map(|ask| {
+        let grants = news.requests.iter().filter_map(|ask| {
             let customer: Name = ask.customer.as_str().into();
             let grant = self.answer(context, peer, &customer, &decode_ask(ask))?;
             Some(encode_grant(&customer, &grant))
         });
-        let grants: Vec<CreditGrant> = grants.collect();
-        (!grants.is_empty()).then(|| CreditNews { asks: Vec::new(), grants })
+        let grants: Vec<TokenGrant> = grants.collect();
+        (!grants.is_empty()).then(|| TokenMessage { requests: Vec::new(), grants })
     }
 
     /// A peer ends as planned.
-    pub(crate) fn note_ended(&self, peer: QuotaAsker) {
-        lock(&self.state).keeper.note_ended(peer);
+    pub(crate) fn note_ended(&self, peer: QuotaRequester) {
+        lock(&self.state).keeper.record_box_stopped(peer);
     }
 
-    fn due_asks(&self, context: &BoxContext) -> Vec<DueAsk> {
+    fn due_asks(&self, context: &BoxContext) -> Vec<DueRequest> {
         let boxes = context.peers().boxes();
         let now = context.now();
         let mut state = lock(&self.state);
         state.book.set_boxes(boxes);
-        state.book.forget_resting(now);
-        state.keeper.forget_resting(now);
-        state.book.due_asks(now)
+        state.book.remove_idle(now);
+        state.keeper.remove_idle(now);
+        state.book.due_requests(now)
     }
 
     /// Asks for other boxes, by their hosts. Those that this box keeps are answered at once.
     fn sort_asks(
         &self,
         context: &BoxContext,
-        own: QuotaAsker,
-        due: Vec<DueAsk>,
-    ) -> HashMap<IpAddr, CreditNews> {
-        let mut sorted: HashMap<IpAddr, CreditNews> = HashMap::new();
-        for DueAsk { customer, place, ask } in due {
+        own: QuotaRequester,
+        due: Vec<DueRequest>,
+    ) -> HashMap<IpAddr, TokenMessage> {
+        let mut sorted: HashMap<IpAddr, TokenMessage> = HashMap::new();
+        for DueRequest { customer, rank, request } in due {
             let keepers = context.peers().keepers(&customer);
-            let seat = if place == 0 { Some(keepers.first) } else { keepers.deputy };
+            let seat = if rank == 0 { Some(keepers.first) } else { keepers.deputy };
             match seat {
                 Some(KeeperSeat::Peer(host)) => {
-                    sorted.entry(host).or_default().asks.push(encode_ask(&customer, &ask));
+                    sorted.entry(host).or_default().requests.push(encode_ask(&customer, &request));
                 }
                 Some(KeeperSeat::Own) => {
-                    if let Some(grant) = self.answer(context, own, &customer, &ask) {
+                    if let Some(grant) = self.answer(context, own, &customer, &request) {
                         self.take_grant(context, &customer, &grant);
                     }
                 }
@@ -233,9 +236,9 @@
     fn answer(
         &self,
         context: &BoxContext,
-        asker: QuotaAsker,
+        asker: QuotaRequester,
         customer: &Name,
-        ask: &QuotaAsk,
+        ask: &QuotaRequest,
     ) -> Option<QuotaGrant> {
         let limit = context.config()?.quota_of(customer)?;
         let (first, hears_all) = {
@@ -243,17 +246,17 @@
             (peers.keepers(customer).first, peers.hears_all(Instant::now()))
         };
         let role = match first {
-            KeeperSeat::Own => KeeperRole::First,
-            KeeperSeat::Peer(_) => KeeperRole::Deputy,
+            KeeperSeat::Own => CoordinatorRole::Primary,
+            KeeperSeat::Peer(_) => CoordinatorRole::Standby,
         };
-        let place = KeeperPlace { role, hears_all };
+        let status = CoordinatorStatus { role, reaches_all: hears_all };
         let now = context.now();
-        Some(lock(&self.state).keeper.answer(now, asker, customer, limit, ask, place))
+        Some(lock(&self.state).keeper.answer(now, asker, customer, limit, ask, status))
     }
 
     fn take_grant(&self, context: &BoxContext, customer: &Name, grant: &QuotaGrant) {
         let mut state = lock(&self.state);
-        state.book.take_grant(context.now(), customer, grant);
+        state.book.apply_grant(context.now(), customer, grant);
         // Each looks for itself whether there is enough; the ring has room for one notice.
         for waiting in state.waiting.remove(customer).unwrap_or_default() {
             let _ = waiting.try_send(());
@@ -267,29 +270,29 @@
 }
 
 /// A box as keepers of credit know it.
-pub(crate) fn quota_asker(box_id: &str, incarnation: u64) -> QuotaAsker {
-    QuotaAsker { box_key: stable_hash(box_id), life: incarnation }
+pub(crate) fn quota_asker(box_id: &str, incarnation: u64) -> QuotaRequester {
+    QuotaRequester { box_key: stable_hash(box_id), incarnation }
 }
 
-fn encode_ask(customer: &Name, ask: &QuotaAsk) -> CreditAsk {
-    CreditAsk {
+fn encode_ask(customer: &Name, ask: &QuotaRequest) -> TokenRequest {
+    TokenRequest {
         customer: customer.to_string(),
         number: ask.number,
-        owed: ask.owed,
+        debt: ask.debt,
         unused: ask.unused,
-        wish: ask.wish,
+        wanted: ask.wanted,
         share_ppm: as_ppm(ask.share),
-        is_told: ask.is_told,
+        is_share_assigned: ask.is_share_assigned,
     }
 }
 
-fn decode_ask(ask: &CreditAsk) -> QuotaAsk {
-    let CreditAsk { number, owed, unused, wish, share_ppm, is_told, .. } = *ask;
-    QuotaAsk { number, owed, unused, wish, share: from_ppm(share_ppm), is_told }
+fn decode_ask(ask: &TokenRequest) -> QuotaRequest {
+    let TokenRequest { number, debt, unused, wanted, share_ppm, is_share_assigned, .. } = *ask;
+    QuotaRequest { number, debt, unused, wanted, share: from_ppm(share_ppm), is_share_assigned }
 }
 
-fn encode_grant(customer: &Name, grant: &QuotaGrant) -> CreditGrant {
-    CreditGrant {
+fn encode_grant(customer: &Name, grant: &QuotaGrant) -> TokenGrant {
+    TokenGrant {
         customer: customer.to_string(),
         number: grant.number,
         granted: grant.granted,
@@ -299,8 +302,8 @@
     }
 }
 
-fn decode_grant(grant: &CreditGrant) -> QuotaGrant {
-    let CreditGrant { number, granted, scarce, wait_ms, share_ppm, .. } = *grant;
+fn decode_grant(grant: &TokenGrant) -> QuotaGrant {
+    let TokenGrant { number, granted, scarce, wait_ms, share_ppm, .. } = *grant;
     let wait = Duration::from_millis(wait_ms.into());
     QuotaGrant { number, granted, scarce, wait, share: from_ppm(share_ppm) }
 }
--- a/crates/gateway/src/gossip/beacons.rs
+++ b/crates/gateway/src/gossip/beacons.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use async_std::task;
-use wingbridge_wire::gossip::{Beacon, DatagramBody, ViewMark};
+use wingbridge_wire::gossip::{DatagramBody, Heartbeat, ViewVersion};
 
 use super::GossipDuty;
 use crate::limit_news::{limits_retold, take_limit};
@@ -62,25 +62,28 @@
     /// Tells the own data centre how new the view is.
     pub(crate) async fn tell_mark(&self) {
         let near = self.context.peers().near();
-        self.send_beacon(&near, Beacon { mark: self.mark(), ..Beacon::default() }).await;
+        self.send_beacon(&near, Heartbeat { view_version: self.mark(), ..Heartbeat::default() })
+            .await;
     }
 
     /// Tells some boxes of the own data centre, so that they know one more whom to ask.
     pub(crate) async fn tell_mark_to_some(&self) {
         let some = self.context.peers().some_near(TOLD_OF_CONFIG);
-        self.send_beacon(&some, Beacon { mark: self.mark(), ..Beacon::default() }).await;
+        self.send_beacon(&some, Heartbeat { view_version: self.mark(), ..Heartbeat::default() })
+            .await;
     }
 
     /// Tells everybody that this box ends.
     pub(crate) async fn tell_leaving(&self) {
         let mut all = self.context.peers().near();
         all.extend(self.context.peers().far());
-        self.send_beacon(&all, Beacon { leaving: true, ..Beacon::default() }).await;
+        self.send_beacon(&all, Heartbeat { stopping: true, ..Heartbeat::default() }).await;
     }
 
     /// Asks the boxes at `hosts` whom they know.
     pub(crate) async fn ask(&self, hosts: &[IpAddr]) {
-        let beacon = Beacon { asks: true, mark: self.mark(), ..Beacon::default() };
+        let beacon =
+            Heartbeat { wants_reply: true, view_version: self.mark(), ..Heartbeat::default() };
         self.send_beacon(hosts, beacon).await;
     }
 
@@ -115,18 +118,24 @@
         let told = listed.iter().take(FAR_LISTED).cloned().collect();
         let crashes = self.context.crashes.retold(listed_by(near.len()));
         let limits = limits_retold(&self.context, LIMITS_TOLD);
-        let beacon = Beacon {
-            mark: self.mark(),
+        let beacon = Heartbeat {
+            view_version: self.mark(),
             peers: listed,
             crashes: crashes.clone(),
             limits: limits.clone(),
-            ..Beacon::default()
+            ..Heartbeat::default()
         };
         self.send_beacon(&near, beacon).await;
         if let Some(far) = far {
             let mark = self.mark();
-            let beacon =
-                Beacon { asks: true, mark, peers: told, crashes, limits, ..Beacon::default() };
+            let beacon = Heartbeat {
+                wants_reply: true,
+                view_version: mark,
+                peers: told,
+                crashes,
+                limits,
+                ..Heartbeat::default()
+            };
             self.send_beacon(&[far], beacon).await;
         }
     }
@@ -144,11 +153,11 @@
         from: IpAddr,
         box_id: &str,
         now: Instant,
-        beacon: Beacon,
+        beacon: Heartbeat,
     ) {
         self.context.crashes.take(&beacon.crashes, box_id);
         beacon.limits.iter().for_each(|limit| take_limit(&self.context, limit, box_id));
-        if beacon.leaving {
+        if beacon.stopping {
             self.context.peers().note_leaving(from);
             return;
         }
@@ -160,9 +169,13 @@
         };
         if !found.is_empty() {
             // They learn of this box by it.
-            self.send_beacon(&found, Beacon { mark: self.mark(), ..Beacon::default() }).await;
+            self.send_beacon(
+                &found,
+                Heartbeat { view_version: self.mark(), ..Heartbeat::default() },
+            )
+            .await;
         }
-        if beacon.asks {
+        if beacon.wants_reply {
             let listed = {
                 let mut peers = self.context.peers();
                 let most = if peers.is_near(from) { NEAR_LISTED } else { FAR_LISTED };
@@ -171,16 +184,22 @@
             let crashes = self.context.crashes.retold(CRASHES_ANSWERED);
             let mark = self.mark();
             let limits = limits_retold(&self.context, LIMITS_TOLD);
-            let answer = Beacon { mark, peers: listed, crashes, limits, ..Beacon::default() };
+            let answer = Heartbeat {
+                view_version: mark,
+                peers: listed,
+                crashes,
+                limits,
+                ..Heartbeat::default()
+            };
             self.send_beacon(&[from], answer).await;
         }
-        if let Some(mark) = beacon.mark.filter(|_| !self.context.is_waking()) {
+        if let Some(mark) = beacon.view_version.filter(|_| !self.context.is_waking()) {
             self.compare_view(from, now, mark);
         }
     }
 
     /// Takes a peer's word that what is known is still right, or has what is newer fetched.
-    fn compare_view(&self, from: IpAddr, now: Instant, mark: ViewMark) {
+    fn compare_view(&self, from: IpAddr, now: Instant, mark: ViewVersion) {
         let before = |age_ms| now.checked_sub(Duration::from_millis(age_ms));
         let (Some(as_of), Some(config_as_of)) = (before(mark.age_ms), before(mark.config_age_ms))
         else {
@@ -224,12 +243,12 @@
         let _ = self.context.newer_heard.try_send(());
     }
 
-    fn mark(&self) -> Option<ViewMark> {
+    fn mark(&self) -> Option<ViewVersion> {
         view_mark(&self.context.view())
     }
 
-    async fn send_beacon(&self, hosts: &[IpAddr], beacon: Beacon) {
-        self.send(hosts, DatagramBody::Beacon(beacon)).await;
+    async fn send_beacon(&self, hosts: &[IpAddr], beacon: Heartbeat) {
+        self.send(hosts, DatagramBody::Heartbeat(beacon)).await;
     }
 }
 
--- a/crates/gateway/src/gossip/mod.rs
+++ b/crates/gateway/src/gossip/mod.rs
@@ -13,8 +13,8 @@
 use async_std::task;
 use prost::Message;
 use wingbridge_decide::steer::news::NewsFilter;
-use wingbridge_wire::gossip::{CreditNews, Datagram, DatagramBody};
-use wingbridge_wire::limits::PermitNews;
+use wingbridge_wire::gossip::{Datagram, DatagramBody, TokenMessage};
+use wingbridge_wire::limits::PermitMessage;
 
 use crate::context::BoxContext;
 use crate::credit_desk::quota_asker;
@@ -55,12 +55,12 @@
     }
 
     /// Sends what concerns customers' credit to the box at `host`.
-    pub(crate) async fn send_credit(&self, host: IpAddr, news: CreditNews) {
-        self.send(&[host], DatagramBody::Credit(news)).await;
+    pub(crate) async fn send_credit(&self, host: IpAddr, news: TokenMessage) {
+        self.send(&[host], DatagramBody::Tokens(news)).await;
     }
 
     /// Sends what concerns permits for targets with a limit to the box at `host`.
-    pub(crate) async fn send_permits(&self, host: IpAddr, news: PermitNews) {
+    pub(crate) async fn send_permits(&self, host: IpAddr, news: PermitMessage) {
         self.send(&[host], DatagramBody::Permits(news)).await;
     }
 
@@ -102,16 +102,16 @@
             self.note_boxes();
         }
         match body {
-            Some(DatagramBody::Beacon(beacon)) => {
-                if beacon.leaving {
+            Some(DatagramBody::Heartbeat(beacon)) => {
+                if beacon.stopping {
                     self.context.credit.note_ended(quota_asker(&box_id, incarnation));
                 }
                 self.take_beacon(from, &box_id, now, beacon).await;
             }
-            Some(DatagramBody::Sightings(sightings)) => {
+            Some(DatagramBody::PassiveSamples(sightings)) => {
                 self.take_told(incarnation, &box_id, sightings).await;
             }
-            Some(DatagramBody::Credit(news)) => {
+            Some(DatagramBody::Tokens(news)) => {
                 let context = &self.context;
                 let peer = quota_asker(&box_id, incarnation);
                 if let Some(answer) = context.credit.take_news(context, peer, &news) {
--- a/crates/gateway/src/gossip/telling.rs
+++ b/crates/gateway/src/gossip/telling.rs
@@ -12,7 +12,7 @@
 use wingbridge_decide::steer::{OpenAge, PeerSample};
 use wingbridge_decide::{TargetKey, TimePoint};
 use wingbridge_wire::gossip::{
-    CrashRecord, DatagramBody, NewsMark, OpenAttempt, Sighting, Sightings, Tally,
+    CrashRecord, DatagramBody, OpenAttempt, PassiveSample, PassiveSamples, ServiceCounts, UpdateId,
 };
 
 use super::GossipDuty;
@@ -23,7 +23,7 @@
 
 /// How long successes wait for more before they are told.
 const SOON: Duration = Duration::from_millis(25);
-/// Sightings in one datagram at most: they fit 1,400 bytes.
+/// PassiveSamples in one datagram at most: they fit 1,400 bytes.
 const SIGHTINGS: usize = 40;
 /// Requests under which targets ended in one datagram at most: of one or two targets they take 40 bytes each.
 const CRASHES: usize = 8;
@@ -48,13 +48,13 @@
     async fn tell_once(&self) {
         let pending = self.context.sightings.take();
         let crashes = self.context.crashes.take_untold();
-        let seen: Vec<Sighting> = {
+        let seen: Vec<PassiveSample> = {
             let now = self.context.now();
             let core = self.context.core();
-            let with_open = |sighting: &Sighting| {
+            let with_open = |sighting: &PassiveSample| {
                 let (open, ages) = core.open_attempts_at(TargetKey(sighting.target));
                 let informative = ages.iter().map(|age| encode_age(now, age)).collect();
-                Sighting { open_plus_one: open + 1, informative, ..sighting.clone() }
+                PassiveSample { open_plus_one: open + 1, informative, ..sighting.clone() }
             };
             pending.iter().map(|seen| with_open(&seen.sighting)).collect()
         };
@@ -73,13 +73,13 @@
             self.send_sightings(&listeners, told).await;
         }
         let news = pending.iter().filter(|seen| seen.is_news).map(|seen| seen.sighting.clone());
-        let news: Vec<Sighting> = news.collect();
+        let news: Vec<PassiveSample> = news.collect();
         // Without what is open, by which a box knows that it is told all.
         for told in in_parts(&news, Vec::new(), &crashes) {
             if !relays.is_empty() {
                 let number = self.news_told.fetch_add(1, Ordering::Relaxed) + 1;
-                let mark = NewsMark { number, hand_on: true, ..NewsMark::default() };
-                let news = Sightings { news: Some(mark), ..told.clone() };
+                let mark = UpdateId { number, relay: true, ..UpdateId::default() };
+                let news = PassiveSamples { update_id: Some(mark), ..told.clone() };
                 self.send_sightings(&relays, news).await;
             }
             self.send_sightings(&others, told).await;
@@ -87,46 +87,46 @@
     }
 
     /// Takes what a peer saw, and hands it on if it is news for this data centre.
-    pub(super) async fn take_told(&self, incarnation: u64, box_id: &str, told: Sightings) {
-        let Some(mark) = &told.news else {
+    pub(super) async fn take_told(&self, incarnation: u64, box_id: &str, told: PassiveSamples) {
+        let Some(mark) = &told.update_id else {
             self.take_sightings(incarnation, box_id, &told);
             return;
         };
-        let is_own = mark.origin == 0;
-        let origin = if is_own { incarnation } else { mark.origin };
+        let is_own = mark.origin_incarnation == 0;
+        let origin = if is_own { incarnation } else { mark.origin_incarnation };
         let origin_id = if is_own { box_id } else { mark.origin_id.as_str() };
         if origin == self.incarnation || !lock(&self.news_heard).is_new(origin, mark.number) {
             return;
         }
         self.take_sightings(origin, origin_id, &told);
-        if !mark.hand_on {
+        if !mark.relay {
             return;
         }
-        let mark = NewsMark {
+        let mark = UpdateId {
             number: mark.number,
-            hand_on: false,
+            relay: false,
             origin_id: origin_id.to_string(),
-            origin,
+            origin_incarnation: origin,
         };
         let near = self.context.peers().near();
-        self.send_sightings(&near, Sightings { news: Some(mark), ..told }).await;
+        self.send_sightings(&near, PassiveSamples { update_id: Some(mark), ..told }).await;
     }
 
-    fn unreported_retry_counts(&self) -> Vec<Tally> {
+    fn unreported_retry_counts(&self) -> Vec<ServiceCounts> {
         let now = self.context.now();
         let untold = self.context.core().unreported_retry_counts(now).into_iter();
-        let tally = |(service, tally): (wingbridge_decide::Name, RetryTally)| Tally {
+        let tally = |(service, tally): (wingbridge_decide::Name, RetryTally)| ServiceCounts {
             service: service.to_string(),
             requests: tally.requests,
             retries: tally.retries,
-            silent_retries: tally.silent_retries,
+            unresponsive_retries: tally.silent_retries,
         };
         untold.map(tally).collect()
     }
 
-    fn take_sightings(&self, peer: u64, box_id: &str, sightings: &Sightings) {
+    fn take_sightings(&self, peer: u64, box_id: &str, sightings: &PassiveSamples) {
         self.context.crashes.take(&sightings.crashes, box_id);
-        let leaving = sightings.targets.iter().filter(|seen| seen.leaving);
+        let leaving = sightings.targets.iter().filter(|seen| seen.draining);
         leaving.for_each(|seen| take_leaving(&self.context, TargetKey(seen.target), box_id));
         let limits = sightings.targets.iter().filter_map(|seen| seen.limit.as_ref());
         limits.for_each(|limit| take_limit(&self.context, limit, box_id));
@@ -140,7 +140,8 @@
                 good: seen.good,
                 bad: seen.bad,
                 overdue: seen.overdue,
-                latency_ratio: (seen.permille > 0).then(|| f64::from(seen.permille) / 1000.0),
+                latency_ratio: (seen.latency_permille > 0)
+                    .then(|| f64::from(seen.latency_permille) / 1000.0),
                 held: seen.held_plus_one.checked_sub(1),
                 open: seen.open_plus_one.checked_sub(1),
                 informative: seen.informative.iter().map(|open| decode_age(now, open)).collect(),
@@ -148,27 +149,27 @@
             let change = core.merge_peer_sample(now, peer, TargetKey(seen.target), &sample);
             note_suspicion(change, SeenBy::Peer);
         }
-        for told in &sightings.tallies {
+        for told in &sightings.service_counts {
             let tally = RetryTally {
                 requests: told.requests,
                 retries: told.retries,
-                silent_retries: told.silent_retries,
+                silent_retries: told.unresponsive_retries,
             };
             core.merge_retry_counts(now, peer, &told.service, tally);
         }
     }
 
-    async fn send_sightings(&self, hosts: &[IpAddr], sightings: Sightings) {
-        self.send(hosts, DatagramBody::Sightings(sightings)).await;
+    async fn send_sightings(&self, hosts: &[IpAddr], sightings: PassiveSamples) {
+        self.send(hosts, DatagramBody::PassiveSamples(sightings)).await;
     }
 }
 
 /// Divides what is told into datagrams.
 fn in_parts(
-    targets: &[Sighting],
-    mut tallies: Vec<Tally>,
+    targets: &[PassiveSample],
+    mut tallies: Vec<ServiceCounts>,
     crashes: &[CrashRecord],
-) -> Vec<Sightings> {
+) -> Vec<PassiveSamples> {
     let mut targets = targets.chunks(SIGHTINGS);
     let mut crashes = crashes.chunks(CRASHES);
     let mut parts = Vec::new();
@@ -177,10 +178,10 @@
         if seen.is_none() && ended.is_none() && tallies.is_empty() {
             return parts;
         }
-        parts.push(Sightings {
+        parts.push(PassiveSamples {
             targets: seen.unwrap_or_default().to_vec(),
-            tallies: std::mem::take(&mut tallies),
-            news: None,
+            service_counts: std::mem::take(&mut tallies),
+            update_id: None,
             crashes: ended.unwrap_or_default().to_vec(),
         });
     }
--- a/crates/gateway/src/permit_desk.rs
+++ b/crates/gateway/src/permit_desk.rs
@@ -9,9 +9,9 @@
 use async_channel::{Receiver, Sender};
 use async_std::future::timeout;
 use wingbridge_decide::TargetKey;
-use wingbridge_decide::permits::{LoneShare, PermitAnswer, PermitKeeper};
+use wingbridge_decide::permits::{FallbackShare, PermitAnswer, PermitCoordinator};
 use wingbridge_decide::steer::{RequestRate, SteerPick};
-use wingbridge_wire::limits::{PermitAsk, PermitNews, PermitReply};
+use wingbridge_wire::limits::{PermitMessage, PermitReply, PermitRequest};
 
 use crate::context::{BoxContext, lock, millis};
 use crate::gossip::GossipDuty;
@@ -71,17 +71,17 @@
 #[derive(Debug)]
 pub(crate) struct PermitDesk {
     state: Mutex<DeskState>,
-    outgoing: Sender<(IpAddr, PermitNews)>,
+    outgoing: Sender<(IpAddr, PermitMessage)>,
 }
 
 #[derive(Debug, Default)]
 struct DeskState {
-    keeper: PermitKeeper,
+    keeper: PermitCoordinator,
     asks: u64,
     /// Requests that wait for the answer to an ask.
     waiting: HashMap<u64, Sender<PeerWord>>,
     /// What this box sends by itself, where no keeper answers it.
-    shares: HashMap<TargetKey, LoneShare>,
+    shares: HashMap<TargetKey, FallbackShare>,
     /// Boxes that did not answer, and until when they are not asked.
     silent: HashMap<IpAddr, Instant>,
 }
@@ -96,7 +96,7 @@
 
 impl PermitDesk {
     /// A desk, and what it wants sent.
-    pub(crate) fn new() -> (PermitDesk, Receiver<(IpAddr, PermitNews)>) {
+    pub(crate) fn new() -> (PermitDesk, Receiver<(IpAddr, PermitMessage)>) {
         let (outgoing, wishes) = async_channel::bounded(OUTGOING);
         (PermitDesk { state: Mutex::default(), outgoing }, wishes)
     }
@@ -141,7 +141,7 @@
     }
 
     /// Sends what it wants sent, until the ring closes.
-    pub(crate) async fn run(gossip: Arc<GossipDuty>, wishes: Receiver<(IpAddr, PermitNews)>) {
+    pub(crate) async fn run(gossip: Arc<GossipDuty>, wishes: Receiver<(IpAddr, PermitMessage)>) {
         while let Ok((host, news)) = wishes.recv().await {
             gossip.send_permits(host, news).await;
         }
@@ -152,8 +152,8 @@
         &self,
         context: &BoxContext,
         peer: &str,
-        news: &PermitNews,
-    ) -> Option<PermitNews> {
+        news: &PermitMessage,
+    ) -> Option<PermitMessage> {
         for reply in &news.replies {
             if let Some(limit) = &reply.limit {
                 take_limit(context, limit, peer);
@@ -163,9 +163,9 @@
                 let _ = waiting.try_send(decode_reply(reply));
             }
         }
-        let replies = news.asks.iter().map(|ask| self.reply(context, peer, ask));
+        let replies = news.requests.iter().map(|ask| self.reply(context, peer, ask));
         let replies: Vec<PermitReply> = replies.collect();
-        (!replies.is_empty()).then(|| PermitNews { asks: Vec::new(), replies })
+        (!replies.is_empty()).then(|| PermitMessage { requests: Vec::new(), replies })
     }
 
     /// Who keeps the permits of a target; `None` while this box is not to know.
@@ -210,8 +210,8 @@
             state.note_waiting(answered)
         };
         let cold_plus_one = cold.map_or(0, |rate| rate.millionths() + 1);
-        let ask = PermitAsk { number, limit, target: key.0, cold_plus_one };
-        let news = PermitNews { asks: vec![ask], replies: Vec::new() };
+        let ask = PermitRequest { number, limit, target: key.0, cold_plus_one };
+        let news = PermitMessage { requests: vec![ask], replies: Vec::new() };
         let word = match self.outgoing.try_send((host, news)) {
             Ok(()) => timeout(ASK_TIME, answer.recv()).await.ok().and_then(Result::ok),
             // Full: so much is on its way that the answer would be late.
@@ -230,7 +230,7 @@
     }
 
     /// The answer to a peer's ask.
-    fn reply(&self, context: &BoxContext, peer: &str, ask: &PermitAsk) -> PermitReply {
+    fn reply(&self, context: &BoxContext, peer: &str, ask: &PermitRequest) -> PermitReply {
         let key = TargetKey(ask.target);
         if let Some(told) = &ask.limit {
             take_limit(context, told, peer);
@@ -243,8 +243,8 @@
         let (limit, number) = (limit_of(context, key), ask.number);
         let passed = |keeper: String| PermitReply {
             number,
-            passed: true,
-            keeper,
+            redirected: true,
+            coordinator: keeper,
             limit,
             ..PermitReply::default()
         };
@@ -287,7 +287,7 @@
             state.shares.clear();
         }
         let share = state.shares.entry(key).or_default();
-        match share.take(context.now(), rate, boxes, rand::random()) {
+        match share.acquire(context.now(), rate, boxes, rand::random()) {
             PermitAnswer::Denied(wait) => PermitAnswer::Denied(wait.min(SILENT_PAUSE)),
             PermitAnswer::Granted => PermitAnswer::Granted,
         }
@@ -326,9 +326,9 @@
 }
 
 fn decode_reply(reply: &PermitReply) -> PeerWord {
-    if reply.passed {
+    if reply.redirected {
         // A text that is no address names nobody.
-        return PeerWord::Passed(reply.keeper.parse().ok());
+        return PeerWord::Passed(reply.coordinator.parse().ok());
     }
     let wait = Duration::from_millis(reply.wait_ms.into());
     PeerWord::Answer(match reply.granted {
--- a/crates/gateway/src/sightings.rs
+++ b/crates/gateway/src/sightings.rs
@@ -6,7 +6,7 @@
 use async_channel::{Receiver, Sender};
 use wingbridge_decide::TargetKey;
 use wingbridge_decide::steer::{LoadReport, SteerOutcome};
-use wingbridge_wire::gossip::Sighting;
+use wingbridge_wire::gossip::PassiveSample;
 use wingbridge_wire::limits::TargetLimit;
 
 use crate::context::lock;
@@ -37,7 +37,7 @@
 /// What was seen of a target, and whether other data centres need to know.
 #[derive(Debug, Clone)]
 pub(crate) struct PendingSighting {
-    pub(crate) sighting: Sighting,
+    pub(crate) sighting: PassiveSample,
     /// It failed, has left or leaves, has another limit, or was a suspect and did not fail: the rest is not worth its
     /// price across.
     pub(crate) is_news: bool,
@@ -61,12 +61,12 @@
 
     /// Notes how an attempt ended.
     pub(crate) fn note(&self, key: TargetKey, ended: &SeenOutcome) {
-        let mut seen = Sighting { target: key.0, ..Sighting::default() };
+        let mut seen = PassiveSample { target: key.0, ..PassiveSample::default() };
         seen.held_plus_one = ended.load.map_or(0, |load| load.held + 1);
         match ended.outcome {
             SteerOutcome::Good(_) => {
                 seen.good = 1;
-                seen.permille = ended.latency_ratio.map_or(0, as_permille);
+                seen.latency_permille = ended.latency_ratio.map_or(0, as_permille);
             }
             SteerOutcome::Failed | SteerOutcome::Broken => seen.bad = 1,
             SteerOutcome::WrongTarget => seen.replaced = true,
@@ -78,32 +78,40 @@
 
     /// Notes that a target has said that it leaves.
     pub(crate) fn note_leaving(&self, key: TargetKey) {
-        self.add(key, &Sighting { target: key.0, leaving: true, ..Sighting::default() }, false);
+        self.add(
+            key,
+            &PassiveSample { target: key.0, draining: true, ..PassiveSample::default() },
+            false,
+        );
     }
 
     /// Notes that a target has named a limit, another one than before, or none any more.
     pub(crate) fn note_limit(&self, key: TargetKey, limit: TargetLimit) {
-        let seen = Sighting { target: key.0, limit: Some(limit), ..Sighting::default() };
+        let seen = PassiveSample { target: key.0, limit: Some(limit), ..PassiveSample::default() };
         self.add(key, &seen, false);
     }
 
     /// Notes that an attempt that is still open counts as a stall.
     pub(crate) fn note_stall(&self, key: TargetKey) {
-        self.add(key, &Sighting { target: key.0, overdue: 1, ..Sighting::default() }, false);
+        self.add(
+            key,
+            &PassiveSample { target: key.0, overdue: 1, ..PassiveSample::default() },
+            false,
+        );
     }
 
     /// Notes that the number of open attempts changed.
     pub(crate) fn note_open(&self, key: TargetKey) {
-        self.add(key, &Sighting::default(), false);
+        self.add(key, &PassiveSample::default(), false);
     }
 
-    fn add(&self, key: TargetKey, seen: &Sighting, suspect: bool) {
-        let failed = seen.bad + seen.overdue > 0 || seen.replaced || seen.leaving;
+    fn add(&self, key: TargetKey, seen: &PassiveSample, suspect: bool) {
+        let failed = seen.bad + seen.overdue > 0 || seen.replaced || seen.draining;
         let is_news = failed || seen.limit.is_some() || (suspect && seen.good > 0);
         let mut pending = lock(&self.pending);
         let known = pending.entry(key);
         let known = known.or_insert_with(|| PendingSighting {
-            sighting: Sighting { target: key.0, ..Sighting::default() },
+            sighting: PassiveSample { target: key.0, ..PassiveSample::default() },
             is_news: false,
         });
         known.is_news |= is_news;
@@ -124,16 +132,16 @@
     (latency_ratio * 1000.0).clamp(1.0, f64::from(u32::MAX)) as u32
 }
 
-fn add(sum: &mut Sighting, seen: &Sighting) {
+fn add(sum: &mut PassiveSample, seen: &PassiveSample) {
     // The newest of several in one message stands for all.
-    if seen.permille > 0 {
-        sum.permille = seen.permille;
+    if seen.latency_permille > 0 {
+        sum.latency_permille = seen.latency_permille;
     }
     sum.good += seen.good;
     sum.bad += seen.bad;
     sum.overdue += seen.overdue;
     sum.replaced |= seen.replaced;
-    sum.leaving |= seen.leaving;
+    sum.draining |= seen.draining;
     sum.limit = seen.limit.or(sum.limit);
     if seen.held_plus_one > 0 {
         sum.held_plus_one = seen.held_plus_one;
--- a/crates/gateway/src/view_exchange.rs
+++ b/crates/gateway/src/view_exchange.rs
@@ -10,7 +10,7 @@
 use prost::Message;
 use wingbridge_decide::Name;
 use wingbridge_wire::gossip::{
-    ExchangeQuestion, ExchangeRequest, TargetRecord, TargetsReply, TargetsRequest, ViewMark,
+    ExchangeQuestion, ExchangeRequest, TargetRecord, TargetsReply, TargetsRequest, ViewVersion,
 };
 use wingbridge_wire::{ErrorKind, WireError, receive_message, send_message};
 
@@ -66,10 +66,10 @@
 }
 
 /// How new what is known is, for messages.
-pub(crate) fn view_mark(known: &KnownView) -> Option<ViewMark> {
+pub(crate) fn view_mark(known: &KnownView) -> Option<ViewVersion> {
     let as_of = known.as_of()?;
     let config_age = known.config_as_of().map(|as_of| as_of.elapsed());
-    Some(ViewMark {
+    Some(ViewVersion {
         revision: known.revision(),
         age_ms: millis(as_of.elapsed()),
         digest: known.digest(),
@@ -116,7 +116,7 @@
     let time = context.budget.fetch_time();
     let reply: TargetsReply = ask_peer(context, host, question, time).await?;
     let bytes = reply.encoded_len();
-    let Some(mark) = reply.mark else {
+    let Some(mark) = reply.version else {
         return Ok(FetchedTargets::Taken);
     };
     let age = Duration::from_millis(mark.age_ms);
@@ -175,14 +175,14 @@
 ) -> (TargetsReply, Option<SentTargets<'_>>) {
     let known = context.view();
     let evacuated = known.evacuated().iter().map(Name::to_string).collect();
-    let reply = TargetsReply { mark: view_mark(&known), evacuated, ..TargetsReply::default() };
+    let reply = TargetsReply { version: view_mark(&known), evacuated, ..TargetsReply::default() };
     let base = if known.remembers(request.digest) { request.digest } else { 0 };
     let step = ListingStep { from: base, to: known.digest() };
     let Some(sent) = context.listing_source.send(step, || pack_targets(&known, base)) else {
         return (TargetsReply { busy: true, ..reply }, None);
     };
     let PackedTargets { parts, gone } = &*sent.targets;
-    (TargetsReply { base, parts: parts.clone(), gone: gone.clone(), ..reply }, Some(sent))
+    (TargetsReply { base, parts: parts.clone(), removed: gone.clone(), ..reply }, Some(sent))
 }
 
 /// What makes the listing that is held of the one with the hash `base`, or all of it.
@@ -216,7 +216,7 @@
     Difference(ToldDifference),
 }
 
-fn decode_targets(reply: TargetsReply, mark: &ViewMark) -> Result<ToldTargets, WireError> {
+fn decode_targets(reply: TargetsReply, mark: &ViewVersion) -> Result<ToldTargets, WireError> {
     let evacuated = reply.evacuated.into_iter().map(Name::from).collect();
     let (revision, digest) = (mark.revision, mark.digest);
     let mut targets = Vec::new();
@@ -228,7 +228,7 @@
     if reply.base == 0 {
         return Ok(ToldTargets::All(TargetListing { revision, targets, evacuated }));
     }
-    let gone = reply.gone.into_iter().map(Name::from).collect();
+    let gone = reply.removed.into_iter().map(Name::from).collect();
     let difference = ListingDifference { changed: targets, gone };
     Ok(ToldTargets::Difference(ToldDifference { revision, digest, difference, evacuated }))
 }
--- a/crates/gateway/tests/deadly_news.rs
+++ b/crates/gateway/tests/deadly_news.rs
@@ -8,7 +8,7 @@
 use harness::{BoxUnderTest, GOSSIP, Script, StoreStandin, TargetStandin, config, own_host, route};
 use prost::Message;
 use wingbridge_gateway::routes::RouteKind;
-use wingbridge_wire::gossip::{Beacon, CrashRecord, Datagram, DatagramBody, Sightings};
+use wingbridge_wire::gossip::{CrashRecord, Datagram, DatagramBody, Heartbeat, PassiveSamples};
 
 /// A peer that listens.
 struct PeerStandin {
@@ -21,8 +21,11 @@
         let socket = UdpSocket::bind((own_host(), GOSSIP)).expect("an address of its own");
         socket.set_read_timeout(Some(Duration::from_secs(20))).expect("a valid time");
         let peer = PeerStandin { socket };
-        peer.send(gateway, DatagramBody::Beacon(Beacon { asks: true, ..Beacon::default() }));
-        peer.hear(|body| matches!(body, DatagramBody::Beacon(_)).then_some(()));
+        peer.send(
+            gateway,
+            DatagramBody::Heartbeat(Heartbeat { wants_reply: true, ..Heartbeat::default() }),
+        );
+        peer.hear(|body| matches!(body, DatagramBody::Heartbeat(_)).then_some(()));
         peer
     }
 
@@ -61,9 +64,9 @@
     (target, store, gateway)
 }
 
-fn of_sightings(body: DatagramBody) -> Option<Sightings> {
+fn of_sightings(body: DatagramBody) -> Option<PassiveSamples> {
     match body {
-        DatagramBody::Sightings(told) if !told.crashes.is_empty() => Some(told),
+        DatagramBody::PassiveSamples(told) if !told.crashes.is_empty() => Some(told),
         _ => None,
     }
 }
@@ -87,7 +90,7 @@
     let peer = PeerStandin::known_to(&gateway);
     assert_eq!(gateway.ask("POST", "/r/deadly").status, 502);
     let crashes = peer.hear(|body| match body {
-        DatagramBody::Beacon(beacon) if !beacon.crashes.is_empty() => Some(beacon.crashes),
+        DatagramBody::Heartbeat(beacon) if !beacon.crashes.is_empty() => Some(beacon.crashes),
         _ => None,
     });
     assert_eq!(crashes[0].targets.len(), 1);
@@ -110,10 +113,16 @@
     ];
     for crash in odd {
         let crashes = vec![crash];
-        peer.send(&gateway, DatagramBody::Sightings(Sightings { crashes, ..Sightings::default() }));
+        peer.send(
+            &gateway,
+            DatagramBody::PassiveSamples(PassiveSamples { crashes, ..PassiveSamples::default() }),
+        );
     }
     // It answers what comes behind, and serves.
-    peer.send(&gateway, DatagramBody::Beacon(Beacon { asks: true, ..Beacon::default() }));
-    peer.hear(|body| matches!(body, DatagramBody::Beacon(_)).then_some(()));
+    peer.send(
+        &gateway,
+        DatagramBody::Heartbeat(Heartbeat { wants_reply: true, ..Heartbeat::default() }),
+    );
+    peer.hear(|body| matches!(body, DatagramBody::Heartbeat(_)).then_some(()));
     assert_eq!(gateway.ask("POST", "/r/sound").status, 200);
 }
--- a/crates/gateway/tests/exchange.rs
+++ b/crates/gateway/tests/exchange.rs
@@ -22,8 +22,8 @@
 use wingbridge_gateway::text_patch::{apply_patch, make_patch};
 use wingbridge_gateway::view::ConfigText;
 use wingbridge_wire::gossip::{
-    Beacon, ConfigReply, ConfigRequest, ConfigStep, Datagram, DatagramBody, ExchangeQuestion,
-    ExchangeRequest, TargetRecord, TargetsReply, ViewMark,
+    ConfigDelta, ConfigReply, ConfigRequest, Datagram, DatagramBody, ExchangeQuestion,
+    ExchangeRequest, Heartbeat, TargetRecord, TargetsReply, ViewVersion,
 };
 use wingbridge_wire::{WireError, receive_message, send_message};
 
@@ -46,8 +46,8 @@
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     gateway.wait_ready();
     let first = ask_config(gateway.host(), 0);
-    assert_eq!((first.steps.len(), first.steps[0].from), (1, 0));
-    let text = apply_patch(b"", &first.steps[0].patch).expect("it fits the empty text");
+    assert_eq!((first.deltas.len(), first.deltas[0].from), (1, 0));
+    let text = apply_patch(b"", &first.deltas[0].patch).expect("it fits the empty text");
     assert!(text.len() > 200_000);
     store.put_config(config(3, vec![route("later", "service", RouteKind::Repeatable)]));
     eventually("the change is in force", || gateway.ask("GET", "/later/x").status != 404);
@@ -56,13 +56,13 @@
         ask_config(gateway.host(), first.revision).revision > first.revision
     });
     let second = ask_config(gateway.host(), first.revision);
-    assert_eq!((second.steps.len(), second.steps[0].from), (1, first.revision));
-    let patched = apply_patch(&text, &second.steps[0].patch).expect("it fits its base");
+    assert_eq!((second.deltas.len(), second.deltas[0].from), (1, first.revision));
+    let patched = apply_patch(&text, &second.deltas[0].patch).expect("it fits its base");
     assert_eq!(patched[0], b'3');
     assert!(second.encoded_len() < 5_000, "what is the same is not sent");
     let unknown = ask_config(gateway.host(), first.revision - 1);
-    assert_eq!(unknown.steps[0].from, 0, "a peer with another one has all of it sent");
-    assert_eq!(ask_config(gateway.host(), second.revision).steps, []);
+    assert_eq!(unknown.deltas[0].from, 0, "a peer with another one has all of it sent");
+    assert_eq!(ask_config(gateway.host(), second.revision).deltas, []);
 }
 
 struct RoomCase {
@@ -93,18 +93,18 @@
         let busy = replies.iter().filter(|reply| reply.message().busy).count();
         assert_eq!(20 - busy, case.sent, "{}", case.name);
         assert!(
-            replies.iter().all(|reply| reply.message().busy == reply.message().steps.is_empty())
+            replies.iter().all(|reply| reply.message().busy == reply.message().deltas.is_empty())
         );
         if busy == 0 {
             continue;
         }
         let holder: IpAddr = "10.0.0.9".parse().expect("an address");
         source.note_holder(holder, 7);
-        assert_eq!(ask().message().holders, ["10.0.0.9"], "{}", case.name);
+        assert_eq!(ask().message().seeders, ["10.0.0.9"], "{}", case.name);
         replies.remove(0);
         assert!(!ask().message().busy, "{}: one has been sent", case.name);
         assert!(
-            ask().message().steps.len() == 1,
+            ask().message().deltas.len() == 1,
             "{}: a reply that is dropped makes room",
             case.name
         );
@@ -121,15 +121,15 @@
     gateway.wait_ready();
     let all = ask_targets(gateway.host(), 0);
     assert_eq!((all.base, unpacked(&all).len()), (0, 2));
-    let digest = all.mark.expect("it knows some").digest;
+    let digest = all.version.expect("it knows some").digest;
     store.put_targets(vec![stays.entry.clone()]);
     let mut news = TargetsReply::default();
     eventually("one is gone", || {
         news = ask_targets(gateway.host(), digest);
-        news.mark.is_some_and(|mark| mark.digest != digest)
+        news.version.is_some_and(|mark| mark.digest != digest)
     });
     assert_eq!((news.base, unpacked(&news).len()), (digest, 0));
-    assert_eq!(news.gone, ["leaves"]);
+    assert_eq!(news.removed, ["leaves"]);
     assert_eq!(ask_targets(gateway.host(), 77).base, 0, "an unknown listing");
 }
 
@@ -138,7 +138,7 @@
     let gateway = BoxUnderTest::start(store().port(true), &[]);
     gateway.wait_ready();
     assert!(ask_on::<TargetsReply>(&connect_exchange(gateway.host()), None).is_err());
-    assert!(ask_targets(gateway.host(), 0).mark.is_some());
+    assert!(ask_targets(gateway.host(), 0).version.is_some());
 }
 
 /// In a data centre with links of 10 and 200 Mbit/s a box with 10 read for all, and a large
@@ -175,7 +175,7 @@
     let gateway = BoxUnderTest::start(store().port(true), &[]);
     gateway.wait_ready();
     let peer = PeerStandin::start(own_host());
-    let mark = ViewMark { config_revision: 9, ..ViewMark::default() };
+    let mark = ViewVersion { config_revision: 9, ..ViewVersion::default() };
     eventually("it leaves the balancer", || {
         peer.tell(&gateway, mark);
         !gateway.is_ready()
@@ -196,12 +196,15 @@
     }
 
     /// Tells a box what this peer holds.
-    fn tell(&self, gateway: &BoxUnderTest, mark: ViewMark) {
+    fn tell(&self, gateway: &BoxUnderTest, mark: ViewVersion) {
         let datagram = Datagram {
             box_id: "peer".into(),
             data_centre: "centre".into(),
             incarnation: 1,
-            body: Some(DatagramBody::Beacon(Beacon { mark: Some(mark), ..Beacon::default() })),
+            body: Some(DatagramBody::Heartbeat(Heartbeat {
+                view_version: Some(mark),
+                ..Heartbeat::default()
+            })),
             link_mbps: 0,
         };
         let address = SocketAddr::new(gateway.host(), GOSSIP);
@@ -237,7 +240,7 @@
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     gateway.wait_ready();
     let peer = PeerStandin::start(own_host());
-    let mark = ViewMark { revision: u64::MAX, digest: 77, ..ViewMark::default() };
+    let mark = ViewVersion { revision: u64::MAX, digest: 77, ..ViewVersion::default() };
     let whole_asked = Arc::new(AtomicBool::new(false));
     let asked = Arc::clone(&whole_asked);
     let record = TargetRecord {
@@ -257,7 +260,7 @@
         // Without a mark the whole listing is none: the box keeps what it has.
         let told = (digest != 0).then_some(mark);
         TargetsReply {
-            mark: told,
+            version: told,
             base: digest,
             parts: packed(vec![record.clone()]),
             ..TargetsReply::default()
@@ -283,15 +286,15 @@
     let count = Arc::clone(&answered);
     peer.answer(move |_| {
         let number = count.fetch_add(1, Ordering::Relaxed);
-        let step = |from, hash| ConfigStep { from, to: 9, hash, patch: make_patch(b"", b"9") };
+        let step = |from, hash| ConfigDelta { from, to: 9, hash, patch: make_patch(b"", b"9") };
         let steps = match number % 3 {
             0 => vec![step(0, 1)],
             1 => vec![step(5, 1)],
             _ => vec![step(0, 1), step(3, 1)],
         };
-        ConfigReply { revision: 9, steps, ..ConfigReply::default() }
+        ConfigReply { revision: 9, deltas: steps, ..ConfigReply::default() }
     });
-    let mark = ViewMark { config_revision: 9, ..ViewMark::default() };
+    let mark = ViewVersion { config_revision: 9, ..ViewVersion::default() };
     eventually("each was sent", || {
         peer.tell(&gateway, mark);
         answered.load(Ordering::Relaxed) >= 3
--- a/crates/gateway/tests/first_view.rs
+++ b/crates/gateway/tests/first_view.rs
@@ -17,8 +17,8 @@
 use wingbridge_gateway::routes::RouteKind;
 use wingbridge_gateway::text_patch::make_patch;
 use wingbridge_wire::gossip::{
-    Beacon, ConfigReply, ConfigStep, Datagram, DatagramBody, ExchangeQuestion, ExchangeRequest,
-    TargetRecord, TargetsReply, ViewMark,
+    ConfigDelta, ConfigReply, Datagram, DatagramBody, ExchangeQuestion, ExchangeRequest, Heartbeat,
+    TargetRecord, TargetsReply, ViewVersion,
 };
 use wingbridge_wire::{receive_message, send_message};
 use xxhash_rust::xxh3::xxh3_64;
@@ -26,8 +26,8 @@
 /// The configuration as the stand-in writes it.
 const TEXT: &[u8] = b"1\n";
 /// The peer's view of the store.
-const MARK: ViewMark =
-    ViewMark { revision: 2, age_ms: 0, digest: 99, config_revision: 1, config_age_ms: 0 };
+const MARK: ViewVersion =
+    ViewVersion { revision: 2, age_ms: 0, digest: 99, config_revision: 1, config_age_ms: 0 };
 
 /// A peer that hands its configuration over at once, and its targets once `lists` is set.
 struct SlowPeer {
@@ -55,12 +55,12 @@
 
     /// Tells a box how new what it has is.
     fn tell(&self, to: IpAddr) {
-        let beacon = Beacon { mark: Some(MARK), ..Beacon::default() };
+        let beacon = Heartbeat { view_version: Some(MARK), ..Heartbeat::default() };
         let datagram = Datagram {
             box_id: format!("peer-{}", self.host),
             data_centre: "centre".into(),
             incarnation: 7,
-            body: Some(DatagramBody::Beacon(beacon)),
+            body: Some(DatagramBody::Heartbeat(beacon)),
             link_mbps: 0,
         };
         let to = SocketAddr::new(to, GOSSIP);
@@ -76,14 +76,14 @@
     let sent = match question {
         ExchangeQuestion::Config(_) => {
             let patch = make_patch(b"", TEXT);
-            let step = ConfigStep { from: 0, to: 1, hash: xxh3_64(TEXT), patch };
-            let reply = ConfigReply { revision: 1, steps: vec![step], ..ConfigReply::default() };
+            let step = ConfigDelta { from: 0, to: 1, hash: xxh3_64(TEXT), patch };
+            let reply = ConfigReply { revision: 1, deltas: vec![step], ..ConfigReply::default() };
             send_message(stream, &reply).await
         }
         ExchangeQuestion::Targets(_) if lists.load(Ordering::Acquire) => {
             let targets = vec![target];
             let reply = TargetsReply {
-                mark: Some(MARK),
+                version: Some(MARK),
                 parts: packed(targets),
                 ..TargetsReply::default()
             };
--- a/crates/gateway/tests/keys.rs
+++ b/crates/gateway/tests/keys.rs
@@ -19,7 +19,7 @@
 use wingbridge_gateway::routes::{Route, RouteAccess, RouteConfig, RouteKind};
 use wingbridge_gateway::text_patch::make_patch;
 use wingbridge_wire::gossip::{
-    Beacon, ConfigReply, ConfigStep, Datagram, DatagramBody, ExchangeRequest, ViewMark,
+    ConfigDelta, ConfigReply, Datagram, DatagramBody, ExchangeRequest, Heartbeat, ViewVersion,
 };
 use wingbridge_wire::{receive_message, send_message};
 use xxhash_rust::xxh3::xxh3_64;
@@ -324,14 +324,14 @@
 /// A peer that has the configuration of `revision` and hands it over when `lets_go` returns.
 fn serve_config_late(
     listener: TcpListener,
-    step: ConfigStep,
+    step: ConfigDelta,
     lets_go: impl FnOnce() + Send + 'static,
 ) -> thread::JoinHandle<()> {
     thread::spawn(move || {
         let (stream, _) = listener.accept().expect("a box asks");
         let stream = TcpStream::from(stream);
         lets_go();
-        let reply = ConfigReply { revision: step.to, steps: vec![step], ..ConfigReply::default() };
+        let reply = ConfigReply { revision: step.to, deltas: vec![step], ..ConfigReply::default() };
         task::block_on(async {
             let _: ExchangeRequest = receive_message(&stream).await.expect("a question");
             send_message(&stream, &reply).await.expect("it is read");
@@ -349,7 +349,7 @@
     let peer = own_host();
     let listener = TcpListener::bind((peer, EXCHANGE)).expect("its own address");
     let patch = make_patch(b"1\n", b"2\n");
-    let step = ConfigStep { from: 1, to: 3, hash: xxh3_64(b"2\n"), patch };
+    let step = ConfigDelta { from: 1, to: 3, hash: xxh3_64(b"2\n"), patch };
     let mut caller = gateway.connect();
     let (asked, waits) = std::sync::mpsc::channel();
     let serving = serve_config_late(listener, step, move || {
@@ -358,13 +358,13 @@
         thread::sleep(Duration::from_millis(100));
     });
     let socket = UdpSocket::bind((peer, GOSSIP)).expect("its own address");
-    let mark = ViewMark { config_revision: 3, ..ViewMark::default() };
-    let beacon = Beacon { mark: Some(mark), ..Beacon::default() };
+    let mark = ViewVersion { config_revision: 3, ..ViewVersion::default() };
+    let beacon = Heartbeat { view_version: Some(mark), ..Heartbeat::default() };
     let datagram = Datagram {
         box_id: "peer".into(),
         data_centre: "centre".into(),
         incarnation: 7,
-        body: Some(DatagramBody::Beacon(beacon)),
+        body: Some(DatagramBody::Heartbeat(beacon)),
         link_mbps: 0,
     };
     let to = SocketAddr::new(gateway.host(), GOSSIP);
--- a/crates/gateway/tests/silent_keepers.rs
+++ b/crates/gateway/tests/silent_keepers.rs
@@ -16,7 +16,7 @@
 };
 use prost::Message;
 use wingbridge_gateway::routes::RouteKind;
-use wingbridge_wire::gossip::{Beacon, Datagram, DatagramBody};
+use wingbridge_wire::gossip::{Datagram, DatagramBody, Heartbeat};
 
 /// Peers; those of the three targets' keepers are different ones.
 const PEERS: usize = 12;
@@ -56,7 +56,7 @@
         box_id: format!("peer-{number}"),
         data_centre: "centre".into(),
         incarnation: 7,
-        body: Some(DatagramBody::Beacon(Beacon::default())),
+        body: Some(DatagramBody::Heartbeat(Heartbeat::default())),
         // By its link it ranks before the box that is tested.
         link_mbps: 1000,
     };
@@ -68,7 +68,7 @@
         let Ok(length) = socket.recv(&mut buffer) else { continue };
         let datagram = Datagram::decode(&buffer[..length]).expect("a datagram");
         if let Some(DatagramBody::Permits(news)) = datagram.body {
-            asks.fetch_add(news.asks.len(), Ordering::AcqRel);
+            asks.fetch_add(news.requests.len(), Ordering::AcqRel);
         }
     }
 }
--- a/crates/gateway/tests/suspended.rs
+++ b/crates/gateway/tests/suspended.rs
@@ -14,7 +14,7 @@
 };
 use prost::Message;
 use wingbridge_gateway::routes::RouteKind;
-use wingbridge_wire::gossip::{Beacon, Datagram, DatagramBody};
+use wingbridge_wire::gossip::{Datagram, DatagramBody, Heartbeat};
 
 const SUSPENDED: Duration = Duration::from_secs(5);
 
@@ -29,12 +29,12 @@
     store.set_suspended(SUSPENDED);
     let peer = UdpSocket::bind((own_host(), GOSSIP)).expect("an address of its own");
     peer.set_read_timeout(Some(Duration::from_secs(20))).expect("a valid time");
-    let asks = Beacon { asks: true, ..Beacon::default() };
+    let asks = Heartbeat { wants_reply: true, ..Heartbeat::default() };
     let datagram = Datagram {
         box_id: "peer".into(),
         data_centre: "centre".into(),
         incarnation: 1,
-        body: Some(DatagramBody::Beacon(asks)),
+        body: Some(DatagramBody::Heartbeat(asks)),
         link_mbps: 0,
     };
     let address = SocketAddr::new(gateway.host(), GOSSIP);
@@ -42,7 +42,8 @@
     let mut buffer = [0; 4096];
     let length = peer.recv(&mut buffer).expect("it answers");
     let answer = Datagram::decode(&buffer[..length]).expect("a datagram");
-    let Some(DatagramBody::Beacon(Beacon { mark: Some(mark), .. })) = answer.body else {
+    let Some(DatagramBody::Heartbeat(Heartbeat { view_version: Some(mark), .. })) = answer.body
+    else {
         panic!("a beacon with a mark: {answer:?}");
     };
     assert!(mark.age_ms >= 5_000, "{} ms", mark.age_ms);
--- a/crates/proxy/src/agent_link.rs
+++ b/crates/proxy/src/agent_link.rs
@@ -115,7 +115,7 @@
     async fn take(&self, body: FrameBody, keeper: &mut ConfigKeeper) {
         match body {
             FrameBody::Entries(entries) => self.take_config(&entries.entries, keeper).await,
-            FrameBody::CaughtUp(caught_up) if caught_up.whole => {
+            FrameBody::CaughtUp(caught_up) if caught_up.complete => {
                 keeper.publish(&self.context.config);
                 self.caught_up.close();
             }
@@ -124,7 +124,7 @@
                     self.decide(BoxEvent::VerdictReceived(verdict_of(verdict))).await;
                 }
             }
-            FrameBody::Leaving(leaving) => {
+            FrameBody::Draining(leaving) => {
                 let service = leaving.service.as_str().into();
                 let target = TargetKey(leaving.target);
                 self.decide(BoxEvent::DrainingReceived { service, target }).await;
@@ -132,7 +132,7 @@
             FrameBody::Readiness(readiness) => {
                 self.context.ready.suspend(!readiness.allowed);
                 let kind = if readiness.allowed { "box-restored" } else { "box-suspended" };
-                self.context.line.note(kind, &[("why", &readiness.why)]);
+                self.context.line.note(kind, &[("why", &readiness.reason)]);
             }
             _ => {}
         }
--- a/crates/proxy/src/decision.rs
+++ b/crates/proxy/src/decision.rs
@@ -13,7 +13,7 @@
     VerdictScope,
 };
 use wingbridge_wire::convert::service_evidence;
-use wingbridge_wire::{Evidence, FrameBody, Leaving, ProxyState};
+use wingbridge_wire::{Evidence, FrameBody, ProxyState, TargetDraining};
 
 use crate::attempt::probe_target;
 use crate::context::ProxyContext;
@@ -91,8 +91,8 @@
             }
             BoxCommand::AnnounceDraining { service, target: TargetKey(target) } => {
                 let service = service.to_string();
-                let leaving = Leaving { service, target, ..Leaving::default() };
-                self.to_agent(FrameBody::Leaving(leaving));
+                let leaving = TargetDraining { service, target, ..TargetDraining::default() };
+                self.to_agent(FrameBody::Draining(leaving));
             }
             BoxCommand::HealthChanged(transition) => self.on_health_changed(transition),
             BoxCommand::SelfSuspected(failing) => {
@@ -174,9 +174,9 @@
             target: address.to_string(),
             state: target.health.state().as_str().to_string(),
             for_ms: now.since(target.health.since()).as_millis() as u64,
-            why: why.to_string(),
+            reason: why.to_string(),
             scope: scope.to_string(),
-            kept_out: target.is_excluded() && !service.below_floor(),
+            excluded: target.is_excluded() && !service.below_floor(),
             kept_by_floor: wanted && (!target.ejection_enforced || service.below_floor()),
         }
     }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -8,7 +8,7 @@
     /// The connection failed or closed.
     Io,
     /// The peer does not know the fleet key.
-    Stranger,
+    Unauthenticated,
     /// A frame is not a message, or is over the bound.
     Malformed,
 }
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -5,7 +5,7 @@
 
 use prost::{Message, Oneof};
 
-use crate::limits::{PermitNews, TargetLimit};
+use crate::limits::{PermitMessage, TargetLimit};
 
 /// One datagram.
 #[derive(Clone, PartialEq, Message)]
@@ -32,32 +32,32 @@
 pub enum DatagramBody {
     /// The sender is alive, and how new its view of the store is.
     #[prost(message, tag = "4")]
-    Beacon(Beacon),
+    Heartbeat(Heartbeat),
     /// What the sender saw of targets.
     #[prost(message, tag = "5")]
-    Sightings(Sightings),
+    PassiveSamples(PassiveSamples),
     /// What the sender asks of customers' credit, and what it grants.
     #[prost(message, tag = "7")]
-    Credit(CreditNews),
+    Tokens(TokenMessage),
     /// What the sender asks of permits to send to targets with a limit, and what it answers.
     #[prost(message, tag = "8")]
-    Permits(PermitNews),
+    Permits(PermitMessage),
 }
 
 /// Customers' credit between a box and the boxes that keep it.
 #[derive(Clone, PartialEq, Message)]
-pub struct CreditNews {
+pub struct TokenMessage {
     /// What the sender asks of the receiver.
     #[prost(message, repeated, tag = "1")]
-    pub asks: Vec<CreditAsk>,
+    pub requests: Vec<TokenRequest>,
     /// What the sender grants the receiver.
     #[prost(message, repeated, tag = "2")]
-    pub grants: Vec<CreditGrant>,
+    pub grants: Vec<TokenGrant>,
 }
 
 /// What a box tells the keeper of a customer's credit, and wishes of it.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct CreditAsk {
+pub struct TokenRequest {
     /// The customer.
     #[prost(string, tag = "1")]
     pub customer: String,
@@ -66,24 +66,24 @@
     pub number: u64,
     /// Requests that were admitted and not told of before.
     #[prost(uint32, tag = "3")]
-    pub owed: u32,
+    pub debt: u32,
     /// Requests that the sender wants to admit soon.
     #[prost(uint32, tag = "4")]
-    pub wish: u32,
+    pub wanted: u32,
     /// The sender's share of the customer's credit, in millionths.
     #[prost(uint32, tag = "5")]
     pub share_ppm: u32,
     /// Whether a keeper told the sender that share.
     #[prost(bool, tag = "6")]
-    pub is_told: bool,
+    pub is_share_assigned: bool,
     /// Requests that the sender was granted and did not use in time.
     #[prost(uint32, tag = "7")]
     pub unused: u32,
 }
 
-/// A keeper's answer to a [`CreditAsk`].
+/// A keeper's answer to a [`TokenRequest`].
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct CreditGrant {
+pub struct TokenGrant {
     /// The customer.
     #[prost(string, tag = "1")]
     pub customer: String,
@@ -106,16 +106,16 @@
 
 /// A sign of life.
 #[derive(Clone, PartialEq, Message)]
-pub struct Beacon {
+pub struct Heartbeat {
     /// Whether the receiver should answer with a beacon that lists peers.
     #[prost(bool, tag = "1")]
-    pub asks: bool,
+    pub wants_reply: bool,
     /// Whether the sender is about to end.
     #[prost(bool, tag = "2")]
-    pub leaving: bool,
+    pub stopping: bool,
     /// The sender's view of the store; absent while it has none.
     #[prost(message, optional, tag = "3")]
-    pub mark: Option<ViewMark>,
+    pub view_version: Option<ViewVersion>,
     /// Boxes that the sender knows. Left out where the receiver needs none.
     #[prost(message, repeated, tag = "4")]
     pub peers: Vec<PeerRecord>,
@@ -129,7 +129,7 @@
 
 /// How new a view of the store is.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct ViewMark {
+pub struct ViewVersion {
     /// The store's revision up to which all changes are in the view.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
@@ -172,16 +172,16 @@
 
 /// What a box saw of targets since it last told.
 #[derive(Clone, PartialEq, Message)]
-pub struct Sightings {
+pub struct PassiveSamples {
     /// One for each target.
     #[prost(message, repeated, tag = "1")]
-    pub targets: Vec<Sighting>,
+    pub targets: Vec<PassiveSample>,
     /// What the sender got and sent again, for each service.
     #[prost(message, repeated, tag = "2")]
-    pub tallies: Vec<Tally>,
+    pub service_counts: Vec<ServiceCounts>,
     /// What is known of news that may come by more than one way.
     #[prost(message, optional, tag = "3")]
-    pub news: Option<NewsMark>,
+    pub update_id: Option<UpdateId>,
     /// Requests under which targets ended, of which something is new.
     #[prost(message, repeated, tag = "4")]
     pub crashes: Vec<CrashRecord>,
@@ -218,24 +218,24 @@
 
 /// By which news are told apart that may come twice.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct NewsMark {
+pub struct UpdateId {
     /// Rises with each piece of news of a box.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// Whether the receiver is to tell the other boxes of its data centre.
     #[prost(bool, tag = "2")]
-    pub hand_on: bool,
+    pub relay: bool,
     /// Whose news they are, if not the sender's: its name, and its incarnation.
     #[prost(string, tag = "3")]
     pub origin_id: String,
     /// 0 if they are the sender's.
     #[prost(fixed64, tag = "4")]
-    pub origin: u64,
+    pub origin_incarnation: u64,
 }
 
 /// What a box got and sent again of one service within the last window.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Tally {
+pub struct ServiceCounts {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
@@ -247,12 +247,12 @@
     pub retries: u32,
     /// Retries of boxes that the sender heard of within the window and hears no more.
     #[prost(uint32, tag = "4")]
-    pub silent_retries: u32,
+    pub unresponsive_retries: u32,
 }
 
 /// What a box saw of one target.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Sighting {
+pub struct PassiveSample {
     /// The target's key.
     #[prost(fixed64, tag = "1")]
     pub target: u64,
@@ -268,7 +268,7 @@
     /// The time of a good one without its wait, in thousandths of what is usual for its
     /// route; 0 if unknown.
     #[prost(uint32, tag = "5")]
-    pub permille: u32,
+    pub latency_permille: u32,
     /// One more than the requests that the target last said it holds; 0 if it said nothing.
     #[prost(uint32, tag = "6")]
     pub held_plus_one: u32,
@@ -283,7 +283,7 @@
     pub informative: Vec<OpenAttempt>,
     /// Whether the target has said in an answer that it leaves.
     #[prost(bool, tag = "10")]
-    pub leaving: bool,
+    pub draining: bool,
     /// What it said of its limit over all boxes, if that is new.
     #[prost(message, optional, tag = "11")]
     pub limit: Option<TargetLimit>,
@@ -332,13 +332,13 @@
 pub struct TargetsReply {
     /// How new it is; absent if the peer has none.
     #[prost(message, optional, tag = "1")]
-    pub mark: Option<ViewMark>,
+    pub version: Option<ViewVersion>,
     /// The hash over the targets to which the rest is the difference; 0 if these are all.
     #[prost(fixed64, tag = "2")]
     pub base: u64,
     /// Names of targets that are gone.
     #[prost(string, repeated, tag = "4")]
-    pub gone: Vec<String>,
+    pub removed: Vec<String>,
     /// Data centres whose targets get nothing, in the order of their names.
     #[prost(string, repeated, tag = "5")]
     pub evacuated: Vec<String>,
@@ -380,15 +380,15 @@
     pub busy: bool,
     /// Boxes to which the peer has sent this configuration, as texts.
     #[prost(string, repeated, tag = "4")]
-    pub holders: Vec<String>,
+    pub seeders: Vec<String>,
     /// To be taken one after the other. None if the peer holds nothing newer.
     #[prost(message, repeated, tag = "5")]
-    pub steps: Vec<ConfigStep>,
+    pub deltas: Vec<ConfigDelta>,
 }
 
 /// What makes one configuration of another one.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct ConfigStep {
+pub struct ConfigDelta {
     /// The store's revision of the configuration before; 0 if that is the empty text.
     #[prost(uint64, tag = "1")]
     pub from: u64,
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -71,7 +71,9 @@
     let exchange = exchange_proofs(stream, key, side);
     match async_std::future::timeout(HANDSHAKE_TIME, exchange).await {
         Ok(result) => result,
-        Err(_) => Err(WireError::new(ErrorKind::Stranger, "no proof of the fleet key in time")),
+        Err(_) => {
+            Err(WireError::new(ErrorKind::Unauthenticated, "no proof of the fleet key in time"))
+        }
     }
 }
 
@@ -91,7 +93,10 @@
     stream.read_exact(&mut claimed).await?;
     // The comparison of two `Hash`es takes the same time wherever they differ.
     if blake3::Hash::from_bytes(claimed) != proof(key, side.other(), &theirs, &own) {
-        return Err(WireError::new(ErrorKind::Stranger, "the peer does not know the fleet key"));
+        return Err(WireError::new(
+            ErrorKind::Unauthenticated,
+            "the peer does not know the fleet key",
+        ));
     }
     Ok(())
 }
--- a/crates/wire/src/limits.rs
+++ b/crates/wire/src/limits.rs
@@ -22,10 +22,10 @@
 
 /// Permits between a box and the boxes that keep them.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct PermitNews {
+pub struct PermitMessage {
     /// What the sender asks of the receiver.
     #[prost(message, repeated, tag = "1")]
-    pub asks: Vec<PermitAsk>,
+    pub requests: Vec<PermitRequest>,
     /// What the sender answers the receiver.
     #[prost(message, repeated, tag = "2")]
     pub replies: Vec<PermitReply>,
@@ -33,7 +33,7 @@
 
 /// An ask for one permit.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct PermitAsk {
+pub struct PermitRequest {
     /// Another number for each ask of a box.
     #[prost(uint64, tag = "1")]
     pub number: u64,
@@ -49,7 +49,7 @@
     pub cold_plus_one: u64,
 }
 
-/// The answer to a [`PermitAsk`].
+/// The answer to a [`PermitRequest`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct PermitReply {
     /// The ask that it answers.
@@ -63,10 +63,10 @@
     pub wait_ms: u32,
     /// Whether the sender does not keep the permits of that target.
     #[prost(bool, tag = "5")]
-    pub passed: bool,
+    pub redirected: bool,
     /// Who does by the sender's view, as a text; empty if it does not know yet.
     #[prost(string, tag = "6")]
-    pub keeper: String,
+    pub coordinator: String,
     /// What the sender knows of the limit.
     #[prost(message, optional, tag = "4")]
     pub limit: Option<TargetLimit>,
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -42,7 +42,7 @@
     Verdicts(Verdicts),
     /// A target is leaving.
     #[prost(message, tag = "10")]
-    Leaving(Leaving),
+    Draining(TargetDraining),
     /// What a proxy has put in force.
     #[prost(message, tag = "11")]
     InForce(Stamps),
@@ -251,7 +251,7 @@
 
 /// A target takes no new work.
 #[derive(Clone, PartialEq, Message)]
-pub struct Leaving {
+pub struct TargetDraining {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
@@ -300,13 +300,13 @@
     pub for_ms: u64,
     /// Why, in words.
     #[prost(string, tag = "5")]
-    pub why: String,
+    pub reason: String,
     /// For whom: path, data centre, target or hand.
     #[prost(string, tag = "6")]
     pub scope: String,
     /// Whether the box sends it nothing.
     #[prost(bool, tag = "7")]
-    pub kept_out: bool,
+    pub excluded: bool,
     /// Whether the floor kept it in service though it was to be ejected.
     #[prost(bool, tag = "8")]
     pub kept_by_floor: bool,
@@ -328,7 +328,7 @@
     pub allowed: bool,
     /// Why not.
     #[prost(string, tag = "2")]
-    pub why: String,
+    pub reason: String,
 }
 
 /// All that the agent holds has been sent.
@@ -336,5 +336,5 @@
 pub struct CaughtUp {
     /// Whether the agent itself has asked several peers and the store.
     #[prost(bool, tag = "1")]
-    pub whole: bool,
+    pub complete: bool,
 }
