--- a/crates/decide/src/steer/choose.rs
+++ b/crates/decide/src/steer/choose.rs
@@ -1,4 +1,4 @@
-//! The score of each target for one request, and the draw among them.
+//! The score of each target for one request, and the weighted random choice among them.
 
 use std::time::Duration;
 
@@ -12,49 +12,48 @@
 use crate::steer::record::TargetRecord;
 use crate::time::TimePoint;
 
-/// Score differences of this size change how often a target is picked by a factor of e.
-/// Smaller herds all boxes onto one target; larger sends work to suspects.
-/// Source: `docs/MEASURED.md`, steering.
+/// Score difference that changes the probability of a choice by a factor of e. A lower value makes all
+/// boxes choose the same target; a higher one sends requests to suspects. See `docs/MEASURED.md`, steering.
 const TEMPERATURE: f64 = 0.06;
-/// What a request that is not served costs, in the worth of an ordinary one: the users
-/// count the served share in nines, so a lost request weighs more than its own worth.
+/// Cost of a request that is not served, in units of the worth of an ordinary request. It is above 1
+/// because the users count the served share in nines.
 const LOST_COST: f64 = 3.0;
-/// What a failed attempt costs where the request can be sent again, as a share of that:
-/// a retry of the budget, the time, and that the second one may fail too.
+/// Cost of a failed attempt of a request that can be sent again, as a share of [`LOST_COST`]: it takes a
+/// retry of the budget and time, and the second attempt may fail too.
 const REPEAT_SHARE: f64 = 0.8;
-/// What an answer after the goal costs: half of an order's worth and more. A wait costs
-/// as much of it as it makes that likelier.
-const WAIT_COST: f64 = 1.2;
-/// Times longer than it is guessed, a wait is reckoned with: loads are told late.
-const WAIT_DOUBT: f64 = 1.3;
-/// What a target costs that has just refused for want of room: likely a retry.
+/// Cost of an answer after the goal, which is at least half of an order's worth. A wait costs the part of
+/// it by which it raises the probability of a late answer.
+const LATE_COST: f64 = 1.2;
+/// Factor applied to an expected wait, since reports of load arrive late.
+const WAIT_MARGIN: f64 = 1.3;
+/// Cost of a target that has just refused a request for lack of room, since it likely takes a retry.
 const FULL_COST: f64 = 0.5;
-/// What each busy slot costs, so that equal targets share the work.
+/// Cost of each busy slot, which spreads the work over equal targets.
 const BUSY_COST: f64 = 0.06;
-/// What leaving the data centre costs beside bytes: loads and successes there are known by
-/// hearsay.
-const AWAY_COST: f64 = 0.3;
+/// Cost of a remote target beside that of the bytes: its load and successes are known only from a few
+/// reports of other boxes.
+const REMOTE_COST: f64 = 0.3;
 
-/// A target that could take a request.
+/// A target that could take the request.
 pub(crate) struct Candidate {
     pub(crate) key: TargetKey,
-    /// How long the request would wait there for a slot, and longer than elsewhere.
+    /// The expected delay of the request at the target; see [`TargetRecord::wait`].
     pub(crate) wait: Duration,
-    /// What sending it there is expected to cost.
+    /// The expected cost of sending the request to the target.
     score: f64,
 }
 
-/// The targets of a service that were not tried for the request, or of those alone that are `kept` to, with
-/// their scores.
+/// Returns the targets of `subset`, or all eligible targets of the service without a subset, with their
+/// scores for the request.
 pub(crate) fn candidates(
     now: TimePoint,
     pool: &TargetPool,
     request: &SteerRequest<'_>,
     typical: Duration,
     setup: &SteerSetup,
-    kept: Option<Vec<(TargetKey, &TargetRecord)>>,
+    subset: Option<Vec<(TargetKey, &TargetRecord)>>,
 ) -> Vec<Candidate> {
-    let scale = pool.late_scale(request.goal, typical);
+    let scale = pool.lateness_scale(request.goal, typical);
     let candidate = |(key, record): (TargetKey, &TargetRecord)| {
         let wait = if setup.mechanisms.has(Mechanism::LoadWait) {
             record.wait(now, pool.typical_time())
@@ -64,28 +63,28 @@
         let score = score(now, pool, record, wait, &scale, request, setup);
         Candidate { key, wait, score }
     };
-    match kept {
-        Some(kept) => kept.into_iter().map(candidate).collect(),
+    match subset {
+        Some(subset) => subset.into_iter().map(candidate).collect(),
         None => pool.eligible_targets(now, request.tried, request.homes).map(candidate).collect(),
     }
 }
 
-/// Draws one of the candidates, each with a weight that falls with its score.
+/// Chooses one of the candidates at random, each with a weight that falls exponentially with its score.
 pub(crate) fn sample_candidate<'c>(
     candidates: &'c [Candidate],
     random: &mut SmallRng,
 ) -> Option<&'c Candidate> {
-    let least = candidates.iter().map(|candidate| candidate.score).fold(f64::INFINITY, f64::min);
-    let weight = |score: f64| (-(score - least) / TEMPERATURE).exp();
+    let min = candidates.iter().map(|candidate| candidate.score).fold(f64::INFINITY, f64::min);
+    let weight = |score: f64| (-(score - min) / TEMPERATURE).exp();
     let total: f64 = candidates.iter().map(|candidate| weight(candidate.score)).sum();
-    let mut drawn = random.random::<f64>() * total;
+    let mut remaining = random.random::<f64>() * total;
     for candidate in candidates {
-        drawn -= weight(candidate.score);
-        if drawn <= 0.0 {
+        remaining -= weight(candidate.score);
+        if remaining <= 0.0 {
             return Some(candidate);
         }
     }
-    // Rounding may leave a rest after the last one.
+    // Rounding may leave a remainder after the last candidate.
     candidates.last()
 }
 
@@ -102,17 +101,17 @@
         return 0.0;
     }
     let loss = if request.repeatable { LOST_COST * REPEAT_SHARE } else { LOST_COST };
-    let late = pool.lateness(wait.mul_f64(WAIT_DOUBT), scale);
+    let late = pool.lateness(wait.mul_f64(WAIT_MARGIN), scale);
     let full = if record.is_full(now) { FULL_COST } else { 0.0 };
-    let cold = record.cold_time(now).as_secs_f64().min(1.0);
-    let away = record.setup.data_centre != setup.data_centre;
-    let crossing = if away && setup.mechanisms.has(Mechanism::CrossDataCentreCost) {
-        pool.transfer_kb(request) * setup.cross_cost + AWAY_COST
+    let cold = record.cold_remaining(now).as_secs_f64().min(1.0);
+    let remote = record.setup.data_centre != setup.data_centre;
+    let crossing = if remote && setup.mechanisms.has(Mechanism::CrossDataCentreCost) {
+        pool.transfer_kb(request) * setup.cross_cost + REMOTE_COST
     } else {
         0.0
     };
     pool.risk(now, record) * loss
-        + late * WAIT_COST
+        + late * LATE_COST
         + full
         + record.busy(now) / f64::from(record.setup.slots.max(1)) * BUSY_COST
         + cold * BUSY_COST
--- a/crates/decide/src/steer/latency_ratios.rs
+++ b/crates/decide/src/steer/latency_ratios.rs
@@ -1,27 +1,29 @@
-//! How long a service takes, and what the age of an open attempt says.
+//! The distribution of a service's latencies, and what the age of an open attempt says about its target.
 //!
-//! A fixed latency_ratio of the typical time suspects the sound targets of a service whose work
-//! varies much, and sees stalls late at one whose work varies little. So the spread of a
-//! service's times is learned, from what all boxes of a data centre saw, and the age of an
-//! open attempt is weighed by how many sound answers take longer. All times here are
-//! multiples of what is typical for the route, since routes differ in their work.
+//! With a fixed multiple of the typical time as the bound, healthy targets of a service whose work varies
+//! much become suspects, and stalls at a service whose work varies little are detected late. So the
+//! distribution of a service's latencies is learned from what all boxes of a data centre observe, and the
+//! age of an open attempt is weighed by the share of healthy answers that take longer. All times in this
+//! module are latency ratios, that is multiples of the typical time of the route, since routes differ in
+//! their work.
 
 use std::time::Duration;
 
 use crate::sketch::{LatencyBucket, LatencySketch};
 use crate::time::TimePoint;
 
-/// Times are remembered for about this long: several hundred answers of a service at the
-/// users' rates, and soon enough to follow a change of its load.
+/// Half-life of recorded ratios. It covers several hundred answers of a service at production request
+/// rates, and is short enough to follow a change of the service's load.
 const HALF_LIFE: Duration = Duration::from_secs(10);
-/// The assumption counts as much as this many answers.
+/// Weight of the assumed distribution, as a number of answers.
 const ASSUMED_ANSWERS: f64 = 20.0;
-/// Attempts at a sound target that never come back: lost packets and cut paths.
-const STALLS_WHEN_SOUND: f64 = 0.01;
-/// An attempt is overdue when so few sound answers take longer.
+/// Share of attempts at a healthy target that are never answered, because of lost packets and network
+/// partitions.
+const HEALTHY_STALL_SHARE: f64 = 0.01;
+/// An attempt is overdue once no more than this share of healthy answers take longer.
 pub(crate) const OVERDUE_SHARE: f64 = 0.01;
 
-/// The learned spread of one service's times.
+/// The learned distribution of the latency ratios of one service.
 #[derive(Debug)]
 pub struct LatencyRatios {
     sketch: LatencySketch,
@@ -34,34 +36,34 @@
 }
 
 impl LatencyRatios {
-    /// Takes the time of a good answer, in multiples of the typical one.
-    pub fn note(&mut self, now: TimePoint, latency_ratio: f64) {
+    /// Records the latency ratio of a good answer.
+    pub fn record(&mut self, now: TimePoint, latency_ratio: f64) {
         self.sketch.decay(now);
         self.sketch.add(LatencyBucket::of(as_latency(latency_ratio)), 1);
     }
 
-    /// The share of sound answers that take longer than `latency_ratio` of the typical time. While
-    /// little was seen, times are taken to be widely spread.
+    /// Returns the share of healthy answers with a higher latency ratio. While only few answers were
+    /// recorded, a wide (exponential) distribution is assumed.
     pub fn share_above(&self, latency_ratio: f64) -> f64 {
         let assumed = (-latency_ratio).exp();
-        let seen = f64::from(self.sketch.total());
+        let recorded = f64::from(self.sketch.total());
         let learned = self.sketch.share_above(as_latency(latency_ratio)).unwrap_or(assumed);
-        (learned * seen + assumed * ASSUMED_ANSWERS) / (seen + ASSUMED_ANSWERS)
+        (learned * recorded + assumed * ASSUMED_ANSWERS) / (recorded + ASSUMED_ANSWERS)
     }
 
-    /// How many times likelier an attempt is open at that age in a spell, in which `stalling`
-    /// of the requests stall, than at a sound target.
-    pub fn stall_ratio(&self, latency_ratio: f64, stalling: f64) -> f64 {
-        stall_ratio(self.share_above(latency_ratio), stalling)
+    /// Returns the likelihood ratio of an attempt being open at that latency ratio: in a failure episode,
+    /// in which the share `stall_share` of requests stall, against at a healthy target. It is at least 1.
+    pub fn stall_likelihood_ratio(&self, latency_ratio: f64, stall_share: f64) -> f64 {
+        stall_likelihood_ratio(self.share_above(latency_ratio), stall_share)
     }
 
-    /// The age at which no more than `share` of sound answers are still missing.
-    pub fn age_of_share(&self, share: f64) -> f64 {
-        /// Halvings of the range: to a thousandth of it.
+    /// Returns the lowest latency ratio, up to 8, that no more than `share` of healthy answers exceed.
+    pub fn ratio_exceeded_by(&self, share: f64) -> f64 {
+        /// Number of bisections; they narrow the range to a thousandth of it.
         const STEPS: u32 = 10;
-        /// Longer is not looked for.
-        const RANGE: f64 = 8.0;
-        let (mut low, mut high) = (0.0, RANGE);
+        /// Upper end of the search.
+        const MAX_RATIO: f64 = 8.0;
+        let (mut low, mut high) = (0.0, MAX_RATIO);
         for _ in 0..STEPS {
             let middle = f64::midpoint(low, high);
             if self.share_above(middle) > share {
@@ -74,15 +76,16 @@
     }
 }
 
-/// How many times likelier an attempt that `late` of the sound ones outlast is still open in a
-/// spell, in which `stalling` of the requests stall, than at a sound target.
-pub(crate) fn stall_ratio(late: f64, stalling: f64) -> f64 {
-    let in_episode = stalling + (1.0 - stalling) * late;
-    let sound = STALLS_WHEN_SOUND + (1.0 - STALLS_WHEN_SOUND) * late;
-    (in_episode / sound).max(1.0)
+/// Returns the likelihood ratio of an attempt being open at an age that the share `late_share` of healthy
+/// answers exceed: in a failure episode, in which the share `stall_share` of requests stall, against at a
+/// healthy target. It is at least 1.
+pub(crate) fn stall_likelihood_ratio(late_share: f64, stall_share: f64) -> f64 {
+    let in_episode = stall_share + (1.0 - stall_share) * late_share;
+    let healthy = HEALTHY_STALL_SHARE + (1.0 - HEALTHY_STALL_SHARE) * late_share;
+    (in_episode / healthy).max(1.0)
 }
 
-/// The sketch counts times; the typical one is a second to it.
+/// Converts a latency ratio to a duration for the sketch, in which one second stands for the typical time.
 fn as_latency(latency_ratio: f64) -> Duration {
     Duration::from_secs_f64(latency_ratio.clamp(0.0, 1000.0))
 }
--- a/crates/decide/src/steer/mechanism.rs
+++ b/crates/decide/src/steer/mechanism.rs
@@ -1,41 +1,41 @@
-//! Parts of the pick that can be switched off, one by one, to measure what each is worth.
+//! Mechanisms of the target choice that can be disabled one by one, to measure the effect of each.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// A part of the pick.
+/// A mechanism of the target choice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Everything but a random choice.
+    /// Weighing targets by expected cost; without it they are chosen uniformly at random.
     Steering,
-    /// What peers saw of targets.
+    /// Use of what peers observe of targets.
     PeerSamples,
-    /// Second attempts beside one that is open for long.
+    /// Second attempts beside an attempt that is open for long.
     Hedges,
-    /// Second attempts early enough for requests that have little time.
+    /// Second attempts that begin early enough for requests with little time remaining.
     DeadlineHedges,
-    /// The ages of open attempts as evidence.
+    /// Use of the ages of open attempts as evidence about targets.
     OpenAges,
-    /// Trials of targets that got nothing for a while.
+    /// Trials of targets that had no attempt for a while.
     Trials,
-    /// Later trials while a service fails few requests.
+    /// Longer idle times before trials while few requests of the service fail.
     FewerTrials,
-    /// The price of leaving the data centre.
+    /// The cost of sending a request to another data centre.
     CrossDataCentreCost,
-    /// The wait that a target's load makes likely.
+    /// The expected wait at a target because of its load.
     LoadWait,
-    /// Requests with time to spare held back while all targets have queues.
+    /// Holding back requests with enough time remaining while requests queue at all targets.
     HoldBack,
-    /// News for other data centres handed on by two of their boxes.
+    /// Sending updates for other data centres by way of two boxes of each.
     UpdateRelays,
-    /// Few targets kept to where a service has many more than its requests need.
+    /// Use of a subset of the targets where a service has many more than its requests need.
     TargetSubset,
 }
 
-/// The mechanisms that are switched off.
+/// The set of mechanisms that are disabled.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct MechanismSet {
-    off: Vec<Mechanism>,
+    disabled: Vec<Mechanism>,
 }
 
 const NAMES: [(Mechanism, &str); 12] = [
@@ -54,17 +54,17 @@
 ];
 
 impl MechanismSet {
-    /// Whether a mechanism works.
+    /// Returns whether a mechanism is enabled.
     pub fn has(&self, mechanism: Mechanism) -> bool {
-        !self.off.contains(&mechanism)
+        !self.disabled.contains(&mechanism)
     }
 
-    /// Whether all of them work.
+    /// Returns whether all mechanisms are enabled.
     pub fn is_complete(&self) -> bool {
-        self.off.is_empty()
+        self.disabled.is_empty()
     }
 
-    /// The names that can be switched off, for messages.
+    /// Returns the names of all mechanisms, separated by commas, for messages.
     pub fn names() -> String {
         NAMES.map(|(_, name)| name).join(", ")
     }
@@ -73,20 +73,24 @@
 impl FromStr for MechanismSet {
     type Err = UnknownMechanism;
 
-    /// Reads names with commas between them; an empty text switches nothing off.
+    /// Parses the names of the disabled mechanisms, separated by commas. An empty text disables none.
+    ///
+    /// # Errors
+    /// The text contains a name that no mechanism has.
     fn from_str(text: &str) -> Result<MechanismSet, UnknownMechanism> {
-        let mut off = Vec::new();
+        let mut disabled = Vec::new();
         for name in text.split(',').map(str::trim).filter(|name| !name.is_empty()) {
             let Some((mechanism, _)) = NAMES.iter().find(|(_, known)| *known == name) else {
                 return Err(UnknownMechanism { name: name.to_string() });
             };
-            off.push(*mechanism);
+            disabled.push(*mechanism);
         }
-        Ok(MechanismSet { off })
+        Ok(MechanismSet { disabled })
     }
 }
 
 impl fmt::Display for MechanismSet {
+    /// Writes the names of the disabled mechanisms in the form that [`FromStr`] parses.
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let named = NAMES.iter().filter(|(mechanism, _)| !self.has(*mechanism));
         let names: Vec<&str> = named.map(|(_, name)| *name).collect();
@@ -94,16 +98,16 @@
     }
 }
 
-/// A name that no mechanism has.
+/// The error for a name that no mechanism has.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnknownMechanism {
-    /// The name.
+    /// The name as it was given.
     pub name: String,
 }
 
 impl fmt::Display for UnknownMechanism {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "'{}' is no mechanism; allowed are {}", self.name, MechanismSet::names())
+        write!(out, "unknown mechanism '{}', expected one of: {}", self.name, MechanismSet::names())
     }
 }
 
--- a/crates/decide/src/steer/mod.rs
+++ b/crates/decide/src/steer/mod.rs
@@ -1,12 +1,12 @@
-//! The choice of a target by expected loss, before any verdict.
+//! The choice of a target by expected cost, from evidence that is too weak for an ejection.
 //!
-//! Ejection takes a target out when the evidence is beyond doubt. Most of what is
-//! lost is lost before: the first requests of each spell of failures, and orders
-//! that can't be sent again. With slots to spare it costs next to nothing to send
-//! work elsewhere on a mere suspicion, so each pick weighs how likely an attempt is
-//! to fail here ([`failure_estimate`]), what that would cost this request, how long it would
-//! wait, and what it costs to leave the data centre. Nothing is taken out here, so no
-//! floor can be broken by a wrong suspicion: a target is only less likely to be picked.
+//! An ejection excludes a target once the evidence is conclusive. Most losses occur before that: the first
+//! requests of each failure episode, and orders that can't be sent again. While other targets have free
+//! slots, it costs next to nothing to avoid a target on a mere suspicion. So each choice weighs how likely
+//! an attempt is to fail at a target ([`failure_estimate`]), what a failure would cost the request, how
+//! long the request would wait there, and what it costs to leave the data centre. A suspicion excludes no
+//! target, it only makes its choice less likely, so that a wrong one can't violate the floor on targets
+//! in use.
 
 mod average;
 mod choose;
@@ -45,7 +45,7 @@
 use crate::steer::parted::PartedNotices;
 use crate::steer::pool::{ASSUMED_TIME, TargetPool};
 use crate::steer::record::{SteerTarget, TargetRecord};
-use crate::steer::routes::RouteTable;
+use crate::steer::routes::RouteStats;
 use crate::steer::trial::{TrialContext, sample_trial};
 use crate::time::TimePoint;
 
@@ -56,87 +56,89 @@
 };
 pub use notice::{LeftOut, NoticeBar, NoticeChange, TargetNotice};
 pub use open::{AttemptHandle, OpenAge};
-pub use record::SUSPECT_FROM;
+pub use record::MIN_SUSPECT_RISK;
 
-/// A wait for a slot from which on a request with more time than its goal is held back:
-/// one with a second to live still gets its answer, at the users' work times of some 0.4 s.
+/// Wait for a slot above which a request is held back if it has more time than its goal. With waits up to
+/// this a request with a deadline of a second is still answered in time, at typical work times of 0.4 s.
 const MIN_SATURATED_WAIT: Duration = Duration::from_millis(450);
-/// A second attempt is made beside one that has stalled with this probability: most of the
-/// retries that it spends then save a request. On 40 random fleets 6 in 1,000 repeatable
-/// requests were lost with second attempts and 17 without.
-const HEDGE_FROM: f64 = 0.5;
-/// No second attempt is made before this part of the typical time: a suspect that answers
-/// after all mostly has by then, and its retry is saved for a request that needs it.
-const HEDGE_LEAST: f64 = 0.6;
-/// A request that has little time gets its second attempt while this many typical times are left for it.
-/// On a quiet day 82 of 108 lookups that ran out of their time had had one attempt, and 85 of them less
-/// than 1.3 s to live.
-const HEDGE_ROOM: f64 = 1.4;
-/// Bounds on the part of attempts that stall, for that: no target is beyond doubt.
-const LEAST_STALLS: f64 = 0.01;
-const MOST_STALLS: f64 = 0.9;
-
-/// Targets, beliefs about them, and the choice among them. Times count from the start of
-/// the process.
+/// Probability that an attempt has stalled from which on a second attempt begins beside it: most of the
+/// retries that this uses save a request. On 40 random fleets 6 in 1,000 repeatable requests were lost
+/// with second attempts and 17 without.
+const MIN_HEDGE_PROBABILITY: f64 = 0.5;
+/// Latency ratio before which no second attempt begins. A suspect that does answer has mostly done so by
+/// then, and the retry is saved for a request that needs it.
+const MIN_HEDGE_RATIO: f64 = 0.6;
+/// Remaining time, as a multiple of the typical time, at which a request with little time gets its second
+/// attempt. On a quiet day 82 of 108 lookups that ran out of time had only one attempt, and 85 of the 108 had
+/// less than 1.3 s in total.
+const HEDGE_REMAINING_RATIO: f64 = 1.4;
+/// Lower bound on the probability that an attempt stalls, for the time of a second attempt: it is never
+/// certain that a target is healthy.
+const MIN_STALL_PROBABILITY: f64 = 0.01;
+/// Upper bound on the probability that an attempt stalls, for the time of a second attempt.
+const MAX_STALL_PROBABILITY: f64 = 0.9;
+
+/// The targets of all services, what is known of them, and the choice among them. Times are relative to the
+/// start of the process.
 #[derive(Debug)]
 pub struct SteerCore {
     setup: SteerSetup,
     pools: HashMap<Name, TargetPool>,
     services: HashMap<TargetKey, Name>,
-    parted: PartedNotices,
+    unlisted: PartedNotices,
     ledgers: HashMap<Name, RetryLedger>,
-    routes: RouteTable,
+    routes: RouteStats,
     local_boxes: usize,
     boxes: usize,
     random: SmallRng,
 }
 
-/// Fewer boxes are never assumed for the shares of the retry slack: a box that knows
-/// no peers must not take the whole of it. Source: 36 to 40 boxes at either user.
-const LEAST_BOXES: usize = 40;
+/// Minimum number of boxes that are assumed to share the retry slack, so that a box without known peers
+/// does not use all of it. Production fleets have 36 to 40 boxes.
+const MIN_BOXES: usize = 40;
 
 impl SteerCore {
-    /// A core that knows no targets.
+    /// Creates a core without targets.
     pub fn new(setup: SteerSetup) -> SteerCore {
         let random = SmallRng::seed_from_u64(setup.seed);
         SteerCore {
             setup,
             pools: HashMap::new(),
             services: HashMap::new(),
-            parted: PartedNotices::default(),
+            unlisted: PartedNotices::default(),
             ledgers: HashMap::new(),
-            routes: RouteTable::default(),
+            routes: RouteStats::default(),
             local_boxes: 1,
             boxes: 1,
             random,
         }
     }
 
-    /// Takes all targets that take work. Those that stay keep what is known of them.
+    /// Replaces the listing by `targets`. What is known of targets that were listed before is kept.
     pub fn set_targets(&mut self, now: TimePoint, targets: Vec<SteerTarget>) {
         let kept: HashSet<TargetKey> = targets.iter().map(SteerTarget::key).collect();
-        let gone = self.services.keys().filter(|key| !kept.contains(key));
-        let gone: Vec<TargetKey> = gone.copied().collect();
-        self.update_targets(now, &gone, targets);
+        let removed = self.services.keys().filter(|key| !kept.contains(key));
+        let removed: Vec<TargetKey> = removed.copied().collect();
+        self.update_targets(now, &removed, targets);
     }
 
-    /// Takes what is new among the targets that take work: lives that take none any more, and targets that are
-    /// new or different. What is known of the others is left as it is.
-    pub fn update_targets(&mut self, now: TimePoint, gone: &[TargetKey], set: Vec<SteerTarget>) {
-        let first = self.services.is_empty();
-        for key in gone {
-            if let Some(record) = self.take_record(*key) {
-                self.parted.keep(now, *key, record.notices);
+    /// Applies a change of the listing: incarnations that take no more requests are `removed`, and the
+    /// targets in `set` are new or have changed. Other targets stay as they are.
+    pub fn update_targets(&mut self, now: TimePoint, removed: &[TargetKey], set: Vec<SteerTarget>) {
+        let at_start = self.services.is_empty();
+        for key in removed {
+            if let Some(record) = self.remove_record(*key) {
+                self.unlisted.keep(now, *key, record.notices);
             }
         }
         for target in set {
             let key = target.key();
             let service = target.service.clone();
-            let record = match self.take_record(key) {
+            let record = match self.remove_record(key) {
                 Some(record) => record.with_setup(target),
                 None => {
                     let in_use = self.pools.get(&service).is_some_and(TargetPool::is_in_use);
-                    TargetRecord::new(target, now, first, in_use, self.parted.restore(key))
+                    TargetRecord::new(target, now, at_start, in_use, self.unlisted.restore(key))
                 }
             };
             self.services.insert(key, service.clone());
@@ -147,14 +149,14 @@
         self.pools.retain(|_, pool| !pool.is_empty());
     }
 
-    /// How many boxes share the budgets: those of the own data centre, which tell each
-    /// other what they did, and all. This box is counted.
-    pub fn set_boxes(&mut self, near: usize, all: usize) {
-        self.local_boxes = near.max(1);
-        self.boxes = all.max(near).max(1);
+    /// Sets the number of boxes that share the budgets, this box included: `local` is the number in the own
+    /// data centre, which report their use to each other, and `all` the number in all data centres.
+    pub fn set_boxes(&mut self, local: usize, all: usize) {
+        self.local_boxes = local.max(1);
+        self.boxes = all.max(local).max(1);
     }
 
-    /// A request for `service` came.
+    /// Records that a request for `service` has arrived.
     pub fn record_request(&mut self, now: TimePoint, service: &str) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.record_request(now);
@@ -162,50 +164,52 @@
         self.ledger(service).note_request(now);
     }
 
-    /// Takes a retry from the budget that all boxes share, if one is there for that use.
+    /// Takes a retry from the budget that all boxes share; returns false if none is left for that use.
     pub fn spend_retry(&mut self, now: TimePoint, service: &str, usage: RetryUse) -> bool {
-        let (bounds, heard) = (self.setup.retries, heard_boxes(self.local_boxes));
-        let all = self.boxes.max(LEAST_BOXES);
-        // What this box and its peers did before it started is not known: in a whole fleet
-        // that was restarted the slack may have been used up just before.
-        let settled = now.since(TimePoint::default()) >= bounds.window;
-        let slack = if settled { bounds.slack } else { 0.0 };
+        let (bounds, reporting) = (self.setup.retries, heard_boxes(self.local_boxes));
+        let all = self.boxes.max(MIN_BOXES);
+        // The retries of this box and its peers before it started are unknown. If the whole fleet was
+        // restarted, the slack may have been used up just before.
+        let is_window_known = now.since(TimePoint::default()) >= bounds.window;
+        let slack = if is_window_known { bounds.slack } else { 0.0 };
         let part = usage.budget_part();
         let bounds = RetryBounds { slack: slack * part, share: bounds.share * part, ..bounds };
         let ledger = self.ledger(service);
-        let allowed = ledger.allows(now, &bounds, heard, all);
+        let allowed = ledger.allows(now, &bounds, reporting, all);
         if allowed {
             ledger.note_retry(now);
         }
         allowed
     }
 
-    /// Takes what the peer of that incarnation, in the own data centre, did of a service.
+    /// Merges the counts of a service that the peer with the incarnation `peer`, in the own data centre,
+    /// has reported.
     pub fn merge_retry_counts(
         &mut self,
         now: TimePoint,
         peer: u64,
         service: &str,
-        tally: RetryTally,
+        counts: RetryTally,
     ) {
-        self.ledger(service).note_told(now, peer, tally);
+        self.ledger(service).note_told(now, peer, counts);
     }
 
-    /// What this box did of each service within the last window, for its peers; services
-    /// that rested since it last told are left out.
+    /// Returns what this box counted of each service within the last window, to be reported to its peers,
+    /// without the services for which nothing was counted since the last report.
     pub fn unreported_retry_counts(&mut self, now: TimePoint) -> Vec<(Name, RetryTally)> {
         let window = self.setup.retries.window;
-        let untold = self.ledgers.iter_mut().filter_map(|(service, ledger)| {
-            let tally = ledger.take_untold(now, window)?;
-            Some((service.clone(), tally))
+        let unreported = self.ledgers.iter_mut().filter_map(|(service, ledger)| {
+            let counts = ledger.take_untold(now, window)?;
+            Some((service.clone(), counts))
         });
-        untold.collect()
+        unreported.collect()
     }
 
-    /// Chooses a target.
+    /// Chooses a target for the request.
     ///
     /// # Errors
-    /// There is none that could answer in time.
+    /// No target may get the request or could answer it in time, or the request is held back while all
+    /// targets have queues.
     pub fn pick(
         &mut self,
         now: TimePoint,
@@ -214,15 +218,15 @@
         let Some(pool) = self.pools.get(request.service) else {
             return Err(NoPick::NoTarget);
         };
-        let drawn: f64 = self.random.random();
-        let place = self.trial_context();
-        let kept = kept_targets(now, pool, request, &place);
-        let place = TrialContext { only_fresh: kept.is_some(), ..place };
-        if let Some(key) = sample_trial(now, pool, request, &place, drawn) {
+        let random: f64 = self.random.random();
+        let context = self.trial_context();
+        let subset = kept_targets(now, pool, request, &context);
+        let context = TrialContext { only_unattempted: subset.is_some(), ..context };
+        if let Some(key) = sample_trial(now, pool, request, &context, random) {
             return Ok(make_pick(key, pool, now, true));
         }
         let typical = self.routes.typical_time(request.route).unwrap_or(pool.typical_time());
-        let candidates = candidates(now, pool, request, typical, &self.setup, kept);
+        let candidates = candidates(now, pool, request, typical, &self.setup, subset);
         if candidates.is_empty() {
             let first = pool.time_to_first(now, request.homes);
             return Err(first.map_or(NoPick::NoTarget, NoPick::Resting));
@@ -240,13 +244,13 @@
         Ok(make_pick(chosen.key, pool, now, false))
     }
 
-    /// An attempt of a request on `route` begins at a target.
+    /// Records the begin of an attempt at a target, of a request on `route`.
     pub fn begin(&mut self, now: TimePoint, key: TargetKey, route: &Name) -> AttemptHandle {
         self.begin_as(now, key, route, true)
     }
 
-    /// The same of a request that its caller still sends: how long that takes says nothing of the
-    /// target.
+    /// Records the begin of an attempt whose request the caller is still sending. Its duration is no
+    /// evidence about the target.
     pub fn begin_untimed(&mut self, now: TimePoint, key: TargetKey, route: &Name) -> AttemptHandle {
         self.begin_as(now, key, route, false)
     }
@@ -274,9 +278,8 @@
         handle
     }
 
-    /// An attempt of a request on `route` ended. Its answer had `bytes` bytes.
-    ///
-    /// Returns what that told of the target.
+    /// Records the end of an attempt of a request on `route`, with an answer of `bytes` bytes; returns its
+    /// effect.
     pub fn end(
         &mut self,
         now: TimePoint,
@@ -286,10 +289,10 @@
         bytes: usize,
     ) -> AttemptNews {
         let known = self.routes.typical_time(route);
-        let worked = worked_time(now, handle);
+        let work_time = work_time(now, handle);
         match outcome {
-            SteerOutcome::Good(_) if handle.timed => self.routes.note_answer(route, worked),
-            SteerOutcome::OutOfTime if handle.timed => self.routes.note_out_of_time(route),
+            SteerOutcome::Good(_) if handle.timed => self.routes.record_answer(route, work_time),
+            SteerOutcome::OutOfTime if handle.timed => self.routes.record_out_of_time(route),
             _ => {}
         }
         let Some(pool) = self.pool_mut(handle.key) else {
@@ -299,17 +302,17 @@
         if let SteerOutcome::Good(time) = outcome
             && handle.timed
         {
-            pool.note_answer(time, bytes);
+            pool.record_answer(time, bytes);
             latency_ratio =
-                known.map(|typical| worked.as_secs_f64() / typical.as_secs_f64().max(0.001));
+                known.map(|typical| work_time.as_secs_f64() / typical.as_secs_f64().max(0.001));
         }
         if let Some(latency_ratio) = latency_ratio {
             pool.record_latency_ratio(now, handle.key, latency_ratio);
         }
-        AttemptNews { latency_ratio, ..pool.note_end(now, handle, outcome) }
+        AttemptNews { latency_ratio, ..pool.record_end(now, handle, outcome) }
     }
 
-    /// An attempt is open for longer than nearly all. Returns what that tells of the target.
+    /// Records that an attempt is open for longer than nearly all; returns the effect.
     pub fn record_overdue(&mut self, now: TimePoint, handle: &AttemptHandle) -> AttemptNews {
         match self.pool_mut(handle.key) {
             Some(pool) if handle.informative => pool.record_overdue(now, handle),
@@ -317,22 +320,22 @@
         }
     }
 
-    /// Another instance answered at a target's address, here or to a peer. The target has
-    /// ended, and gets nothing more unless its entry names another address. Returns whether
-    /// that is new.
+    /// Records that another instance answered at a target's address, to this box or to a peer; returns
+    /// whether that was unknown. The target has ended, and gets no more requests unless its entry names
+    /// another address.
     pub fn record_replaced(&mut self, key: TargetKey) -> bool {
         self.record_mut(key).is_some_and(TargetRecord::record_replaced)
     }
 
-    /// A target told its load.
+    /// Records the load that a target has reported.
     pub fn record_load(&mut self, now: TimePoint, key: TargetKey, load: LoadReport) {
         if let Some(record) = self.record_mut(key) {
             record.record_load(now, load.held);
         }
     }
 
-    /// Takes what a peer saw. Returns the change if the target became a suspect by it, or
-    /// is none any more.
+    /// Merges what the peer with the incarnation `peer` observed of a target; returns the change if the
+    /// target became a suspect, or ceased to be one.
     pub fn merge_peer_sample(
         &mut self,
         now: TimePoint,
@@ -346,58 +349,62 @@
         self.pool_mut(key)?.merge_peer_sample(now, peer, key, sample)
     }
 
-    /// Attempts of this box that are open at a target, and those whose age tells of it.
+    /// Returns the number of attempts that this box has open at a target, and the ages of the informative
+    /// ones among them.
     pub fn open_attempts_at(&self, key: TargetKey) -> (u32, Vec<OpenAge>) {
         let pool = self.pool_of(key);
-        let open = |pool: &TargetPool| (pool[key].open.own(), pool[key].open.own_ages().collect());
+        let open =
+            |pool: &TargetPool| (pool[key].open.own_count(), pool[key].open.own_ages().collect());
         pool.map(open).unwrap_or_default()
     }
 
-    /// The time after its start from which on an attempt is longer open than nearly all.
+    /// Returns the time after the start of an attempt from which on it is open for longer than nearly all.
     pub fn overdue_after(&self, handle: &AttemptHandle) -> Duration {
-        self.age_of_share(handle, OVERDUE_SHARE).unwrap_or(ASSUMED_TIME)
+        self.age_exceeded_by(handle, OVERDUE_SHARE).unwrap_or(ASSUMED_TIME)
     }
 
-    /// The time after its start from which on an attempt is likely enough to have stalled
-    /// that a second one beside it is worth a retry. It is reached the sooner the more its
-    /// target is suspected, and no later than one that has to be answered within `left` of the
-    /// attempt's start can be; `None` if the target is not known any more.
+    /// Returns the time after the start of an attempt from which on it is likely enough to have stalled
+    /// that a second attempt is worth a retry, or `None` if the target is no longer listed or hedging is
+    /// disabled. The time is the shorter the higher the risk of the target is. If `remaining`, the time
+    /// from the start of the attempt to the deadline, is long enough for two attempts, it also leaves the
+    /// second one time for an answer.
     pub fn hedge_after(
         &self,
         now: TimePoint,
         handle: &AttemptHandle,
-        left: Duration,
+        remaining: Duration,
     ) -> Option<Duration> {
         if !self.setup.mechanisms.has(Mechanism::Hedges) {
             return None;
         }
         let pool = self.pool_of(handle.key)?;
         let stalls = pool.risk(now, &pool[handle.key]) * pool.stalled_share();
-        let stalls = stalls.clamp(LEAST_STALLS, MOST_STALLS);
-        let sound = 1.0 - stalls;
-        let share = stalls * (1.0 - HEDGE_FROM) / (HEDGE_FROM * sound);
-        let least = handle.typical.mul_f64(HEDGE_LEAST);
-        let likely = self.age_of_share(handle, share)?.max(least);
-        let last = left.saturating_sub(handle.typical.mul_f64(HEDGE_ROOM));
-        let has_room = last >= least && self.setup.mechanisms.has(Mechanism::DeadlineHedges);
-        Some(if has_room { likely.min(last) } else { likely })
+        let stalls = stalls.clamp(MIN_STALL_PROBABILITY, MAX_STALL_PROBABILITY);
+        let healthy = 1.0 - stalls;
+        let share = stalls * (1.0 - MIN_HEDGE_PROBABILITY) / (MIN_HEDGE_PROBABILITY * healthy);
+        let earliest = handle.typical.mul_f64(MIN_HEDGE_RATIO);
+        let likely = self.age_exceeded_by(handle, share)?.max(earliest);
+        let latest = remaining.saturating_sub(handle.typical.mul_f64(HEDGE_REMAINING_RATIO));
+        let has_room = latest >= earliest && self.setup.mechanisms.has(Mechanism::DeadlineHedges);
+        Some(if has_room { likely.min(latest) } else { likely })
     }
 
-    /// The time after its start at which no more than `share` of sound attempts like this
-    /// one are still open.
-    fn age_of_share(&self, handle: &AttemptHandle, share: f64) -> Option<Duration> {
+    /// Returns the time after its start that no more than `share` of healthy attempts like this one exceed,
+    /// with the expected wait for a slot, or `None` if the target is no longer listed.
+    fn age_exceeded_by(&self, handle: &AttemptHandle, share: f64) -> Option<Duration> {
         let pool = self.pool_of(handle.key)?;
         let wait = handle.slot_expected_at.since(handle.started);
-        Some(wait + handle.typical.mul_f64(pool.age_of_share(share)))
+        Some(wait + handle.typical.mul_f64(pool.ratio_exceeded_by(share)))
     }
 
-    /// Probability that the next attempt at a target fails, for status pages and tests.
+    /// Returns the probability that the next attempt at a target fails, or `None` if it is not listed; for
+    /// status pages and tests.
     pub fn risk(&self, now: TimePoint, key: TargetKey) -> Option<f64> {
         let pool = self.pool_of(key)?;
         Some(pool.risk(now, &pool[key]))
     }
 
-    fn take_record(&mut self, key: TargetKey) -> Option<TargetRecord> {
+    fn remove_record(&mut self, key: TargetKey) -> Option<TargetRecord> {
         let service = self.services.remove(&key)?;
         self.pools.get_mut(&service)?.remove(key)
     }
@@ -408,7 +415,7 @@
             local_boxes: self.local_boxes,
             boxes: self.boxes,
             mechanisms: &self.setup.mechanisms,
-            only_fresh: false,
+            only_unattempted: false,
         }
     }
 
@@ -416,7 +423,7 @@
         if !self.ledgers.contains_key(service) {
             self.ledgers.insert(service.into(), RetryLedger::default());
         }
-        self.ledgers.get_mut(service).expect("it was just put there")
+        self.ledgers.get_mut(service).expect("the ledger was just inserted")
     }
 
     fn pool_of(&self, key: TargetKey) -> Option<&TargetPool> {
@@ -432,11 +439,11 @@
     }
 }
 
-/// The time of an attempt that ended now without its expected wait for a slot. The wait is
-/// a guess from the target's load, so half of the time counts as work at least.
-fn worked_time(now: TimePoint, handle: &AttemptHandle) -> Duration {
-    let taken = now.since(handle.started);
-    now.since(handle.slot_expected_at).max(taken / 2)
+/// Returns the duration of an attempt that ended now, without its expected wait for a slot. That wait is
+/// an estimate from the target's load, so at least half of the duration counts as work.
+fn work_time(now: TimePoint, handle: &AttemptHandle) -> Duration {
+    let elapsed = now.since(handle.started);
+    now.since(handle.slot_expected_at).max(elapsed / 2)
 }
 
 fn make_pick(key: TargetKey, pool: &TargetPool, now: TimePoint, trial: bool) -> SteerPick {
--- a/crates/decide/src/steer/notices.rs
+++ b/crates/decide/src/steer/notices.rs
@@ -20,7 +20,7 @@
     ) -> NoticeChange {
         match self.record_mut(key) {
             Some(record) => record.notices.take(now, notice),
-            None => self.parted.take(now, key, notice),
+            None => self.unlisted.take(now, key, notice),
         }
     }
 
@@ -138,7 +138,7 @@
         for pool in self.pools.values_mut() {
             pool.all_records_mut().for_each(|record| record.advance_clocks(time));
         }
-        self.parted.advance_clocks(time);
+        self.unlisted.advance_clocks(time);
     }
 
     fn change_limit(
@@ -148,7 +148,7 @@
         take: impl FnOnce(&mut NoticeState) -> Option<LimitChange>,
     ) -> Option<LimitChange> {
         let Some(record) = self.record_mut(key) else {
-            return self.parted.change(now, key, take);
+            return self.unlisted.change(now, key, take);
         };
         let change = take(&mut record.notices)?;
         record.clear_permit_wait();
--- a/crates/decide/src/steer/open.rs
+++ b/crates/decide/src/steer/open.rs
@@ -1,33 +1,34 @@
-//! Attempts that are open at a target: how many, and for how long.
+//! The open attempts at a target: how many there are, and for how long each has been open.
 //!
-//! A stall shows only in what does not come back, and a single attempt must be open for
-//! long before its age says much. The ages of all that a data centre's boxes have open at
-//! one target, weighed together, say so much sooner: on 40 random fleets 38 in 1,000 orders
-//! were lost with them and 43 without.
+//! A stall is visible only as a missing answer, and a single attempt must be open for long before its age
+//! is strong evidence. The ages of all attempts that the boxes of a data centre have open at one target,
+//! combined, are strong evidence much sooner: on 40 random fleets 38 in 1,000 orders were lost with the
+//! combined ages and 43 without.
 
 use std::time::Duration;
 
 use crate::names::TargetKey;
 use crate::time::TimePoint;
 
-/// What a peer has open counts for this long after it told: most requests are over by then.
-pub(crate) const PEER_OPEN_FOR: Duration = Duration::from_millis(1500);
+/// Time for which a peer's report of its open attempts counts: most requests have ended by then.
+pub(crate) const PEER_REPORT_LIFETIME: Duration = Duration::from_millis(1500);
 
-/// An attempt of this box that began.
+/// An attempt that this box has begun.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptHandle {
-    /// Where it went.
+    /// The target of the attempt.
     pub key: TargetKey,
-    /// When it began.
+    /// When the attempt began.
     pub started: TimePoint,
-    /// When the target is taken to have had a slot for it.
+    /// When the target was expected to have a free slot for the attempt.
     pub slot_expected_at: TimePoint,
-    /// The typical time of its route.
+    /// The typical time of the attempt's route.
     pub typical: Duration,
-    /// Whether its age speaks of the target. That of a route whose requests run out of
-    /// their time wherever they go does not.
+    /// Whether the age of the attempt is evidence about the target. It is not on a route whose requests
+    /// run out of time at every target.
     pub informative: bool,
-    /// Whether its time is the target's. That of a request whose caller still sends it is not.
+    /// Whether the time of the attempt is spent by the target. It is not while the caller still sends the
+    /// request.
     pub timed: bool,
 }
 
@@ -35,30 +36,31 @@
 #[derive(Debug, Default)]
 pub(crate) struct OpenAttempts {
     own: Vec<AttemptHandle>,
-    /// What peers of the own data centre have open.
-    peers: Vec<PeerOpen>,
+    /// The last report of each peer of the own data centre that has attempts open.
+    peers: Vec<PeerAttempts>,
 }
 
+/// The attempts that one peer reported as open.
 #[derive(Debug)]
-struct PeerOpen {
+struct PeerAttempts {
     peer: u64,
     count: u32,
-    /// Those that tell of the target.
+    /// The ages of the informative ones among them.
     informative: Vec<OpenAge>,
-    told: TimePoint,
+    received: TimePoint,
 }
 
-/// For how long an attempt is open, the wait for a slot left out, beside what is typical.
+/// The age of an open attempt without its wait for a slot, and the typical time to compare it with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OpenAge {
-    /// Since when.
+    /// When the target was expected to begin work on the attempt.
     pub since: TimePoint,
-    /// The typical time of its route.
+    /// The typical time of the attempt's route.
     pub typical: Duration,
 }
 
 impl OpenAge {
-    /// The age at `now`, in multiples of the typical time.
+    /// Returns the age at `now` as a multiple of the typical time.
     pub fn latency_ratio(&self, now: TimePoint) -> f64 {
         now.since(self.since).as_secs_f64() / self.typical.as_secs_f64().max(0.001)
     }
@@ -75,26 +77,28 @@
         self.own.push(handle);
     }
 
-    /// Drops an attempt of this box; returns whether its age still speaks of the target.
+    /// Removes an attempt of this box; returns whether its age was still informative.
     pub(crate) fn finish(&mut self, handle: &AttemptHandle) -> bool {
         let same = |open: &AttemptHandle| open.started == handle.started;
         let index = self.own.iter().position(same);
         let informative = index.is_some_and(|index| self.own.swap_remove(index).informative);
         if self.own.is_empty() {
-            // Of thousands of targets few have something open: the room that each had would stay.
+            // Only a few of thousands of targets have open attempts at any moment: this frees the
+            // buffer, which each target would keep otherwise.
             self.own = Vec::new();
         }
         informative
     }
 
-    /// What its age says of the target was noted for good.
-    pub(crate) fn note_told(&mut self, handle: &AttemptHandle) {
+    /// Excludes the age of an attempt from the evidence, because it was recorded as an outcome.
+    pub(crate) fn mark_uninformative(&mut self, handle: &AttemptHandle) {
         for open in self.own.iter_mut().filter(|open| open.started == handle.started) {
             open.informative = false;
         }
     }
 
-    pub(crate) fn note_peer(
+    /// Replaces what `peer` reported before by its new report.
+    pub(crate) fn merge_peer(
         &mut self,
         now: TimePoint,
         peer: u64,
@@ -104,46 +108,46 @@
         self.peers.retain(|open| open.peer != peer);
         if count > 0 {
             let informative = informative.to_vec();
-            self.peers.push(PeerOpen { peer, count, informative, told: now });
+            self.peers.push(PeerAttempts { peer, count, informative, received: now });
         }
-        self.drop_stale(now);
+        self.drop_expired(now);
     }
 
-    /// Forgets what peers told so long ago that it counts no more.
-    pub(crate) fn drop_stale(&mut self, now: TimePoint) {
-        self.peers.retain(|open| now.since(open.told) < PEER_OPEN_FOR);
+    /// Drops the reports of peers that are older than [`PEER_REPORT_LIFETIME`].
+    pub(crate) fn drop_expired(&mut self, now: TimePoint) {
+        self.peers.retain(|open| now.since(open.received) < PEER_REPORT_LIFETIME);
         if self.peers.is_empty() {
             self.peers = Vec::new();
         }
     }
 
-    /// Attempts of this box.
-    pub(crate) fn own(&self) -> u32 {
+    /// Returns the number of open attempts of this box.
+    pub(crate) fn own_count(&self) -> u32 {
         self.own.len() as u32
     }
 
-    /// Attempts of this box that began after `told`.
-    pub(crate) fn own_since(&self, told: TimePoint) -> u32 {
-        self.own.iter().filter(|open| open.started > told).count() as u32
+    /// Returns the number of open attempts of this box that began after `time`.
+    pub(crate) fn own_count_since(&self, time: TimePoint) -> u32 {
+        self.own.iter().filter(|open| open.started > time).count() as u32
     }
 
-    /// Ages of this box's attempts that tell of the target.
+    /// Returns the ages of the informative attempts of this box.
     pub(crate) fn own_ages(&self) -> impl Iterator<Item = OpenAge> {
         self.own.iter().filter(|open| open.informative).map(AttemptHandle::age)
     }
 
-    /// Attempts of all boxes of the data centre.
-    pub(crate) fn all(&self, now: TimePoint) -> u32 {
-        self.own() + self.fresh_peers(now).map(|peer| peer.count).sum::<u32>()
+    /// Returns the number of open attempts of all boxes of the data centre.
+    pub(crate) fn total_count(&self, now: TimePoint) -> u32 {
+        self.own_count() + self.recent_peers(now).map(|peer| peer.count).sum::<u32>()
     }
 
-    /// Ages of all attempts that tell of the target.
+    /// Returns the ages of the informative attempts of all boxes of the data centre.
     pub(crate) fn all_ages(&self, now: TimePoint) -> impl Iterator<Item = OpenAge> {
-        let peers = self.fresh_peers(now).flat_map(|peer| peer.informative.iter().copied());
+        let peers = self.recent_peers(now).flat_map(|peer| peer.informative.iter().copied());
         self.own_ages().chain(peers)
     }
 
-    fn fresh_peers(&self, now: TimePoint) -> impl Iterator<Item = &PeerOpen> {
-        self.peers.iter().filter(move |peer| now.since(peer.told) < PEER_OPEN_FOR)
+    fn recent_peers(&self, now: TimePoint) -> impl Iterator<Item = &PeerAttempts> {
+        self.peers.iter().filter(move |peer| now.since(peer.received) < PEER_REPORT_LIFETIME)
     }
 }
--- a/crates/decide/src/steer/pool.rs
+++ b/crates/decide/src/steer/pool.rs
@@ -1,4 +1,4 @@
-//! The targets of one service, and what is typical for it.
+//! The targets of one service, and the statistics that they share.
 
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Index;
@@ -13,38 +13,38 @@
     AttemptNews, HomeRegions, PeerSample, SteerOutcome, SteerRequest, SuspicionChange,
 };
 use crate::steer::notice::NoticeBar;
-use crate::steer::open::{AttemptHandle, OpenAge, PEER_OPEN_FOR};
+use crate::steer::open::{AttemptHandle, OpenAge, PEER_REPORT_LIFETIME};
 use crate::steer::record::TargetRecord;
 use crate::time::TimePoint;
 
-/// A service for which no box of the data centre tells of an attempt for this long rests. The
-/// least used ones of the users get some requests a second in each.
-const REST_TIME: Duration = Duration::from_secs(10);
-/// Requests a second are averaged over about this time.
+/// Time without an attempt, here or at a peer of the data centre, after which a service counts as idle.
+/// Even the least used services get some requests a second in each data centre.
+const IDLE_AFTER: Duration = Duration::from_secs(10);
+/// Time constant of the average of requests a second.
 const RATE_TIME: Duration = Duration::from_secs(4);
-/// The share of failures of late is that of about this time: the users hold the share of
-/// sound targets that get requests to a floor in any 2 s with many failures.
-const FAILING_TIME: Duration = Duration::from_millis(1500);
-/// So many more good attempts are assumed: a single failure of a service that rests is no share.
-const LEAST_ENDED: f64 = 5.0;
-/// An attempt that ended without an answer counts as a stall if its age is so many times
-/// likelier in a spell: as conclusive as a failure is at a target that was not suspected.
-const STALL_RATIO: f64 = 10.0;
-/// Service time that is assumed while none was seen. Source: the users' work times, 160 to 410 ms.
+/// Time constant of the failure share. It is below the 2 s over which the users require a minimum share of
+/// healthy targets that get requests, while many requests fail.
+const FAILURE_SHARE_TIME: Duration = Duration::from_millis(1500);
+/// Number of successful attempts that are added to the failure share, so that a single failure of an idle
+/// service does not give a high share.
+const ASSUMED_SUCCESSES: f64 = 5.0;
+/// Likelihood ratio of its age from which on an attempt that ended without an answer counts as a stall:
+/// as conclusive as a failure is at a target that was no suspect.
+const MIN_STALL_RATIO: f64 = 10.0;
+/// Service time that is assumed until one was observed; the work times in production are 160 to 410 ms.
 pub(crate) const ASSUMED_TIME: Duration = Duration::from_millis(300);
-/// Size of large answers while few were seen, in kilobytes. Source: the users' map packs
-/// and mosaics, 90 KB on average.
-const LARGE_KB: f64 = 90.0;
-/// Answers over which the typical time and size of a service are averaged.
-const SETTLED: f64 = 50.0;
+/// Assumed size of a large answer in kilobytes: the mean of the users' map packs and mosaics.
+const LARGE_ANSWER_KB: f64 = 90.0;
+/// Number of answers over which the typical time and size of a service's answers are averaged.
+const AVERAGE_WINDOW: f64 = 50.0;
 
-/// What waits of one request are weighed by, the same at each target.
+/// The properties of a request by which its wait at a target is weighed. They are the same at each target.
 pub(crate) struct LatenessScale {
     goal: Duration,
-    /// The typical time of its route.
+    /// The typical time of the request's route.
     typical: Duration,
-    /// The share that is late without any wait.
-    anyway: f64,
+    /// The share of such requests that are late without any wait.
+    base_share: f64,
 }
 
 /// The targets of one service.
@@ -52,23 +52,26 @@
 pub struct TargetPool {
     weighs_ages: bool,
     records: BTreeMap<TargetKey, TargetRecord>,
-    /// How many of them each data centre has.
-    centres: HashMap<Name, usize>,
+    /// The number of targets in each data centre.
+    data_centres: HashMap<Name, usize>,
     typical: RunningAverage,
-    times: LatencyRatios,
-    /// What its targets' spells have in common.
+    latency_ratios: LatencyRatios,
+    /// The properties that the failure episodes of the targets share.
     episode_stats: EpisodeStats,
-    /// Attempts that failed, and all that ended, fading with time.
+    /// The number of attempts that failed, decayed over [`FAILURE_SHARE_TIME`].
     failed: f64,
+    /// The number of attempts that ended, decayed likewise.
     ended: f64,
+    /// When the two numbers were last updated.
     ended_at: TimePoint,
     small_bytes: RunningAverage,
     rate: f64,
     rate_at: TimePoint,
-    /// Since when attempts are made without a long rest, and the last of them.
+    /// When the first attempt was made after the service was last idle.
     in_use_since: Option<TimePoint>,
+    /// When the last attempt was made.
     used_at: TimePoint,
-    /// When open attempts that count no more were forgotten last.
+    /// When expired reports of open attempts were last dropped.
     swept_at: TimePoint,
 }
 
@@ -77,14 +80,14 @@
         TargetPool {
             weighs_ages: mechanisms.has(Mechanism::OpenAges),
             records: BTreeMap::new(),
-            centres: HashMap::new(),
-            typical: RunningAverage::new(SETTLED),
-            times: LatencyRatios::default(),
+            data_centres: HashMap::new(),
+            typical: RunningAverage::new(AVERAGE_WINDOW),
+            latency_ratios: LatencyRatios::default(),
             episode_stats: EpisodeStats::default(),
             failed: 0.0,
             ended: 0.0,
             ended_at: TimePoint::default(),
-            small_bytes: RunningAverage::new(SETTLED),
+            small_bytes: RunningAverage::new(AVERAGE_WINDOW),
             rate: 0.0,
             rate_at: TimePoint::default(),
             in_use_since: None,
@@ -93,30 +96,29 @@
         }
     }
 
-    /// Takes the time of a good answer to a request of a known route, in multiples of what
-    /// is typical for that.
+    /// Records the latency ratio of a good answer of a target, for the target and for the service.
     pub(crate) fn record_latency_ratio(
         &mut self,
         now: TimePoint,
         key: TargetKey,
         latency_ratio: f64,
     ) {
-        self.times.note(now, latency_ratio);
+        self.latency_ratios.record(now, latency_ratio);
         if let Some(record) = self.records.get_mut(&key) {
-            record.note_time(latency_ratio);
+            record.record_latency_ratio(latency_ratio);
         }
     }
 
-    /// Notes the beginning of an attempt of this box.
+    /// Records the begin of an attempt of this box.
     pub(crate) fn begin(&mut self, now: TimePoint, handle: AttemptHandle) {
-        self.note_use(now);
+        self.record_use(now);
         if let Some(record) = self.records.get_mut(&handle.key) {
             record.begin(handle);
         }
     }
 
-    /// Notes the end of an attempt of this box.
-    pub(crate) fn note_end(
+    /// Records the end of an attempt of this box; returns its effect.
+    pub(crate) fn record_end(
         &mut self,
         now: TimePoint,
         handle: &AttemptHandle,
@@ -126,43 +128,44 @@
             return AttemptNews::default();
         };
         let informative = record.open.finish(handle);
-        record.note_own(now, outcome);
+        record.record_own_outcome(now, outcome);
         if let Some(sample) = outcome.as_sample() {
-            let change = self.note_sample(now, handle.key, sample);
+            let change = self.record_own_sample(now, handle.key, sample);
             return AttemptNews { change, ..AttemptNews::default() };
         }
         let unanswered = matches!(outcome, SteerOutcome::OutOfTime | SteerOutcome::Dropped);
         if !unanswered || !informative {
             return AttemptNews::default();
         }
-        self.note_unanswered(now, handle)
+        self.record_unanswered(now, handle)
     }
 
-    /// Takes what the age of an attempt says that ended without an answer.
-    fn note_unanswered(&mut self, now: TimePoint, handle: &AttemptHandle) -> AttemptNews {
-        let ratio = self.age_ratio(now, std::iter::once(handle.age()));
-        if ratio >= STALL_RATIO {
-            let change = self.note_sample(now, handle.key, OutcomeSample::Stalled);
+    /// Records the age of an attempt that ended without an answer as evidence about its target.
+    fn record_unanswered(&mut self, now: TimePoint, handle: &AttemptHandle) -> AttemptNews {
+        let ratio = self.age_likelihood_ratio(now, std::iter::once(handle.age()));
+        if ratio >= MIN_STALL_RATIO {
+            let change = self.record_own_sample(now, handle.key, OutcomeSample::Stalled);
             return AttemptNews { stalled: true, change, latency_ratio: None };
         }
         if let Some(record) = self.get_mut(handle.key) {
-            record.note_unanswered(now, ratio);
+            record.record_unanswered(now, ratio);
         }
         AttemptNews::default()
     }
 
-    /// Notes that an attempt of this box is open for longer than nearly all.
+    /// Records that an attempt of this box is open for longer than nearly all; returns the effect.
     pub(crate) fn record_overdue(&mut self, now: TimePoint, handle: &AttemptHandle) -> AttemptNews {
         let Some(record) = self.get_mut(handle.key) else {
             return AttemptNews::default();
         };
-        record.open.note_told(handle);
-        record.note_path_failure(now);
-        let change = self.note_sample(now, handle.key, OutcomeSample::Stalled);
+        record.open.mark_uninformative(handle);
+        record.record_path_failure(now);
+        let change = self.record_own_sample(now, handle.key, OutcomeSample::Stalled);
         AttemptNews { stalled: true, change, latency_ratio: None }
     }
 
-    /// Takes what a peer saw of a target.
+    /// Merges what a peer observed of a target; returns the change if the target became a suspect, or
+    /// ceased to be one.
     pub(crate) fn merge_peer_sample(
         &mut self,
         now: TimePoint,
@@ -173,43 +176,45 @@
         if let Some(latency_ratio) = sample.latency_ratio {
             self.record_latency_ratio(now, key, latency_ratio);
         }
-        self.drop_stale(now);
+        self.drop_expired(now);
         let record = self.get_mut(key)?;
         if let Some(held) = sample.held {
             record.record_load(now, held);
         }
         if let Some(open) = sample.open {
-            record.note_peer_open(now, peer, open, &sample.informative);
-            self.note_use(now);
-            self.note_told(now, sample);
+            record.merge_peer_open(now, peer, open, &sample.informative);
+            self.record_use(now);
+            self.count_peer_sample(now, sample);
         }
-        let told = [
+        let reported = [
             (sample.good, OutcomeSample::Good),
             (sample.bad, OutcomeSample::Bad),
             (sample.overdue, OutcomeSample::Stalled),
         ];
         let mut change = None;
-        for (count, kind) in told {
-            // One message is one moment: more of the same says little more.
+        for (count, kind) in reported {
+            // The outcomes of one report are of nearly the same time and not independent, so that more
+            // than three of a kind add little evidence.
             for _ in 0..count.min(3) {
-                change = self.note_belief(now, key, kind).or(change);
+                change = self.update_estimate(now, key, kind).or(change);
             }
         }
         change
     }
 
-    /// Forgets, from time to time, what peers told of open attempts and never told the end of: kept for each
-    /// target that was ever used, it grew for as long as the box ran.
-    fn drop_stale(&mut self, now: TimePoint) {
-        if now.since(self.swept_at) < PEER_OPEN_FOR {
+    /// Drops expired reports of open attempts from all targets, from time to time. Peers don't report the
+    /// end of every attempt, so that without this the reports kept for each target that was ever used grew
+    /// for as long as the box ran.
+    fn drop_expired(&mut self, now: TimePoint) {
+        if now.since(self.swept_at) < PEER_REPORT_LIFETIME {
             return;
         }
         self.swept_at = now;
-        self.records.values_mut().for_each(|record| record.open.drop_stale(now));
+        self.records.values_mut().for_each(|record| record.open.drop_expired(now));
     }
 
-    /// Takes an outcome of this box.
-    fn note_sample(
+    /// Records the outcome of an attempt of this box.
+    fn record_own_sample(
         &mut self,
         now: TimePoint,
         key: TargetKey,
@@ -217,41 +222,41 @@
     ) -> Option<SuspicionChange> {
         let failed = u32::from(sample != OutcomeSample::Good);
         self.count_ended(now, failed, 1);
-        self.note_belief(now, key, sample)
+        self.update_estimate(now, key, sample)
     }
 
-    fn note_belief(
+    fn update_estimate(
         &mut self,
         now: TimePoint,
         key: TargetKey,
         sample: OutcomeSample,
     ) -> Option<SuspicionChange> {
-        self.episode_stats.note_failure(sample);
+        self.episode_stats.record_failure(sample);
         let record = self.records.get_mut(&key)?;
-        record.note_sample(now, sample, &self.episode_stats);
-        record.note_suspicion(now)
+        record.record_sample(now, sample, &self.episode_stats);
+        record.update_suspicion(now)
     }
 
     pub(crate) fn insert(&mut self, key: TargetKey, record: TargetRecord) {
-        *self.centres.entry(record.setup.data_centre.clone()).or_default() += 1;
+        *self.data_centres.entry(record.setup.data_centre.clone()).or_default() += 1;
         if let Some(before) = self.records.insert(key, record) {
-            self.note_removed(&before);
+            self.uncount(&before);
         }
     }
 
     pub(crate) fn remove(&mut self, key: TargetKey) -> Option<TargetRecord> {
         let removed = self.records.remove(&key)?;
-        self.note_removed(&removed);
+        self.uncount(&removed);
         Some(removed)
     }
 
-    /// How many targets a data centre has.
+    /// Returns the number of targets in a data centre.
     pub(crate) fn target_count_in(&self, data_centre: &str) -> usize {
-        self.centres.get(data_centre).copied().unwrap_or_default()
+        self.data_centres.get(data_centre).copied().unwrap_or_default()
     }
 
-    fn note_removed(&mut self, record: &TargetRecord) {
-        if let Some(count) = self.centres.get_mut(&record.setup.data_centre) {
+    fn uncount(&mut self, record: &TargetRecord) {
+        if let Some(count) = self.data_centres.get_mut(&record.setup.data_centre) {
             *count = count.saturating_sub(1);
         }
     }
@@ -264,7 +269,7 @@
         self.records.is_empty()
     }
 
-    /// The targets in the regions `homes` that can be chosen now beside those that were `tried`.
+    /// Returns the targets in the regions `homes` that may be chosen now, without those in `tried`.
     pub(crate) fn eligible_targets<'p, 'r>(
         &'p self,
         now: TimePoint,
@@ -277,76 +282,78 @@
         records.map(|(key, record)| (*key, record))
     }
 
-    /// Time until the first target takes requests again, if all of them have said that they want none, or
-    /// no more than they get, and one of them only for a while.
+    /// Returns the time until the first target takes requests again, if each present target has asked for
+    /// none or has reached its limit, and at least one of them only for a limited time.
     pub(crate) fn time_to_first(&self, now: TimePoint, homes: HomeRegions<'_>) -> Option<Duration> {
-        let is_there = |record: &TargetRecord| {
+        let is_present = |record: &TargetRecord| {
             !record.is_replaced() && !record.is_evacuated() && record.is_in(homes)
         };
-        let present = self.records.values().filter(|record| is_there(record));
+        let present = self.records.values().filter(|record| is_present(record));
         let mut first: Option<Duration> = None;
         for record in present {
-            let left = match record.notices.bar(now) {
+            let remaining = match record.notices.bar(now) {
                 Some(NoticeBar::Leaving(_)) => continue,
                 Some(NoticeBar::Resting { left, .. }) => left,
                 None => record.permit_wait(now)?,
             };
-            first = Some(first.map_or(left, |known| known.min(left)));
+            first = Some(first.map_or(remaining, |known| known.min(remaining)));
         }
         first
     }
 
-    /// All targets, also those that get nothing now.
+    /// Returns all targets, also those that are not eligible.
     pub(crate) fn all_records(&self) -> impl Iterator<Item = &TargetRecord> {
         self.records.values()
     }
 
-    /// The same, to be changed.
+    /// Returns all targets for modification, also those that are not eligible.
     pub(crate) fn all_records_mut(&mut self) -> impl Iterator<Item = &mut TargetRecord> {
         self.records.values_mut()
     }
 
-    /// Slots of a target; those of one service are the same.
+    /// Returns the number of slots of a target; the targets of one service have the same number.
     pub(crate) fn typical_slots(&self) -> u32 {
         self.records.values().next().map_or(1, |record| record.setup.slots)
     }
 
-    /// Whether attempts are made at its targets.
+    /// Returns whether any attempt was made at the targets.
     pub(crate) fn is_in_use(&self) -> bool {
         self.in_use_since.is_some()
     }
 
-    /// The typical time of a request.
+    /// Returns the typical time of a request to the service.
     pub(crate) fn typical_time(&self) -> Duration {
         self.typical.get().map_or(ASSUMED_TIME, Duration::from_secs_f64)
     }
 
-    /// Kilobytes that an attempt moves: the answer, the request, and their headers.
+    /// Returns the expected kilobytes that an attempt transfers: the request and the answer with their
+    /// headers.
     pub(crate) fn transfer_kb(&self, request: &SteerRequest<'_>) -> f64 {
-        /// The headers of both.
-        const OVERHEAD_KB: f64 = 1.0;
+        /// Size of the headers of the request and the answer.
+        const HEADERS_KB: f64 = 1.0;
         let small_kb = self.small_bytes.get().unwrap_or_default() / 1000.0;
-        let answer_kb = if request.large { LARGE_KB } else { small_kb };
-        request.body_bytes as f64 / 1000.0 + answer_kb + OVERHEAD_KB
+        let answer_kb = if request.large { LARGE_ANSWER_KB } else { small_kb };
+        request.body_bytes as f64 / 1000.0 + answer_kb + HEADERS_KB
     }
 
-    /// Requests a second that this box gets for the service.
+    /// Returns the requests a second that this box gets for the service.
     pub(crate) fn request_rate(&self, now: TimePoint) -> f64 {
         let passed = now.since(self.rate_at).as_secs_f64() / RATE_TIME.as_secs_f64();
         self.rate * (-passed).exp()
     }
 
-    /// For how long attempts have been made without a long rest.
+    /// Returns the time since the first attempt after the service was last idle.
     pub(crate) fn in_use_for(&self, now: TimePoint) -> Duration {
         self.in_use_since.map_or(Duration::ZERO, |since| now.since(since))
     }
 
-    /// An attempt was made here, or at a peer of the data centre.
+    /// Records that an attempt was made here, or at a peer of the data centre.
     ///
-    /// Before the first one each target counted as left alone since the box started: of the
-    /// orders of the first 2 s of load 78 in 100 became trials, and 25 in 100 of these were lost.
-    pub(crate) fn note_use(&mut self, now: TimePoint) {
-        if self.in_use_since.is_none() || now.since(self.used_at) >= REST_TIME {
+    /// Trials depend on the time since a service came into use. Without that each target counted as idle
+    /// since the start of the box when the first attempt was made: 78 in 100 orders of the first 2 s of
+    /// load became trials, and 25 in 100 of these were lost.
+    pub(crate) fn record_use(&mut self, now: TimePoint) {
+        if self.in_use_since.is_none() || now.since(self.used_at) >= IDLE_AFTER {
             self.in_use_since = Some(now);
         }
         self.used_at = now;
@@ -357,36 +364,41 @@
         self.rate_at = now;
     }
 
-    /// How likely an attempt at a target fails, by what is believed of it and by what all
-    /// boxes of the data centre have open there.
+    /// Returns the probability that an attempt at a target fails, from its failure estimate and the ages
+    /// of the attempts that all boxes of the data centre have open there.
     pub(crate) fn risk(&self, now: TimePoint, record: &TargetRecord) -> f64 {
-        record.risk(now, self.age_ratio(now, record.open.all_ages(now)))
+        record.risk(now, self.age_likelihood_ratio(now, record.open.all_ages(now)))
     }
 
-    /// How many times likelier those ages of open attempts are in a spell.
-    fn age_ratio(&self, now: TimePoint, ages: impl Iterator<Item = OpenAge>) -> f64 {
+    /// Returns the likelihood ratio of the ages of open attempts, in a failure episode against at a
+    /// healthy target.
+    fn age_likelihood_ratio(&self, now: TimePoint, ages: impl Iterator<Item = OpenAge>) -> f64 {
         if !self.weighs_ages {
             return 1.0;
         }
-        let stalling = self.episode_stats.stalling();
-        ages.map(|age| self.times.stall_ratio(age.latency_ratio(now), stalling)).product()
+        let stall_share = self.episode_stats.episode_stall_share();
+        ages.map(|age| {
+            self.latency_ratios.stall_likelihood_ratio(age.latency_ratio(now), stall_share)
+        })
+        .product()
     }
 
-    /// The part of failures that are stalls.
+    /// Returns the share of failures that are stalls.
     pub(crate) fn stalled_share(&self) -> f64 {
         self.episode_stats.stalled_share()
     }
 
-    /// The share of attempts that failed of late, as far as boxes of the data centre tell.
-    pub(crate) fn failing(&self, now: TimePoint) -> f64 {
-        let fading = self.fading(now);
-        self.failed * fading / (self.ended * fading + LEAST_ENDED)
+    /// Returns the share of recent attempts that failed, as far as boxes of the data centre report them.
+    pub(crate) fn failure_share(&self, now: TimePoint) -> f64 {
+        let decay = self.ended_decay(now);
+        self.failed * decay / (self.ended * decay + ASSUMED_SUCCESSES)
     }
 
-    /// Counts what a peer that tells all has told. Others tell of failures alone: counted in, they
-    /// make 4 in 100 that fail look like 11 with three data centres and like 17 with five (worked
-    /// out), so that calm is never seen and targets are tried as in an outage.
-    fn note_told(&mut self, now: TimePoint, sample: &PeerSample) {
+    /// Counts the attempts that a peer with full reports has reported. Other peers report only failures:
+    /// with these counted a true failure share of 4 in 100 would appear as 11 with three data centres and
+    /// as 17 with five (calculated), so that the service would never count as calm and targets would be
+    /// tried as often as in an outage.
+    fn count_peer_sample(&mut self, now: TimePoint, sample: &PeerSample) {
         let failed = sample.bad + sample.overdue;
         if failed + sample.good > 0 {
             self.count_ended(now, failed, failed + sample.good);
@@ -394,53 +406,55 @@
     }
 
     fn count_ended(&mut self, now: TimePoint, failed: u32, ended: u32) {
-        let fading = self.fading(now);
-        self.failed = self.failed * fading + f64::from(failed);
-        self.ended = self.ended * fading + f64::from(ended);
+        let decay = self.ended_decay(now);
+        self.failed = self.failed * decay + f64::from(failed);
+        self.ended = self.ended * decay + f64::from(ended);
         self.ended_at = now;
     }
 
-    fn fading(&self, now: TimePoint) -> f64 {
-        (-now.since(self.ended_at).as_secs_f64() / FAILING_TIME.as_secs_f64()).exp()
+    /// Returns the factor by which the counts of ended attempts have decayed since their last update.
+    fn ended_decay(&self, now: TimePoint) -> f64 {
+        (-now.since(self.ended_at).as_secs_f64() / FAILURE_SHARE_TIME.as_secs_f64()).exp()
     }
 
-    /// The age at which no more than `share` of sound answers are still missing, in
-    /// multiples of the typical time.
-    pub(crate) fn age_of_share(&self, share: f64) -> f64 {
-        self.times.age_of_share(share)
+    /// Returns the lowest latency ratio that no more than `share` of healthy answers exceed.
+    pub(crate) fn ratio_exceeded_by(&self, share: f64) -> f64 {
+        self.latency_ratios.ratio_exceeded_by(share)
     }
 
-    /// What waits of a request of that typical time are weighed by.
-    pub(crate) fn late_scale(&self, goal: Duration, typical: Duration) -> LatenessScale {
-        LatenessScale { goal, typical, anyway: self.share_later(goal, typical) }
+    /// Returns the scale by which waits are weighed of a request with that goal and typical time.
+    pub(crate) fn lateness_scale(&self, goal: Duration, typical: Duration) -> LatenessScale {
+        LatenessScale { goal, typical, base_share: self.share_later(goal, typical) }
     }
 
-    /// How much likelier a request is late for its goal by a wait of `wait`. Most targets have none and need no look at the learned times: a choice
-    /// among 431 took 105 us with one at each of them and 47 us without (`wingbench steer --cost`).
+    /// Returns how much a wait of `wait` raises the probability that a request misses its goal. It returns
+    /// early without a wait, as at most targets: a choice among 431 targets took 105 us with a look-up of
+    /// the learned distribution for each of them and 47 us without (`wingbench steer --cost`).
     pub(crate) fn lateness(&self, wait: Duration, scale: &LatenessScale) -> f64 {
-        let LatenessScale { goal, typical, anyway } = *scale;
+        let LatenessScale { goal, typical, base_share } = *scale;
         if wait >= goal {
             return 1.0;
         }
-        if wait.is_zero() { 0.0 } else { self.share_later(goal - wait, typical) - anyway }
+        if wait.is_zero() { 0.0 } else { self.share_later(goal - wait, typical) - base_share }
     }
 
-    /// The share of requests of that typical time that take longer than `time`.
+    /// Returns the share of requests with the typical time `typical` that take longer than `time`.
     fn share_later(&self, time: Duration, typical: Duration) -> f64 {
-        self.times.share_above(time.as_secs_f64() / typical.as_secs_f64().max(0.001))
+        self.latency_ratios.share_above(time.as_secs_f64() / typical.as_secs_f64().max(0.001))
     }
 
-    /// What an attempt that begins now is measured by: from when on it has a slot.
+    /// Returns when an attempt that begins now is expected to have a slot at the target.
     pub(crate) fn slot_expected_at(&self, now: TimePoint, key: TargetKey) -> TimePoint {
         let wait = self.records.get(&key).map(|record| record.wait(now, self.typical_time()));
         now + wait.unwrap_or_default()
     }
 
-    pub(crate) fn note_answer(&mut self, time: Duration, bytes: usize) {
-        /// Answers up to here count as small.
-        const SMALL_BYTES: usize = 16 * 1024;
+    /// Records the time and size of a good answer.
+    pub(crate) fn record_answer(&mut self, time: Duration, bytes: usize) {
+        /// Largest size of an answer that counts as small.
+        const MAX_SMALL_BYTES: usize = 16 * 1024;
         self.typical.add(time.as_secs_f64());
-        if bytes <= SMALL_BYTES {
+        if bytes <= MAX_SMALL_BYTES {
             self.small_bytes.add(bytes as f64);
         }
     }
--- a/crates/decide/src/steer/record.rs
+++ b/crates/decide/src/steer/record.rs
@@ -1,4 +1,4 @@
-//! One target, with what is known of it: belief, path, load, typical time.
+//! What this box knows of one target: failure estimate, network path, load, latency, and what limits it.
 
 use std::time::Duration;
 
@@ -10,104 +10,106 @@
 use crate::steer::open::{AttemptHandle, OpenAge, OpenAttempts};
 use crate::time::TimePoint;
 
-/// A reported load loses half its weight in this time: about one request's work.
+/// Time in which a reported load loses half its weight: about the work of one request.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(250);
-/// A target that shed is taken as full for this long.
+/// Time for which a target counts as full after it refused a request for lack of room.
 const FULL_FOR: Duration = Duration::from_millis(200);
-/// Requests that a target which shed is taken to hold, in multiples of its slots.
-const FULL_HELD: f64 = 5.0;
-/// A path that failed is avoided for this long, if there is another one.
-const PATH_AVOIDED: Duration = Duration::from_secs(2);
-/// Risk of a path that has just failed.
+/// Number of requests that a full target is assumed to hold, as a multiple of its slots.
+const FULL_LOAD_FACTOR: f64 = 5.0;
+/// Time for which a network path is avoided after it failed, if there is another target.
+const PATH_AVOIDED_FOR: Duration = Duration::from_secs(2);
+/// Risk of a network path that has failed within [`PATH_AVOIDED_FOR`].
 const PATH_RISK: f64 = 0.9;
-/// Weight of the newest time in a target's slowness: the work of single requests varies by
-/// a factor of two and more.
-const TIME_WEIGHT: f64 = 0.1;
-/// A target up to this many times slower than typical counts as no slower: chance alone does
-/// as much.
-const SLOW_FROM: f64 = 1.3;
-/// A peer's word that a target is cold counts for this long: the listing reaches each box sooner.
-const COLD_TOLD_FOR: Duration = Duration::from_secs(3);
-/// A cold target takes this many times as long. Source: the users' pages, twice.
+/// Weight of the newest latency ratio in the slowness of a target. It is low because the work of single
+/// requests varies by a factor of two and more.
+const SLOWNESS_WEIGHT: f64 = 0.1;
+/// Slowness up to which a target counts as no slower than others: chance alone causes as much.
+const MIN_SLOWNESS: f64 = 1.3;
+/// Time for which a peer's report counts that a target is cold; the listing reaches each box sooner.
+const REPORTED_COLD_FOR: Duration = Duration::from_secs(3);
+/// Factor by which a cold target takes longer; the users give a factor of two.
 const COLD_FACTOR: f64 = 2.0;
-/// A suspect is trusted again below this probability of failure.
-const TRUSTED_BELOW: f64 = 0.1;
-/// A target is a suspect from this probability of failure on.
-pub const SUSPECT_FROM: f64 = 0.2;
+/// A suspect is trusted again once its risk is below this.
+const MAX_TRUSTED_RISK: f64 = 0.1;
+/// Failure probability from which on a target is a suspect.
+pub const MIN_SUSPECT_RISK: f64 = 0.2;
 
-/// A target that takes work.
+/// A listed target that takes requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SteerTarget {
-    /// The instance's name. It may start again under it, as another life.
+    /// The name of the instance. A restarted instance may keep its name; it is another incarnation then.
     pub id: Name,
-    /// When this life of it began, in milliseconds since 1970; 0 if it is not known.
+    /// Start of this incarnation in milliseconds since 1970; 0 if it is unknown.
     pub born_ms: u64,
-    /// Where it listens.
+    /// The address on which the target listens.
     pub address: Name,
-    /// The service it belongs to.
+    /// The service to which the target belongs.
     pub service: Name,
-    /// Its data centre.
+    /// The data centre of the target.
     pub data_centre: Name,
-    /// Requests that it works on at once.
+    /// Number of requests that the target works on at the same time.
     pub slots: u32,
-    /// Until when it is slow from its start.
+    /// Time until which the target is slow because it has just started.
     pub cold_until: TimePoint,
-    /// The region of its data centre.
+    /// The region of the target's data centre.
     pub region: Name,
-    /// Whether operators want nothing sent to its data centre.
+    /// Whether operators have evacuated the target's data centre, so that it gets no requests.
     pub evacuated: bool,
-    /// The requests a second that it takes from all boxes together while it is cold, if it says that it
-    /// is and its service has such a bound.
+    /// Limit on the requests a second from all boxes together while the target is cold, if it reports
+    /// that it is cold and its service has such a limit.
     pub cold_rate: Option<RequestRate>,
 }
 
 impl SteerTarget {
-    /// Its identity between boxes. Addresses are used again, so name and life count.
+    /// Returns the identity of the target between boxes. It is made of the name and the start of the
+    /// incarnation, since addresses are reused.
     pub fn key(&self) -> TargetKey {
         TargetKey::of_life(&self.id, self.born_ms)
     }
 }
 
-/// A target with what is known of it.
+/// A listed target with everything that is known of it.
 #[derive(Debug)]
 pub struct TargetRecord {
     pub(crate) setup: SteerTarget,
-    belief: FailureEstimate,
-    tried_at: TimePoint,
-    /// Whether the last attempt at it failed, here or at a peer.
+    estimate: FailureEstimate,
+    /// When an attempt at the target was last known to begin, be open or end, here or at a peer.
+    attempted_at: TimePoint,
+    /// Whether the last attempt at the target failed, here or at a peer.
     last_failed: bool,
-    /// When one failed last.
+    /// When an attempt at the target last failed.
     failed_at: Option<TimePoint>,
     suspect: bool,
-    /// Whether it joined while this box ran and its service was in use, and got nothing yet.
-    fresh: bool,
-    /// Another instance answers at its address: it has ended, whatever the store says.
+    /// Whether the target joined while this box ran and its service was in use, and got no attempt yet.
+    unattempted: bool,
+    /// Whether another instance answered at the target's address. The target has ended then, also if the
+    /// store still lists it.
     replaced: bool,
-    /// What it has said of itself.
+    /// What the target has said of itself in its answers.
     pub(crate) notices: NoticeState,
-    /// Until when there is no permit for it.
-    used_up_until: Option<TimePoint>,
-    /// What a peer told of it that knew sooner than this box that it is cold, and until when that counts.
-    told_cold: Option<ToldCold>,
+    /// Time until which no permit is available for the target.
+    no_permit_until: Option<TimePoint>,
+    /// A peer's report that the target is cold, received before the listing said so.
+    reported_cold: Option<ReportedCold>,
     path_failed_at: Option<TimePoint>,
     full_at: Option<TimePoint>,
-    /// What this box and its peers have open here.
+    /// The attempts that this box and its peers have open at the target.
     pub(crate) open: OpenAttempts,
     held: u32,
     held_at: TimePoint,
-    /// Its times, in multiples of what is typical.
+    /// Average latency ratio of the target's good answers.
     slowness: f64,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct ToldCold {
+struct ReportedCold {
     rate: RequestRate,
     until: TimePoint,
 }
 
 impl TargetRecord {
-    /// A record of a target that is listed now, and has said `notices` before. `at_start` is whether the box
-    /// is new, `in_use` whether the target's service gets requests.
+    /// Creates the record of a target that is listed now. `at_start` is whether the box has just started,
+    /// `in_use` whether the target's service gets requests, `notices` what the target said before.
     pub(crate) fn new(
         setup: SteerTarget,
         now: TimePoint,
@@ -117,16 +119,16 @@
     ) -> TargetRecord {
         TargetRecord {
             setup,
-            belief: FailureEstimate::new(now, at_start),
-            tried_at: now,
+            estimate: FailureEstimate::new(now, at_start),
+            attempted_at: now,
             last_failed: false,
             failed_at: None,
             suspect: false,
-            fresh: !at_start && in_use,
+            unattempted: !at_start && in_use,
             replaced: false,
             notices,
-            used_up_until: None,
-            told_cold: None,
+            no_permit_until: None,
+            reported_cold: None,
             path_failed_at: None,
             full_at: None,
             open: OpenAttempts::default(),
@@ -136,44 +138,49 @@
         }
     }
 
+    /// Replaces the listed properties. A target that was replaced at its address counts as present again
+    /// if the address has changed.
     pub(crate) fn with_setup(mut self, setup: SteerTarget) -> TargetRecord {
         self.replaced &= setup.address == self.setup.address;
         self.setup = setup;
         self
     }
 
-    /// How likely an attempt fails here, where the ages of open attempts are `ratio` times
-    /// likelier in a spell.
+    /// Returns the probability that an attempt fails here. `ratio` is the likelihood ratio of the ages of
+    /// the open attempts, in a failure episode against at a healthy target.
     pub(crate) fn risk(&self, now: TimePoint, ratio: f64) -> f64 {
-        let risk = self.belief.risk(now, ratio);
-        let path = if self.path_clear(now) { 0.0 } else { PATH_RISK };
+        let risk = self.estimate.risk(now, ratio);
+        let path = if self.is_path_usable(now) { 0.0 } else { PATH_RISK };
         1.0 - (1.0 - risk) * (1.0 - path)
     }
 
-    pub(crate) fn path_clear(&self, now: TimePoint) -> bool {
-        self.path_failed_at.is_none_or(|failed| now.since(failed) >= PATH_AVOIDED)
+    /// Returns whether the network path to the target has not failed recently.
+    pub(crate) fn is_path_usable(&self, now: TimePoint) -> bool {
+        self.path_failed_at.is_none_or(|failed| now.since(failed) >= PATH_AVOIDED_FOR)
     }
 
-    /// Whether it stands in one of the regions that a request may be served in.
+    /// Returns whether the target is in one of the regions in which a request may be served.
     pub(crate) fn is_in(&self, homes: HomeRegions<'_>) -> bool {
         homes.allow(&self.setup.region)
     }
 
-    /// Whether operators want nothing sent to its data centre.
+    /// Returns whether operators have evacuated the target's data centre.
     pub(crate) fn is_evacuated(&self) -> bool {
         self.setup.evacuated
     }
 
-    /// Whether another instance has its address.
+    /// Returns whether another instance has the target's address.
     pub(crate) fn is_replaced(&self) -> bool {
         self.replaced
     }
 
-    /// Whether it can be chosen at all: it is there, and has not said that it wants nothing.
+    /// Returns whether the target may get requests at all: it is present, it has not asked for none, and
+    /// permits for it are available.
     ///
-    /// Each way to a target goes through this, trials, retries and second attempts too. With a
-    /// refusal as a price alone three resting targets were sent 18 to 53 requests a second, all
-    /// refused, of the 50 to 84 that their service got (counts of the targets over six seconds).
+    /// Every choice of a target applies this filter, also trials, retries and second attempts. When a
+    /// refusal was only a cost in the score, three targets that had asked for a back-off were sent 18 to
+    /// 53 requests a second, all refused, of the 50 to 84 of their service (counted by the targets over
+    /// six seconds).
     pub(crate) fn is_eligible(&self, now: TimePoint) -> bool {
         !self.replaced
             && !self.setup.evacuated
@@ -181,72 +188,75 @@
             && self.permit_wait(now).is_none()
     }
 
-    /// The limit over all boxes that it has now: the one that it names in its answers, or the one that
-    /// holds while it is cold, whichever is lower.
+    /// Returns the limit over all boxes that applies now: the lower of the one that the target names in
+    /// its answers and the one that applies while it is cold.
     pub(crate) fn limit(&self, now: TimePoint) -> Option<RequestRate> {
         let named = self.notices.limit();
         named.into_iter().chain(self.cold_rate(now)).min()
     }
 
-    /// The limit that holds since it is cold, if it is.
+    /// Returns the limit that applies because the target is cold, if it is.
     pub(crate) fn cold_rate(&self, now: TimePoint) -> Option<RequestRate> {
-        let told = self.told_cold.filter(|told| now < told.until).map(|told| told.rate);
-        self.setup.cold_rate.into_iter().chain(told).min()
+        let reported = self.reported_cold.filter(|cold| now < cold.until).map(|cold| cold.rate);
+        self.setup.cold_rate.into_iter().chain(reported).min()
     }
 
-    /// Takes a peer's word that it is cold and takes `rate`; the listing says so as well soon.
+    /// Records a peer's report that the target is cold and limited to `rate`, for the short time until
+    /// the listing says so as well.
     pub(crate) fn record_cold(&mut self, now: TimePoint, rate: RequestRate) {
-        self.told_cold = Some(ToldCold { rate, until: now + COLD_TOLD_FOR });
+        self.reported_cold = Some(ReportedCold { rate, until: now + REPORTED_COLD_FOR });
     }
 
-    /// For how long yet there is no permit for it, if so.
+    /// Returns the remaining time for which no permit is available for the target, or `None` if there may
+    /// be one.
     pub(crate) fn permit_wait(&self, now: TimePoint) -> Option<Duration> {
         self.limit(now)?;
-        let until = self.used_up_until.filter(|until| now < *until)?;
+        let until = self.no_permit_until.filter(|until| now < *until)?;
         Some(until.since(now))
     }
 
-    /// Notes that there is no permit for it until then.
+    /// Records that no permit is available for the target before `until`.
     pub(crate) fn record_no_permit_until(&mut self, until: TimePoint) {
-        self.used_up_until = Some(until);
+        self.no_permit_until = Some(until);
     }
 
-    /// Forgets until when there is no permit for it: that was told for another limit.
+    /// Clears the time until which no permit is available, which applied to another limit.
     pub(crate) fn clear_permit_wait(&mut self) {
-        self.used_up_until = None;
+        self.no_permit_until = None;
     }
 
-    /// Counts `time`, which the clock did not, into what is left of rests and turns.
+    /// Shortens back-offs and permit waits by `time`, which the clock did not count.
     pub(crate) fn advance_clocks(&mut self, time: Duration) {
         self.notices.advance_clocks(time);
-        self.used_up_until = self.used_up_until.map(|until| until.before(time));
+        self.no_permit_until = self.no_permit_until.map(|until| until.before(time));
     }
 
-    /// Another instance has its address; returns whether that is new.
+    /// Records that another instance has the target's address; returns whether that was unknown.
     pub(crate) fn record_replaced(&mut self) -> bool {
         !std::mem::replace(&mut self.replaced, true)
     }
 
-    /// Whether no attempt at it has failed within `time`.
+    /// Returns whether no attempt at the target has failed within `time`.
     pub(crate) fn has_not_failed_for(&self, now: TimePoint, time: Duration) -> bool {
-        self.path_clear(now) && self.failed_at.is_none_or(|failed| now.since(failed) >= time)
+        self.is_path_usable(now) && self.failed_at.is_none_or(|failed| now.since(failed) >= time)
     }
 
-    /// Whether the last attempt at it failed.
+    /// Returns whether the last attempt at the target failed.
     pub(crate) fn last_failed(&self) -> bool {
         self.last_failed
     }
 
-    /// Whether it joined while this box ran, and got nothing yet.
-    pub(crate) fn is_fresh(&self) -> bool {
-        self.fresh
+    /// Returns whether the target joined while this box ran, and got no attempt yet.
+    pub(crate) fn is_unattempted(&self) -> bool {
+        self.unattempted
     }
 
-    /// Whether it became a suspect, or is none any more, by what was noted last.
-    pub(crate) fn note_suspicion(&mut self, now: TimePoint) -> Option<SuspicionChange> {
-        let risk = self.belief.risk(now, 1.0);
-        let suspect = if self.suspect { risk >= TRUSTED_BELOW } else { risk >= SUSPECT_FROM };
-        // Time alone makes nobody a suspect: it takes a failure.
+    /// Updates whether the target is a suspect; returns the change, if there is one.
+    pub(crate) fn update_suspicion(&mut self, now: TimePoint) -> Option<SuspicionChange> {
+        let risk = self.estimate.risk(now, 1.0);
+        let suspect =
+            if self.suspect { risk >= MAX_TRUSTED_RISK } else { risk >= MIN_SUSPECT_RISK };
+        // Only a failure makes a suspect, not the return of the estimate to its prior over time.
         if suspect == self.suspect || (suspect && !self.last_failed) {
             return None;
         }
@@ -255,77 +265,82 @@
         Some(SuspicionChange { id: id.clone(), service: service.clone(), risk, suspect })
     }
 
-    pub(crate) fn untried(&self, now: TimePoint) -> Duration {
-        now.since(self.tried_at)
+    /// Returns the time since the last known attempt at the target, here or at a peer.
+    pub(crate) fn idle_time(&self, now: TimePoint) -> Duration {
+        now.since(self.attempted_at)
     }
 
-    pub(crate) fn cold_time(&self, now: TimePoint) -> Duration {
+    /// Returns the remaining time for which the target is slow because it has just started.
+    pub(crate) fn cold_remaining(&self, now: TimePoint) -> Duration {
         self.setup.cold_until.since(now)
     }
 
-    /// Whether it has just refused for want of room.
+    /// Returns whether the target has just refused a request for lack of room.
     pub(crate) fn is_full(&self, now: TimePoint) -> bool {
         self.full_at.is_some_and(|full| now.since(full) < FULL_FOR)
     }
 
-    /// Requests that it is taken to hold: what it last said, aged, and what was sent since.
+    /// Returns the estimated number of requests that the target holds: the last reported load, decayed,
+    /// plus the attempts of this box since, and no fewer than are known to be open.
     pub(crate) fn busy(&self, now: TimePoint) -> f64 {
         if self.is_full(now) {
-            return f64::from(self.setup.slots) * FULL_HELD;
+            return f64::from(self.setup.slots) * FULL_LOAD_FACTOR;
         }
         let age = now.since(self.held_at).as_secs_f64() / LOAD_HALF_LIFE.as_secs_f64();
-        let since = self.open.own_since(self.held_at);
+        let since = self.open.own_count_since(self.held_at);
         let reported = f64::from(self.held) * (-age).exp2() + f64::from(since);
-        reported.max(f64::from(self.open.all(now)))
+        reported.max(f64::from(self.open.total_count(now)))
     }
 
-    /// How long a request would wait there for a slot, and longer than elsewhere.
+    /// Returns the expected delay of a request at the target: its wait for a slot, plus the time by which
+    /// the target works longer than `typical`.
     pub(crate) fn wait(&self, now: TimePoint, typical: Duration) -> Duration {
         let slots = f64::from(self.setup.slots.max(1));
         let ahead = (self.busy(now) + 1.0 - slots).max(0.0) / slots;
-        let cold = if self.cold_time(now).is_zero() { 1.0 } else { COLD_FACTOR };
-        let slowness = if self.slowness > SLOW_FROM { self.slowness } else { 1.0 };
+        let cold = if self.cold_remaining(now).is_zero() { 1.0 } else { COLD_FACTOR };
+        let slowness = if self.slowness > MIN_SLOWNESS { self.slowness } else { 1.0 };
         let own = typical.mul_f64(slowness * cold);
         own.mul_f64(ahead) + own.saturating_sub(typical)
     }
 
     pub(crate) fn begin(&mut self, handle: AttemptHandle) {
         self.open.begin(handle);
-        self.fresh = false;
-        self.tried_at = handle.started;
+        self.unattempted = false;
+        self.attempted_at = handle.started;
     }
 
+    /// Records a load report of the target, `held` being the number of requests that it holds.
     pub(crate) fn record_load(&mut self, now: TimePoint, held: u32) {
         self.held = held;
         self.held_at = now;
     }
 
-    /// Takes the time of a good answer, in multiples of what is typical.
-    pub(crate) fn note_time(&mut self, latency_ratio: f64) {
-        self.slowness += (latency_ratio - self.slowness) * TIME_WEIGHT;
+    /// Records the latency ratio of a good answer.
+    pub(crate) fn record_latency_ratio(&mut self, latency_ratio: f64) {
+        self.slowness += (latency_ratio - self.slowness) * SLOWNESS_WEIGHT;
     }
 
-    /// Takes what a peer has open here. Who has something open tries the target, so that
-    /// nobody else needs to: several boxes tried one stalled target at once, and of the
-    /// orders that were lost within a minute half were trials.
-    pub(crate) fn note_peer_open(
+    /// Merges a peer's report of its open attempts. An open attempt of a peer counts as an attempt at the
+    /// target, so that no other box makes a trial at the same time: without that several boxes tried one
+    /// stalled target at once, and half of the orders that were lost within a minute were trials.
+    pub(crate) fn merge_peer_open(
         &mut self,
         now: TimePoint,
         peer: u64,
         count: u32,
         informative: &[OpenAge],
     ) {
-        self.open.note_peer(now, peer, count, informative);
+        self.open.merge_peer(now, peer, count, informative);
         if count > 0 {
-            self.fresh = false;
-            self.tried_at = now;
+            self.unattempted = false;
+            self.attempted_at = now;
         }
     }
 
-    /// Notes what an own outcome says of the path, the load and the times.
-    pub(crate) fn note_own(&mut self, now: TimePoint, outcome: SteerOutcome) {
+    /// Records what the outcome of an attempt of this box says of the network path and the load.
+    pub(crate) fn record_own_outcome(&mut self, now: TimePoint, outcome: SteerOutcome) {
         match outcome {
-            SteerOutcome::NotConnected | SteerOutcome::Broken => self.note_path_failure(now),
+            SteerOutcome::NotConnected | SteerOutcome::Broken => self.record_path_failure(now),
             SteerOutcome::Good(_) => {
                 self.path_failed_at = None;
                 self.full_at = None;
@@ -335,29 +350,29 @@
         }
     }
 
-    pub(crate) fn note_path_failure(&mut self, now: TimePoint) {
+    pub(crate) fn record_path_failure(&mut self, now: TimePoint) {
         self.path_failed_at = Some(now);
     }
 
-    /// Takes an outcome into the belief.
-    pub(crate) fn note_sample(
+    /// Updates the failure estimate by the outcome of an attempt, here or at a peer.
+    pub(crate) fn record_sample(
         &mut self,
         now: TimePoint,
         sample: OutcomeSample,
         episode_stats: &EpisodeStats,
     ) {
-        self.belief.note(now, sample, episode_stats);
-        self.fresh = false;
-        self.tried_at = now;
+        self.estimate.record_outcome(now, sample, episode_stats);
+        self.unattempted = false;
+        self.attempted_at = now;
         self.last_failed = sample != OutcomeSample::Good;
         if self.last_failed {
             self.failed_at = Some(now);
         }
     }
 
-    /// Takes what the age of an attempt says that ended unanswered: it is `ratio` times
-    /// likelier in a spell.
-    pub(crate) fn note_unanswered(&mut self, now: TimePoint, ratio: f64) {
-        self.belief.take_ratio(now, ratio);
+    /// Updates the failure estimate by the age of an attempt that ended without an answer. `ratio` is the
+    /// likelihood ratio of that age, in a failure episode against at a healthy target.
+    pub(crate) fn record_unanswered(&mut self, now: TimePoint, ratio: f64) {
+        self.estimate.record_evidence(now, ratio);
     }
 }
--- a/crates/decide/src/steer/routes.rs
+++ b/crates/decide/src/steer/routes.rs
@@ -1,10 +1,10 @@
-//! What is typical for each route.
+//! Typical latency and outcomes of the attempts of each route.
 //!
-//! Routes to one service differ in their work, some by a factor of twenty, so an attempt's
-//! age says something only beside what is typical for its route. Some routes have less time
-//! than their work takes, wherever they go: what runs out of time there speaks of the
-//! route, and would make each target that it meets a suspect: two requests a second of one
-//! such route, which never came back in time, did so at a service of ten targets.
+//! Routes to one service differ in their work, some by a factor of twenty, so the age of an attempt is
+//! evidence only relative to the typical time of its route. Some routes have a deadline that is shorter
+//! than their work, whichever target they go to. Their time-outs are a property of the route and must not
+//! count against targets: otherwise two requests a second of one such route, none of which was ever
+//! answered in time, made suspects of the targets of a service of ten.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,75 +12,79 @@
 use crate::names::Name;
 use crate::steer::average::RunningAverage;
 
-/// Routes that are remembered; beyond it all are forgotten. Source: 6,000 routes are planned for.
-const ROUTES_MOST: usize = 10_000;
-/// Answers over which a route's typical time is averaged: the work of single requests varies
-/// by a factor of two and more.
-const SETTLED: f64 = 50.0;
-/// Answers from which on a route's typical time is known well enough.
-const KNOWN_FROM: u32 = 3;
-/// Attempts of a route that are remembered: its time or its work may change.
-const REMEMBERED: u32 = 20;
+/// Number of routes at which the table is cleared to bound its memory; deployments plan for 6,000 routes.
+const MAX_ROUTES: usize = 10_000;
+/// Number of answers over which the typical time of a route is averaged: the work of single requests
+/// varies by a factor of two and more.
+const AVERAGE_WINDOW: f64 = 50.0;
+/// Number of answers from which on the typical time of a route is known.
+const MIN_ANSWERS: u32 = 3;
+/// Number of attempts of a route above which its counts are halved, since its deadline or its work may
+/// change.
+const MAX_COUNTED_ATTEMPTS: u32 = 20;
 
 /// How attempts of each route ended at this box.
 #[derive(Debug, Default)]
-pub(crate) struct RouteTable {
-    routes: HashMap<Name, RouteRecord>,
+pub(crate) struct RouteStats {
+    routes: HashMap<Name, RouteEntry>,
 }
 
 #[derive(Debug)]
-struct RouteRecord {
+struct RouteEntry {
     typical: RunningAverage,
     answered: u32,
     out_of_time: u32,
 }
 
-impl RouteTable {
-    /// The typical time of an attempt of the route, if it is known.
+impl RouteStats {
+    /// Returns the typical time of an attempt of the route, if it is known.
     pub(crate) fn typical_time(&self, route: &str) -> Option<Duration> {
-        let record = self.routes.get(route)?;
-        let known = record.answered >= KNOWN_FROM;
-        record.typical.get().filter(|_| known).map(Duration::from_secs_f64)
+        let entry = self.routes.get(route)?;
+        let known = entry.answered >= MIN_ANSWERS;
+        entry.typical.get().filter(|_| known).map(Duration::from_secs_f64)
     }
 
-    /// Whether attempts of the route mostly come back in its time.
+    /// Returns whether the age of an attempt of the route is evidence about its target: it is if at
+    /// least as many attempts were answered as ran out of time.
     pub(crate) fn is_informative(&self, route: &str) -> bool {
-        let record = self.routes.get(route);
-        record.is_some_and(|record| {
-            record.answered >= KNOWN_FROM && record.answered >= record.out_of_time
+        let entry = self.routes.get(route);
+        entry.is_some_and(|entry| {
+            entry.answered >= MIN_ANSWERS && entry.answered >= entry.out_of_time
         })
     }
 
-    /// Counts an attempt that came back after `time`.
-    pub(crate) fn note_answer(&mut self, route: &Name, time: Duration) {
-        let record = self.record(route);
-        record.typical.add(time.as_secs_f64());
-        record.answered += 1;
-        record.forget();
+    /// Counts an attempt that was answered after `time`.
+    pub(crate) fn record_answer(&mut self, route: &Name, time: Duration) {
+        let entry = self.entry(route);
+        entry.typical.add(time.as_secs_f64());
+        entry.answered += 1;
+        entry.limit_counts();
     }
 
     /// Counts an attempt that ran out of time.
-    pub(crate) fn note_out_of_time(&mut self, route: &Name) {
-        let record = self.record(route);
-        record.out_of_time += 1;
-        record.forget();
+    pub(crate) fn record_out_of_time(&mut self, route: &Name) {
+        let entry = self.entry(route);
+        entry.out_of_time += 1;
+        entry.limit_counts();
     }
 
-    fn record(&mut self, route: &Name) -> &mut RouteRecord {
-        if self.routes.len() >= ROUTES_MOST && !self.routes.contains_key(route) {
+    /// Returns the entry of the route, and creates it if there is none.
+    fn entry(&mut self, route: &Name) -> &mut RouteEntry {
+        if self.routes.len() >= MAX_ROUTES && !self.routes.contains_key(route) {
             self.routes.clear();
         }
-        self.routes.entry(route.clone()).or_insert_with(|| RouteRecord {
-            typical: RunningAverage::new(SETTLED),
+        self.routes.entry(route.clone()).or_insert_with(|| RouteEntry {
+            typical: RunningAverage::new(AVERAGE_WINDOW),
             answered: 0,
             out_of_time: 0,
         })
     }
 }
 
-impl RouteRecord {
-    fn forget(&mut self) {
-        if self.answered + self.out_of_time > REMEMBERED {
+impl RouteEntry {
+    /// Halves the counts once they exceed [`MAX_COUNTED_ATTEMPTS`].
+    fn limit_counts(&mut self) {
+        if self.answered + self.out_of_time > MAX_COUNTED_ATTEMPTS {
             self.answered /= 2;
             self.out_of_time /= 2;
         }
--- a/crates/decide/src/steer/split.rs
+++ b/crates/decide/src/steer/split.rs
@@ -1,31 +1,34 @@
-//! Shares of a route's services by weight.
+//! Distribution of the requests of a route over its services by weight.
 
-/// The golden ratio's fraction: steps of it fill an interval evenly, however few they are.
-const EVEN_STEP: f64 = 0.618_033_988_749_894_9;
+/// The fractional part of the golden ratio. Multiples of it modulo 1 fill an interval evenly, also when
+/// there are only a few of them.
+const GOLDEN_STEP: f64 = 0.618_033_988_749_894_9;
 
-/// Chooses among weighted parts so that even few choices come close to the weights.
+/// A sequence of choices among weighted parts that stays close to the weights from the first choices on.
 #[derive(Debug, Clone)]
 pub struct WeightedSplit {
     position: f64,
 }
 
 impl WeightedSplit {
-    /// A split that begins at `start` (0 to 1); boxes begin at different ones.
+    /// Creates a split that begins at `start` (0 to 1). Boxes use different starts, so that they don't
+    /// all choose the same part first.
     pub fn new(start: f64) -> WeightedSplit {
         WeightedSplit { position: start.rem_euclid(1.0) }
     }
 
-    /// The index of the part that is next. Parts without weight are never chosen.
+    /// Returns the index of the next part, or `None` if all weights are 0. A part of weight 0 is never
+    /// chosen.
     pub fn next(&mut self, weights: &[u32]) -> Option<usize> {
         let total: f64 = weights.iter().map(|weight| f64::from(*weight)).sum();
         if total <= 0.0 {
             return None;
         }
-        self.position = (self.position + EVEN_STEP).fract();
-        let mut rest = self.position * total;
+        self.position = (self.position + GOLDEN_STEP).fract();
+        let mut remaining = self.position * total;
         for (index, weight) in weights.iter().enumerate() {
-            rest -= f64::from(*weight);
-            if rest < 0.0 {
+            remaining -= f64::from(*weight);
+            if remaining < 0.0 {
                 return Some(index);
             }
         }
--- a/crates/decide/src/steer/trial.rs
+++ b/crates/decide/src/steer/trial.rs
@@ -1,7 +1,7 @@
-//! Trials: requests that go to a target because nobody has tried it for long.
+//! Trials: requests that go to a target because it had no attempt for long.
 //!
-//! A target that is avoided tells nothing, so that a sound one would stay out for good.
-//! But each trial of a suspect is a request at risk, so there are no more than needed.
+//! A target that is avoided gives no evidence, so that without trials a healthy one would be avoided
+//! forever. But each trial of a suspect puts a request at risk, so there are no more of them than needed.
 
 use std::time::Duration;
 
@@ -13,123 +13,134 @@
 use crate::steer::record::TargetRecord;
 use crate::time::TimePoint;
 
-/// A target that failed is tried again after this long, while many requests fail or where the
-/// one that tries it can be sent again: then a trial costs a retry and no request. Source:
-/// the users hold the share of sound targets that get requests to a floor in every 2 s in
-/// which more than a tenth are not served; one that failed counts as sound again 2 s
-/// later, so it must be tried within 4 s.
+/// Idle time after which a target that failed gets a trial, while many requests of its service fail or if
+/// the request can be sent again: a trial costs a retry then, but no request. The users require a minimum
+/// share of healthy targets that get requests, in every 2 s in which more than a tenth of requests are not
+/// served. A target that failed counts as healthy again 2 s later, so it must be tried within 4 s.
 const FAILED_TRIAL_AFTER: Duration = Duration::from_millis(3200);
-/// A target that did not fail and got nothing is tried after this long: within the same 2 s.
+/// Idle time after which a target that did not fail gets a trial under the same conditions: within the
+/// same 2 s.
 const IDLE_TRIAL_AFTER: Duration = Duration::from_millis(1000);
-/// The same for a request that may run once only, while few fail, so that the floor does not
-/// bind: often enough that a target that works again is found. One that joined is tried as
-/// soon as ever. On 40 random fleets 38 in 1,000 orders were lost with the later trials and
-/// 40 without.
+/// Idle time after which a target that failed gets a trial by a request that may run only once, while few
+/// requests of the service fail. The required share of targets does not apply then, and this is often
+/// enough to detect recovered targets. Targets that joined are tried without this delay. On 40 random
+/// fleets 38 in 1,000 orders were lost with the later trials and 40 without.
 const CALM_FAILED_TRIAL_AFTER: Duration = Duration::from_millis(6000);
+/// Idle time after which a target that did not fail gets a trial under the conditions of
+/// [`CALM_FAILED_TRIAL_AFTER`].
 const CALM_IDLE_TRIAL_AFTER: Duration = Duration::from_millis(3000);
-/// Few requests of a service fail below this share. Source: less than the tenth from which
-/// on the users' floor binds.
-const CALM_BELOW: f64 = 0.08;
-/// How many trials a second all boxes together make of a target that is due, on average.
+/// Failure share below which few requests of a service fail. It is less than the tenth from which on the
+/// users' required share of targets applies.
+const MAX_CALM_FAILURE_SHARE: f64 = 0.08;
+/// Mean number of trials a second that all boxes together make of each target that is due.
 const TRIALS_PER_S: f64 = 4.0;
-/// A request becomes a trial of one target at most this often: a service with few
-/// requests keeps most of them safe.
-const TRIAL_CHANCE_MOST: f64 = 0.3;
-/// Boxes of other data centres wait this many times as long before they try. They hear of
-/// few successes there, so that nearly each target would seem due to them: 114 of 397 trials
-/// of orders in a minute were theirs, and 42 of these were lost. While few requests fail they
-/// try none but those that joined: the target's own data centre looks after it.
-const AWAY_TRIAL_FACTOR: f64 = 6.0;
+/// Bound on the probability that a request becomes a trial of one target, so that most requests of a
+/// service that gets few of them are no trials.
+const MAX_TRIAL_CHANCE: f64 = 0.3;
+/// Factor by which boxes of other data centres wait longer before a trial. They receive reports of few
+/// successes, so that nearly each remote target seems due to them: 114 of the 397 trials of orders in a
+/// minute were theirs, and 42 of these were lost. While few requests fail they try only remote targets
+/// that joined, since the boxes in the target's own data centre try the others.
+const REMOTE_TRIAL_FACTOR: f64 = 6.0;
 
-/// Where a box stands, as far as trials depend on it.
+/// The situation of the box, as far as trials depend on it.
 pub(crate) struct TrialContext<'a> {
     pub(crate) data_centre: &'a str,
+    /// Number of boxes in the data centre, this one included.
     pub(crate) local_boxes: usize,
+    /// Number of boxes in all data centres.
     pub(crate) boxes: usize,
     pub(crate) mechanisms: &'a MechanismSet,
-    /// Whether there are so many targets that one is not tried for having rested: only those that joined are.
-    pub(crate) only_fresh: bool,
+    /// Whether only targets that joined and got no attempt yet are tried. It is set while the service has
+    /// many more targets than its requests need, so that most of them are idle.
+    pub(crate) only_unattempted: bool,
 }
 
-/// A target that nobody has tried for long, if it is this request's turn to try it:
-/// `drawn` is a number drawn for it, 0 to 1. Each box draws for itself, so that those
-/// of the target's data centre together make about [`TRIALS_PER_S`] of each. Boxes
-/// elsewhere step in later, where the target's own do not, and never with a large answer.
+/// Decides whether the request becomes a trial, and of which target. `random` is a random number from 0
+/// to 1.
+///
+/// Each box decides independently, such that the boxes of a target's data centre together make about
+/// [`TRIALS_PER_S`] trials of each target that is due. Boxes of other data centres begin later, for the
+/// case that the local ones make none, and never use a request with a large answer.
 pub(crate) fn sample_trial(
     now: TimePoint,
     pool: &TargetPool,
     request: &SteerRequest<'_>,
-    place: &TrialContext<'_>,
-    drawn: f64,
+    context: &TrialContext<'_>,
+    random: f64,
 ) -> Option<TargetKey> {
-    if !request.tried.is_empty() || !place.mechanisms.has(Mechanism::Trials) {
-        // A second attempt is often the last one.
+    if !request.tried.is_empty() || !context.mechanisms.has(Mechanism::Trials) {
+        // A second attempt is often the last one, so it is never a trial.
         return None;
     }
-    let due = due_targets(now, pool, request, place);
+    let due = due_targets(now, pool, request, context);
     let chance = |due: &DueTarget| {
-        let boxes = if due.away { place.boxes } else { place.local_boxes };
+        let boxes = if due.remote { context.boxes } else { context.local_boxes };
         let rate = pool.request_rate(now).max(0.1) * boxes as f64;
-        (trials_per_s(place) / rate).min(TRIAL_CHANCE_MOST)
+        (trials_per_s(context) / rate).min(MAX_TRIAL_CHANCE)
     };
     let sum: f64 = due.iter().map(chance).sum();
-    // Where more are due than there are requests for, each box draws among all of them: with the first by
-    // their keys alone the boxes of a data centre tried the same few targets at the same moment.
-    let mut left = drawn * sum.max(1.0);
+    // Where more targets are due than there are requests for, each box samples among all of them. When
+    // each took the first ones by key, the boxes of a data centre tried the same few targets at the same
+    // moment.
+    let mut remaining = random * sum.max(1.0);
     for due in &due {
-        left -= chance(due);
-        if left < 0.0 {
+        remaining -= chance(due);
+        if remaining < 0.0 {
             return Some(due.key);
         }
     }
     None
 }
 
-/// Where not every box hears of a trial, those that don't go on trying: they do so the more
-/// slowly, so that a target that hangs is not tried by several at once.
-fn trials_per_s(place: &TrialContext<'_>) -> f64 {
-    let near = place.local_boxes.max(1);
-    TRIALS_PER_S * heard_boxes(near) as f64 / near as f64
+/// Returns the rate of trials of each target that is due. Where trials are reported only to some of the
+/// boxes, the others continue to make trials. The rate is lowered in proportion, so that several boxes
+/// don't try a stalled target at once.
+fn trials_per_s(context: &TrialContext<'_>) -> f64 {
+    let local = context.local_boxes.max(1);
+    TRIALS_PER_S * heard_boxes(local) as f64 / local as f64
 }
 
-/// A target that has gone without a request for so long that it is due.
+/// A target whose idle time has reached the limit for a trial.
 struct DueTarget {
     key: TargetKey,
-    away: bool,
+    remote: bool,
 }
 
-/// The targets that must be tried now.
+/// Returns the targets that are due for a trial by the request.
 fn due_targets(
     now: TimePoint,
     pool: &TargetPool,
     request: &SteerRequest<'_>,
-    place: &TrialContext<'_>,
+    context: &TrialContext<'_>,
 ) -> Vec<DueTarget> {
-    let few_fail = place.mechanisms.has(Mechanism::FewerTrials) && pool.failing(now) < CALM_BELOW;
+    let few_fail = context.mechanisms.has(Mechanism::FewerTrials)
+        && pool.failure_share(now) < MAX_CALM_FAILURE_SHARE;
     let spared = few_fail && !request.repeatable;
     let in_use = pool.in_use_for(now);
     let mut due = Vec::new();
     for (key, record) in pool.eligible_targets(now, request.tried, request.homes) {
-        let away = *record.setup.data_centre != *place.data_centre;
-        let left_to_others = away && (request.large || (few_fail && !record.is_fresh()));
-        let rests = place.only_fresh && !record.is_fresh();
-        if rests || left_to_others || !record.path_clear(now) {
+        let remote = *record.setup.data_centre != *context.data_centre;
+        let left_to_others = remote && (request.large || (few_fail && !record.is_unattempted()));
+        let skipped = context.only_unattempted && !record.is_unattempted();
+        if skipped || left_to_others || !record.is_path_usable(now) {
             continue;
         }
-        let factor = if away { AWAY_TRIAL_FACTOR } else { 1.0 };
-        // A service that rested leaves all targets alone, which says nothing of any of them.
-        let untried = record.untried(now).min(in_use).div_f64(factor);
-        if untried >= trial_after(record, spared) {
-            due.push(DueTarget { key, away });
+        let factor = if remote { REMOTE_TRIAL_FACTOR } else { 1.0 };
+        // All targets are idle while the service gets no requests, which is no evidence about any of
+        // them.
+        let idle = record.idle_time(now).min(in_use).div_f64(factor);
+        if idle >= trial_after(record, spared) {
+            due.push(DueTarget { key, remote });
         }
     }
     due
 }
 
-/// After how long without a request a target is tried. `spared` is whether the request had
-/// better not be the one to do it.
+/// Returns the idle time after which a target gets a trial. `spared` is whether the request should not be
+/// put at risk yet.
 fn trial_after(record: &TargetRecord, spared: bool) -> Duration {
-    match (record.last_failed(), spared && !record.is_fresh()) {
+    match (record.last_failed(), spared && !record.is_unattempted()) {
         (true, false) => FAILED_TRIAL_AFTER,
         (false, false) => IDLE_TRIAL_AFTER,
         (true, true) => CALM_FAILED_TRIAL_AFTER,
--- a/crates/decide/tests/stalls.rs
+++ b/crates/decide/tests/stalls.rs
@@ -7,7 +7,7 @@
 use steering::{PICKS, ROUTE, SERVICE, at, attempt, core, good, settled, shares, target};
 use wingbridge_decide::steer::latency_ratios::LatencyRatios;
 use wingbridge_decide::steer::{
-    OpenAge, PeerSample, RetryUse, SUSPECT_FROM, SteerCore, SteerOutcome,
+    MIN_SUSPECT_RISK, OpenAge, PeerSample, RetryUse, SteerCore, SteerOutcome,
 };
 use wingbridge_decide::{TargetKey, TimePoint};
 
@@ -59,7 +59,7 @@
         let now = at(20_200);
         tell_open(&mut core, now, "a", case.open, USUAL * case.age / 100);
         let risk = core.risk(now, TargetKey::of("a")).expect("known");
-        assert_eq!(risk >= SUSPECT_FROM, case.suspect, "{}: {risk}", case.name);
+        assert_eq!(risk >= MIN_SUSPECT_RISK, case.suspect, "{}: {risk}", case.name);
         let counts = shares(&mut core, now, &["a", "b"], false);
         assert!(!case.suspect || counts[0] < PICKS / 10, "{}: {counts:?}", case.name);
     }
@@ -70,10 +70,10 @@
     let mut core = experienced(20_000);
     let now = at(20_200);
     tell_open(&mut core, now, "a", 2, USUAL * 4);
-    assert!(core.risk(now, TargetKey::of("a")).expect("known") >= SUSPECT_FROM);
+    assert!(core.risk(now, TargetKey::of("a")).expect("known") >= MIN_SUSPECT_RISK);
     let answered = PeerSample { good: 2, open: Some(0), ..PeerSample::default() };
     core.merge_peer_sample(now, 9, TargetKey::of("a"), &answered);
-    assert!(core.risk(now, TargetKey::of("a")).expect("known") < SUSPECT_FROM);
+    assert!(core.risk(now, TargetKey::of("a")).expect("known") < MIN_SUSPECT_RISK);
 }
 
 /// What ran out of time told the core nothing: four in ten of the requests that a stalled
@@ -84,7 +84,7 @@
     let now = at(21_000);
     attempt(&mut core, now, now + USUAL * 6, "a", false);
     let risk = core.risk(now + USUAL * 6, TargetKey::of("a")).expect("known");
-    assert!(risk >= SUSPECT_FROM, "{risk}");
+    assert!(risk >= MIN_SUSPECT_RISK, "{risk}");
 }
 
 /// A route whose work takes longer than its time made each target that it met a suspect.
@@ -103,7 +103,7 @@
         assert!(!news.stalled && news.change.is_none(), "{news:?}");
     }
     let risk = core.risk(at(24_000), TargetKey::of("a")).expect("known");
-    assert!(risk < SUSPECT_FROM, "{risk}");
+    assert!(risk < MIN_SUSPECT_RISK, "{risk}");
 }
 
 #[test]
@@ -174,11 +174,12 @@
     let mut wide = LatencyRatios::default();
     for number in 0..400 {
         let step = f64::from(number % 20) / 20.0;
-        narrow.note(at(1_000), 0.9 + 0.2 * step);
-        wide.note(at(1_000), 0.2 * (step * 3.5).exp());
+        narrow.record(at(1_000), 0.9 + 0.2 * step);
+        wide.record(at(1_000), 0.2 * (step * 3.5).exp());
     }
-    let (narrow_ratio, wide_ratio) = (narrow.stall_ratio(2.0, 0.7), wide.stall_ratio(2.0, 0.7));
+    let (narrow_ratio, wide_ratio) =
+        (narrow.stall_likelihood_ratio(2.0, 0.7), wide.stall_likelihood_ratio(2.0, 0.7));
     assert!(narrow_ratio > 5.0 * wide_ratio, "{narrow_ratio}, {wide_ratio}");
     assert!(wide_ratio >= 1.0);
-    assert!(narrow.age_of_share(0.1) < wide.age_of_share(0.1));
+    assert!(narrow.ratio_exceeded_by(0.1) < wide.ratio_exceeded_by(0.1));
 }
--- a/crates/decide/tests/steer.rs
+++ b/crates/decide/tests/steer.rs
@@ -13,7 +13,8 @@
 use wingbridge_decide::steer::record::SteerTarget;
 use wingbridge_decide::steer::split::WeightedSplit;
 use wingbridge_decide::steer::{
-    LoadReport, NoPick, PeerSample, RetryUse, SUSPECT_FROM, SteerCore, SteerOutcome, SteerRequest,
+    LoadReport, MIN_SUSPECT_RISK, NoPick, PeerSample, RetryUse, SteerCore, SteerOutcome,
+    SteerRequest,
 };
 
 #[test]
@@ -75,7 +76,7 @@
     assert!(core.risk(now, TargetKey::of("a")).expect("known") > 0.7);
     good(&mut core, now, "a", 9);
     let risk = core.risk(now, TargetKey::of("a")).expect("known");
-    assert!(risk < SUSPECT_FROM, "{risk}");
+    assert!(risk < MIN_SUSPECT_RISK, "{risk}");
 }
 
 #[test]
@@ -101,7 +102,7 @@
     core.set_targets(now, vec![target("b", "near")]);
     assert_eq!(core.risk(now, TargetKey::of("a")), None);
     let risk = core.risk(now, TargetKey::of("b")).expect("known");
-    assert!(risk < SUSPECT_FROM, "a new instance is no suspect: {risk}");
+    assert!(risk < MIN_SUSPECT_RISK, "a new instance is no suspect: {risk}");
 }
 
 #[test]
--- a/crates/gateway/src/open_attempt.rs
+++ b/crates/gateway/src/open_attempt.rs
@@ -4,7 +4,9 @@
 use std::time::{Duration, Instant};
 
 use futures::future::{Either, select};
-use wingbridge_decide::steer::{AttemptHandle, LoadReport, SUSPECT_FROM, SteerOutcome, SteerPick};
+use wingbridge_decide::steer::{
+    AttemptHandle, LoadReport, MIN_SUSPECT_RISK, SteerOutcome, SteerPick,
+};
 use wingbridge_decide::{Fingerprint, Name};
 
 use crate::attempt::{AttemptEnd, AttemptPlan, OutgoingRequest, attempt};
@@ -102,7 +104,7 @@
         }
         drop(core);
         note_suspicion(news.change, SeenBy::Own);
-        let suspect = self.pick.risk >= SUSPECT_FROM;
+        let suspect = self.pick.risk >= MIN_SUSPECT_RISK;
         let seen = SeenOutcome {
             outcome,
             load,
