--- a/crates/agent/src/exchange/mod.rs
+++ b/crates/agent/src/exchange/mod.rs
@@ -20,7 +20,7 @@
 use wingbridge_spread::core::SpreadEvent;
 use wingbridge_spread::gossip::HeardNews;
 use wingbridge_spread::{BoxIdentity, SpreadCommand, SpreadCore};
-use wingbridge_trace::TimeLine;
+use wingbridge_trace::EventTrace;
 use wingbridge_wire::convert::verdict_message;
 use wingbridge_wire::{
     CaughtUp, Digest, Entries, Entry, Events, FrameBody, KeyStamp, ProxyState, Readiness, Stamp,
@@ -47,7 +47,7 @@
     pub(crate) identity: BoxIdentity,
     pub(crate) core: SpreadCore,
     pub(crate) links: PeerLinks,
-    pub(crate) line: TimeLine,
+    pub(crate) line: EventTrace,
     pub(crate) clock: ProcessClock,
     pub(crate) seeds: Vec<SocketAddr>,
     pub(crate) orders: StoreOrders,
@@ -132,7 +132,7 @@
         self.send_evidence(now);
         for verdict in self.detector.tick(now) {
             let message = verdict_message(&verdict);
-            self.parts.line.note(
+            self.parts.line.record(
                 "target-judged",
                 &[
                     ("service", &verdict.service),
@@ -165,7 +165,7 @@
         }
         if !self.whole && self.parts.core.is_whole() {
             self.whole = true;
-            self.parts.line.note("box-whole", &[]);
+            self.parts.line.record("box-whole", &[]);
             self.to_proxy(FrameBody::CaughtUp(CaughtUp { complete: true }));
         }
     }
@@ -178,7 +178,7 @@
             if is_config(&entry.key) {
                 let generation = entry.stamp.generation.to_string();
                 let fields = [("key", entry.key.as_str()), ("generation", generation.as_str())];
-                self.parts.line.note("config-received", &fields);
+                self.parts.line.record("config-received", &fields);
             }
         }
         self.send_config(entries.iter());
@@ -246,7 +246,7 @@
     fn keep_events(&self, events: Events) {
         for event in events.events {
             if let Ok(event) = serde_json::from_str(&event) {
-                self.parts.line.keep_foreign(event);
+                self.parts.line.record_remote(event);
             }
         }
     }
@@ -270,7 +270,7 @@
     fn welcome_proxy(&mut self, ring: Sender<FrameBody>) {
         self.proxy = Some(ring);
         self.in_force.clear();
-        self.parts.line.note("proxy-connected", &[]);
+        self.parts.line.record("proxy-connected", &[]);
         self.send_config(self.parts.core.map().entries());
         for (_, body) in self.recent.clone() {
             self.to_proxy(body);
@@ -303,7 +303,9 @@
 
     fn set_readiness(&self, allowed: bool) {
         let why = if allowed { "" } else { "most attempts fail here and not in other boxes" };
-        self.parts.line.note(if allowed { "box-well-again" } else { "box-holds-itself-sick" }, &[]);
+        self.parts
+            .line
+            .record(if allowed { "box-well-again" } else { "box-holds-itself-sick" }, &[]);
         log::warn!(allowed; "box-readiness-changed");
         self.to_proxy(FrameBody::Readiness(Readiness { allowed, reason: why.into() }));
     }
@@ -325,7 +327,7 @@
         }
         self.store_reachable = Some(reachable);
         let kind = if reachable { "store-reached" } else { "store-lost" };
-        self.parts.line.note(kind, &[]);
+        self.parts.line.record(kind, &[]);
         log::info!(reachable; "store-reachability-changed");
     }
 }
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -13,7 +13,7 @@
 use async_channel::{Receiver, Sender};
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
-use wingbridge_trace::TimeLine;
+use wingbridge_trace::EventTrace;
 use wingbridge_wire::handshake::prove;
 use wingbridge_wire::{
     FleetKey, Frame, FrameBody, FrameReader, FrameWriter, HandshakeSide, Hello, WireError,
@@ -75,7 +75,7 @@
 pub(crate) struct LinkContext {
     pub(crate) hello: Hello,
     pub(crate) key: FleetKey,
-    pub(crate) line: TimeLine,
+    pub(crate) line: EventTrace,
     pub(crate) events: Sender<AgentEvent>,
     pub(crate) cuts: CutSwitch,
 }
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -10,7 +10,7 @@
 use wingbridge_process::{Outcome, ProcessClock, StopSignal, TimerService};
 use wingbridge_spread::{BoxIdentity, SpreadCore, SpreadSetup};
 use wingbridge_store::StoreClient;
-use wingbridge_trace::TimeLine;
+use wingbridge_trace::EventTrace;
 use wingbridge_wire::{FleetKey, Hello};
 
 use crate::admin::serve_admin;
@@ -78,7 +78,7 @@
         admin: admin.local_addr()?,
     };
     let clock = ProcessClock::start();
-    let line = TimeLine::new(&settings.box_id, "agent", LINE_EVENTS);
+    let line = EventTrace::new(&settings.box_id, "agent", LINE_EVENTS);
     let (events, ring) = async_channel::bounded(EVENT_RING);
     let identity = BoxIdentity {
         box_id: Arc::from(settings.box_id.as_str()),
--- a/crates/bench/src/decide/site.rs
+++ b/crates/bench/src/decide/site.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use wingbridge_config::{CAREFUL_DAYS, QUICK_DAYS};
+use wingbridge_config::{CAREFUL_TARGET_DAYS, QUICK_TARGET_DAYS};
 use wingbridge_decide::{LimitSetup, ServiceSetup, TargetSetup};
 
 /// One site's sizes and rates.
@@ -47,7 +47,7 @@
                 spread: 0.5,
                 network: Duration::from_micros(500),
                 deadline: Duration::from_secs(2),
-                bias_days: CAREFUL_DAYS,
+                bias_days: CAREFUL_TARGET_DAYS,
             }),
             "dakar" => Some(SiteSetup {
                 name: "dakar",
@@ -60,7 +60,7 @@
                 spread: 0.5,
                 network: Duration::from_micros(1500),
                 deadline: Duration::from_millis(1500),
-                bias_days: QUICK_DAYS,
+                bias_days: QUICK_TARGET_DAYS,
             }),
             _ => None,
         }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -25,9 +25,9 @@
 pub const OVERRIDES_PREFIX: &str = "hand/";
 
 /// Target-days between two false ejections that `bias = "careful"` stands for.
-pub const CAREFUL_DAYS: f64 = 10_000.0;
+pub const CAREFUL_TARGET_DAYS: f64 = 10_000.0;
 /// Target-days between two false ejections that `bias = "quick"` stands for.
-pub const QUICK_DAYS: f64 = 100.0;
+pub const QUICK_TARGET_DAYS: f64 = 100.0;
 
 /// One service, checked.
 #[derive(Debug, Clone, PartialEq)]
@@ -194,8 +194,8 @@
 
 fn bias_days(bias: &str) -> Option<f64> {
     match bias {
-        "careful" => Some(CAREFUL_DAYS),
-        "quick" => Some(QUICK_DAYS),
+        "careful" => Some(CAREFUL_TARGET_DAYS),
+        "quick" => Some(QUICK_TARGET_DAYS),
         days => days.parse().ok().filter(|days: &f64| (0.001..=1e9).contains(days)),
     }
 }
--- a/crates/ctl/src/timeline.rs
+++ b/crates/ctl/src/timeline.rs
@@ -2,7 +2,7 @@
 
 use eyre::WrapErr;
 use wingbridge_process::Outcome;
-use wingbridge_trace::page::{as_html, as_text};
+use wingbridge_trace::page::{render_html, render_text};
 use wingbridge_trace::{TraceEvent, merge_events};
 
 use crate::fleet::{BoxAnswer, FleetClient};
@@ -28,10 +28,11 @@
     let (events, silent) = gather(fleet).await?;
     match html {
         Some(file) => {
-            std::fs::write(file, as_html(&events)).wrap_err_with(|| format!("writing {file}"))?;
+            std::fs::write(file, render_html(&events))
+                .wrap_err_with(|| format!("writing {file}"))?;
             println!("{} events in {file}", events.len());
         }
-        None => print(json, &events, || as_text(&events)),
+        None => print(json, &events, || render_text(&events)),
     }
     Ok(if silent { Outcome::Partial } else { Outcome::Done })
 }
--- a/crates/demo/src/bin/wingbridge-demo.rs
+++ b/crates/demo/src/bin/wingbridge-demo.rs
@@ -11,7 +11,7 @@
 use wingbridge_process::settings::number;
 use wingbridge_process::stop::stop_on_signals;
 use wingbridge_process::{Outcome, StopSignal, exit_code};
-use wingbridge_trace::page::as_text;
+use wingbridge_trace::page::render_text;
 use wingctl::output::table;
 
 /// Between two looks at the time line.
@@ -54,7 +54,7 @@
         if let Ok((events, _)) = wingctl::timeline::gather(&fleet).await {
             let news: Vec<_> = events.into_iter().filter(|event| event.stamp > last).collect();
             last = news.last().map_or(last, |event| event.stamp);
-            print!("{}", as_text(&news));
+            print!("{}", render_text(&news));
         }
         let _ = async_std::future::timeout(EVENTS_PERIOD, stop.wait()).await;
     }
--- a/crates/demo/src/caller.rs
+++ b/crates/demo/src/caller.rs
@@ -7,7 +7,7 @@
 use futures::io::{AsyncReadExt, AsyncWriteExt};
 use http_types::{Method, Request, Url};
 use wingbridge_http::client::encoder;
-use wingbridge_http::{AnswerBody, HttpError, MessageLimits, MessageReader};
+use wingbridge_http::{HttpError, MessageLimits, MessageReader, ResponseBody};
 
 /// Longest answer that is looked at, in bytes.
 const ANSWER_BYTES: usize = 64 << 20;
@@ -104,9 +104,12 @@
             return Err(HttpError::new(wingbridge_http::ErrorKind::Io, "not connected"));
         };
         writer.write_all(&bytes).await?;
-        let limits =
-            MessageLimits { body: ANSWER_BYTES, chunked: ANSWER_BYTES, ..MessageLimits::default() };
-        let answer = reader.read_answer(request.method.as_ref(), &limits).await?;
+        let limits = MessageLimits {
+            max_body_bytes: ANSWER_BYTES,
+            max_chunked_body_bytes: ANSWER_BYTES,
+            ..MessageLimits::default()
+        };
+        let answer = reader.read_response(request.method.as_ref(), &limits).await?;
         if !answer.keep_alive {
             self.connection = None;
         }
@@ -118,8 +121,8 @@
             outcome: text("x-wingbridge-outcome"),
             retry_after: text("retry-after").parse().ok(),
             body: match answer.body {
-                AnswerBody::Whole(bytes) => bytes,
-                AnswerBody::Absent(_) | AnswerBody::Waiting(_) => Vec::new(),
+                ResponseBody::Complete(bytes) => bytes,
+                ResponseBody::Absent(_) | ResponseBody::Unread(_) => Vec::new(),
             },
         })
     }
--- a/crates/demo/src/system.rs
+++ b/crates/demo/src/system.rs
@@ -11,7 +11,7 @@
 use eyre::{WrapErr, eyre};
 use wingbridge_agent::{AgentAddresses, AgentSettings, CutSwitch};
 use wingbridge_http::HttpClient;
-use wingbridge_process::stop::stop_pair;
+use wingbridge_process::stop::stop_channel;
 use wingbridge_process::{Outcome, StopHandle};
 use wingbridge_proxy::{ProxyAddresses, ProxySettings};
 use wingbridge_standin::{StoreHandle, TargetHandle, TargetSettings, serve_store, serve_target};
@@ -345,7 +345,7 @@
     + Send
     + 'static,
 ) -> eyre::Result<(A, RunningPart)> {
-    let (stop, signal) = stop_pair();
+    let (stop, signal) = stop_channel();
     let (sender, addresses) = mpsc::channel();
     let thread = thread::Builder::new()
         .name(name.to_string())
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -16,7 +16,7 @@
 use wingbridge_decide::steer::LoadReport;
 use wingbridge_http::HttpError;
 use wingbridge_http::raw::head::write_field;
-use wingbridge_http::raw::{AnswerStart, BodyDecoder, BodyLength, HeaderList, RawReader};
+use wingbridge_http::raw::{BodyDecoder, BodyLength, HeaderList, RawReader, RawResponseHead};
 
 use crate::answers::{AnswerBody, LAST_CHUNK, WaitingBody, as_chunk, write_length};
 use crate::notices::{NoticeLink, UnreadHead};
@@ -67,7 +67,7 @@
 /// A target's whole or waiting answer.
 #[derive(Debug)]
 pub(crate) struct TargetAnswer {
-    pub(crate) start: AnswerStart,
+    pub(crate) start: RawResponseHead,
     pub(crate) body: AnswerBody,
     pub(crate) bytes: usize,
 }
@@ -210,8 +210,8 @@
     reader: &mut RawReader<TcpStream>,
     request: &OutgoingRequest,
     notices: &NoticeLink<'_>,
-) -> Result<(AnswerStart, HeldBody), HttpError> {
-    let start = reader.answer_start(&request.method, HEAD_BYTES).await?;
+) -> Result<(RawResponseHead, HeldBody), HttpError> {
+    let start = reader.read_response_head(&request.method, HEAD_BYTES).await?;
     notices.take(&start);
     let mut decoder = BodyDecoder::new(start.length);
     let mut body = Vec::new();
@@ -224,7 +224,11 @@
 
 /// Whether an answer names another request than the one with the id `asked`. Some refusals name
 /// none.
-pub(crate) fn is_anothers(start: &AnswerStart, names: &HeaderNames, asked: Option<&str>) -> bool {
+pub(crate) fn is_anothers(
+    start: &RawResponseHead,
+    names: &HeaderNames,
+    asked: Option<&str>,
+) -> bool {
     let returned = start.headers.text(&names.request_id);
     asked.is_some() && returned.is_some() && returned != asked
 }
@@ -233,7 +237,7 @@
     request: &OutgoingRequest,
     names: &HeaderNames,
     reader: RawReader<TcpStream>,
-    start: AnswerStart,
+    start: RawResponseHead,
     held: HeldBody,
 ) -> AttemptEnd {
     let load = start.headers.text(&names.load).and_then(parse_load);
@@ -247,14 +251,14 @@
     if start.status == 421 {
         return AttemptEnd::WrongTarget;
     }
-    if start.headers.has(&names.not_run) {
+    if start.headers.contains(&names.not_run) {
         return AttemptEnd::Refused(load);
     }
     if asked.is_some() && start.headers.text(&names.request_id) != asked {
         return AttemptEnd::Broken(OTHERS_ANSWER.into());
     }
     let good = (200..300).contains(&start.status);
-    if good && !start.headers.has(&names.proof) {
+    if good && !start.headers.contains(&names.proof) {
         return AttemptEnd::Broken("the answer has no proof of its target".into());
     }
     let coding = start.headers.text("content-encoding");
@@ -264,7 +268,7 @@
     let (body, decoder) = held;
     let bytes = body.len();
     let body = if start.length == BodyLength::None {
-        AnswerBody::Absent(start.announced)
+        AnswerBody::Absent(start.declared_length)
     } else if decoder.is_done() {
         AnswerBody::Held(body)
     } else {
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -10,7 +10,7 @@
 use futures::future::{BoxFuture, Either, select};
 use futures::io::{AsyncReadExt, AsyncWriteExt};
 use futures::stream::{FuturesOrdered, StreamExt};
-use wingbridge_http::raw::{BodyDecoder, BodyLength, RawReader, RequestStart};
+use wingbridge_http::raw::{BodyDecoder, BodyLength, RawReader, RawRequestHead};
 use wingbridge_http::{ErrorKind, HttpError};
 
 use crate::answers::{AnswerBody, CallerAnswer, CallerOutcome, LAST_CHUNK, WaitingBody, as_chunk};
@@ -95,11 +95,12 @@
         if context.stopping.is_closing() {
             return false;
         }
-        if self.reader.has_ahead() {
+        if self.reader.has_buffered() {
             return true;
         }
         let idle_time = limits(context).idle_time;
-        let first = std::pin::pin!(async_std::future::timeout(idle_time, self.reader.wait_first()));
+        let first =
+            std::pin::pin!(async_std::future::timeout(idle_time, self.reader.wait_for_data()));
         let closing = std::pin::pin!(context.stopping.wait_closing());
         match select(first, closing).await {
             Either::Left((first, _)) => matches!(first, Ok(Ok(true))),
@@ -166,10 +167,11 @@
             let has_room = answers.len() < ANSWERED_BESIDE;
             let event = {
                 let next = std::pin::pin!(answers.next());
-                let accepts = |start: &RequestStart| {
+                let accepts = |start: &RawRequestHead| {
                     has_room && !context.stopping.is_stopping() && may_go_beside(context, start)
                 };
-                let ahead = std::pin::pin!(self.reader.request_ahead(AHEAD_BYTES, accepts));
+                let ahead =
+                    std::pin::pin!(self.reader.read_pipelined_request(AHEAD_BYTES, accepts));
                 match select(next, ahead).await {
                     Either::Left((answer, _)) => OrderedEvent::Answer(answer),
                     Either::Right((start, _)) => OrderedEvent::Ahead(start),
@@ -222,7 +224,7 @@
         since: Instant,
     ) -> Result<Option<ReadRequest<'a>>, HttpError> {
         let limits = limits(context);
-        let read = self.reader.request_start(limits.head_bytes);
+        let read = self.reader.read_request_head(limits.head_bytes);
         let Ok(start) = async_std::future::timeout(limits.head_time, read).await else {
             return Err(HttpError::new(ErrorKind::TimedOut, "the head took too long to arrive"));
         };
@@ -268,7 +270,7 @@
     }
 
     async fn reject(&mut self, context: &BoxContext, error: &HttpError) {
-        let gone = matches!(error.kind(), ErrorKind::Io | ErrorKind::CutShort);
+        let gone = matches!(error.kind(), ErrorKind::Io | ErrorKind::Truncated);
         log::info!(reason:% = error, gone; "request-rejected");
         if gone {
             return;
@@ -324,7 +326,7 @@
     async fn read_piece(&mut self, waiting: &mut WaitingBody, piece: &mut Vec<u8>) -> bool {
         let read = waiting.reader.read_body(&mut waiting.decoder, piece);
         let read = std::pin::pin!(async_std::future::timeout(WRITE_TIME, read));
-        let closed = std::pin::pin!(self.reader.wait_closed(AHEAD_BYTES));
+        let closed = std::pin::pin!(self.reader.wait_for_close(AHEAD_BYTES));
         let reason = match select(read, closed).await {
             Either::Left((Ok(Ok(_)), _)) => return true,
             Either::Left((Ok(Err(error)), _)) => error.to_string(),
@@ -357,7 +359,7 @@
     /// The answer to the first of them; `None` if there is none left.
     Answer(Option<CallerAnswer>),
     /// Another request; `None` if the caller has gone.
-    Ahead(Option<RequestStart>),
+    Ahead(Option<RawRequestHead>),
 }
 
 /// The answer to a request, which counts as busy until it is there.
@@ -371,7 +373,7 @@
 
 /// Whether a request may be worked on beside others of its connection: it has no body, may run again, and
 /// does not end the connection.
-fn may_go_beside(context: &BoxContext, start: &RequestStart) -> bool {
+fn may_go_beside(context: &BoxContext, start: &RawRequestHead) -> bool {
     let Some(config) = context.config() else {
         return false;
     };
@@ -396,13 +398,13 @@
             Ok(PumpEnd::Whole) => {}
             // The answer is about to come.
             Ok(PumpEnd::Unwanted) => return futures::future::pending().await,
-            Err(error) if matches!(error.kind(), ErrorKind::Io | ErrorKind::CutShort) => {
+            Err(error) if matches!(error.kind(), ErrorKind::Io | ErrorKind::Truncated) => {
                 return CallerGone::Left;
             }
             Err(error) => return CallerGone::BadBody(error),
         }
     }
-    reader.wait_closed(AHEAD_BYTES).await;
+    reader.wait_for_close(AHEAD_BYTES).await;
     CallerGone::Left
 }
 
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -13,7 +13,7 @@
     LeftOut, LimitSaid, NoticeBar, NoticeChange, RequestRate, SteerPick, TargetNotice,
 };
 use wingbridge_decide::{TargetKey, TimePoint};
-use wingbridge_http::raw::AnswerStart;
+use wingbridge_http::raw::RawResponseHead;
 
 use crate::attempt::is_anothers;
 use crate::context::{BoxContext, millis};
@@ -62,7 +62,7 @@
         let Some(Ok(count)) = self.stream.peek(&mut bytes).now_or_never() else {
             return;
         };
-        if let Ok(Some((start, _))) = AnswerStart::parse(&bytes[..count], self.method) {
+        if let Ok(Some((start, _))) = RawResponseHead::parse(&bytes[..count], self.method) {
             self.link.take(&start);
         }
     }
@@ -82,7 +82,7 @@
     }
 
     /// Takes what the head of an answer says of the target.
-    pub(crate) fn take(&self, start: &AnswerStart) {
+    pub(crate) fn take(&self, start: &RawResponseHead) {
         self.heard.store(true, Ordering::Release);
         let names = &self.context.headers;
         if !is_own_word(start, names, self.request) {
@@ -187,14 +187,14 @@
 
 /// Whether an answer to the request with the id `request` is the word of the target that was asked: of
 /// another instance, or in an answer to another request, nobody knows whose it is.
-fn is_own_word(start: &AnswerStart, names: &HeaderNames, request: Option<&str>) -> bool {
+fn is_own_word(start: &RawResponseHead, names: &HeaderNames, request: Option<&str>) -> bool {
     let is_success = (200..300).contains(&start.status);
-    let has_proof = !is_success || start.headers.has(&names.proof);
+    let has_proof = !is_success || start.headers.contains(&names.proof);
     start.status != 421 && !is_anothers(start, names, request) && has_proof
 }
 
 /// What an answer says of its target: that it leaves, and for how long it wants nothing.
-fn read_notice(start: &AnswerStart, names: &HeaderNames) -> TargetNotice {
+fn read_notice(start: &RawResponseHead, names: &HeaderNames) -> TargetNotice {
     let mut leaving = start.headers.texts(&names.leaving);
     let rests = matches!(start.status, 429 | 503);
     let rest = if rests { read_rest(start, names, SystemTime::now()) } else { None };
@@ -202,7 +202,7 @@
 }
 
 /// What an answer says of its target's limit: the lowest one of those that can be read.
-fn read_limit(start: &AnswerStart, names: &HeaderNames) -> LimitSaid {
+fn read_limit(start: &RawResponseHead, names: &HeaderNames) -> LimitSaid {
     let mut texts = start.headers.texts(&names.limit).peekable();
     if texts.peek().is_none() {
         return LimitSaid::None;
@@ -213,7 +213,7 @@
 
 /// The longest time for which an answer asks to be left alone, of those that can be read: seconds,
 /// whole or not, or a date, which counts from that of the answer if it tells one.
-fn read_rest(start: &AnswerStart, names: &HeaderNames, now: SystemTime) -> Option<Duration> {
+fn read_rest(start: &RawResponseHead, names: &HeaderNames, now: SystemTime) -> Option<Duration> {
     let told = start.headers.text("date").and_then(|text| httpdate::parse_http_date(text).ok());
     let from = told.unwrap_or(now);
     let until = |text: &str| httpdate::parse_http_date(text).ok()?.duration_since(from).ok();
--- a/crates/gateway/src/policies.rs
+++ b/crates/gateway/src/policies.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use wingbridge_decide::Name;
-use wingbridge_http::raw::RequestStart;
-use wingbridge_policy::{PolicyDecision, PolicyFault, PolicyProgram, RequestView, RouteOffer};
+use wingbridge_http::raw::RawRequestHead;
+use wingbridge_policy::{PolicyDecision, PolicyError, PolicyProgram, RequestView, RouteDefaults};
 
 use crate::routes::{Route, RouteKind};
 
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     /// One of them is faulty, which a test would have shown.
-    pub(crate) fn compile() -> Result<PolicySet, PolicyFault> {
+    pub(crate) fn compile() -> Result<PolicySet, PolicyError> {
         Ok(PolicySet {
             repeatable: PolicyProgram::compile(include_str!("../policies/repeatable.rhai"))?,
             at_most_once: PolicyProgram::compile(include_str!("../policies/at-most-once.rhai"))?,
@@ -51,25 +51,25 @@
         route: &Route,
         service: &Name,
         priority: u32,
-        start: &RequestStart,
+        start: &RawRequestHead,
         caller: &str,
-    ) -> Result<PolicyDecision, PolicyFault> {
+    ) -> Result<PolicyDecision, PolicyError> {
         let program = match route.kind {
             RouteKind::Repeatable => &self.repeatable,
             RouteKind::AtMostOnce | RouteKind::Upload => &self.at_most_once,
             RouteKind::Download => &self.download,
         };
-        let offer = RouteOffer {
+        let offer = RouteDefaults {
             service: service.clone(),
-            time: route.timeout.clamp(LEAST_TIME, MOST_TIME),
+            timeout: route.timeout.clamp(LEAST_TIME, MOST_TIME),
             attempts: route.attempts.clamp(1, MOST_ATTEMPTS),
             priority: TOP_PRIORITY.saturating_sub(priority) as u8,
         };
-        program.plan(view(start, caller).with_offer(offer))
+        program.plan(view(start, caller).with_route_defaults(offer))
     }
 }
 
-fn view(start: &RequestStart, caller: &str) -> RequestView {
+fn view(start: &RawRequestHead, caller: &str) -> RequestView {
     let headers = start.headers.iter().filter_map(|field| {
         let value = std::str::from_utf8(&field.value).ok()?;
         Some((field.name.to_ascii_lowercase(), value.to_string()))
--- a/crates/gateway/src/requests/ends.rs
+++ b/crates/gateway/src/requests/ends.rs
@@ -66,7 +66,7 @@
     let TargetAnswer { start, body, .. } = answer;
     CallerAnswer {
         status: start.status,
-        headers: start.headers.passed_on(&[]),
+        headers: start.headers.forwarded(&[]),
         reason: start.reason,
         body,
         outcome: CallerOutcome::Answered,
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -6,7 +6,7 @@
 use async_std::task;
 use wingbridge_decide::Name;
 use wingbridge_decide::crashes::CrashVerdict;
-use wingbridge_http::raw::RequestStart;
+use wingbridge_http::raw::RawRequestHead;
 use wingbridge_policy::{PolicyDecision, PolicyPlan};
 
 use crate::answers::{CallerAnswer, CallerOutcome};
@@ -39,7 +39,7 @@
 /// A caller's request.
 #[derive(Debug)]
 pub(crate) struct CallerRequest {
-    pub(crate) start: RequestStart,
+    pub(crate) start: RawRequestHead,
     /// Its body, or the beginning of a long one.
     pub(crate) body: Vec<u8>,
     /// What is still to come of a long one.
@@ -100,9 +100,9 @@
 
 /// Takes the key out of a request, and whatever it says of its customer: neither is for targets,
 /// policies or logs.
-fn take_key(context: &BoxContext, start: &mut RequestStart) -> PresentedKey {
-    drop(start.headers.take(&context.headers.customer));
-    let keys = start.headers.take(&context.headers.customer_key);
+fn take_key(context: &BoxContext, start: &mut RawRequestHead) -> PresentedKey {
+    drop(start.headers.remove(&context.headers.customer));
+    let keys = start.headers.remove(&context.headers.customer_key);
     PresentedKey::read(keys.iter().map(|field| &field.value[..]))
 }
 
@@ -167,8 +167,8 @@
     let decided = context.policies.plan(&route, service, priority, &request.start, &request.caller);
     let policy = match decided {
         Ok(PolicyDecision::Route(policy)) => policy,
-        Ok(PolicyDecision::Refuse { status, why }) => {
-            log::info!(route:% = route.name, status, reason = why.as_str(); "policy-refused");
+        Ok(PolicyDecision::Refuse { status, reason }) => {
+            log::info!(route:% = route.name, status, reason = reason.as_str(); "policy-refused");
             let answer =
                 CallerAnswer::own(status, CallerOutcome::Rejected, "its policy refuses it");
             let trace = RequestTrace::of_route(&route.name);
@@ -291,7 +291,7 @@
     let own = [names.time_left.as_str(), names.wanted_target.as_str()];
     let CallerRequest { start, body, rest, .. } = request;
     OutgoingRequest {
-        headers: start.headers.passed_on(&own),
+        headers: start.headers.forwarded(&own),
         announced: start.length,
         method: start.method,
         target: start.target,
--- a/crates/gateway/src/streamed_body.rs
+++ b/crates/gateway/src/streamed_body.rs
@@ -92,7 +92,7 @@
             let mut piece = Vec::new();
             let read = reader.read_body(&mut self.decoder, &mut piece);
             let Ok(read) = async_std::future::timeout(self.idle_time, read).await else {
-                return Err(HttpError::new(ErrorKind::CutShort, "the body stood still"));
+                return Err(HttpError::new(ErrorKind::Truncated, "the body stood still"));
             };
             read?;
             let Some(left) = self.left.checked_sub(piece.len()) else {
--- a/crates/gateway/tests/answers.rs
+++ b/crates/gateway/tests/answers.rs
@@ -115,7 +115,7 @@
     AnswerCase {
         name: "an order cut short is unknown and not repeated",
         kind: ONCE,
-        scripts: &[Script::CutShort, Script::CutShort],
+        scripts: &[Script::Truncated, Script::Truncated],
         status: 502,
         body: None,
         sends: (1, 1),
@@ -123,7 +123,7 @@
     AnswerCase {
         name: "a lookup cut short is repeated",
         kind: REPEATABLE,
-        scripts: &[Script::CutShort, Script::Good],
+        scripts: &[Script::Truncated, Script::Good],
         status: 200,
         body: Some("hello"),
         sends: (1, 2),
--- a/crates/gateway/tests/ended_targets.rs
+++ b/crates/gateway/tests/ended_targets.rs
@@ -16,7 +16,7 @@
 const CASES: &[EndCase] = &[
     EndCase { name: "the target ended", script: Script::Ends, ended: 1 },
     EndCase { name: "its answer was lost", script: Script::Silent, ended: 0 },
-    EndCase { name: "its answer was cut short", script: Script::CutShort, ended: 0 },
+    EndCase { name: "its answer was cut short", script: Script::Truncated, ended: 0 },
     EndCase { name: "it failed", script: Script::Fails, ended: 0 },
 ];
 
--- a/crates/gateway/tests/harness/gateway.rs
+++ b/crates/gateway/tests/harness/gateway.rs
@@ -10,7 +10,7 @@
 use wingbridge_gateway::ports::EnvironmentPort;
 use wingbridge_gateway::{GatewaySettings, run};
 use wingbridge_process::Outcome;
-use wingbridge_process::stop::{StopHandle, stop_pair};
+use wingbridge_process::stop::{StopHandle, stop_channel};
 
 use super::{CallerReply, CallerStandin, READ_TIME, eventually, own_host};
 
@@ -53,7 +53,7 @@
     ) -> BoxUnderTest {
         let mut settings = settings(host, seeds);
         change(&mut settings);
-        let (stop, signal) = stop_pair();
+        let (stop, signal) = stop_channel();
         let (_, reloads) = async_channel::bounded(1);
         let thread = thread::spawn(move || {
             run(settings, port, &signal, reloads).expect("the box's own addresses are free")
--- a/crates/gateway/tests/harness/target.rs
+++ b/crates/gateway/tests/harness/target.rs
@@ -31,7 +31,7 @@
     /// Is another instance than the one that was meant.
     Other,
     /// Runs it and closes within the body.
-    CutShort,
+    Truncated,
     /// Runs it and closes without an answer.
     Silent,
     /// Answers well without its proof.
@@ -264,7 +264,7 @@
                 "HTTP/1.1 421 Other\r\nX-Id: {id}\r\nX-Not-Run: 1\r\n{said}Content-Length: 0\r\n\r\n"
             )
         }
-        Script::CutShort => format!("{ok}Content-Length: 50\r\n\r\nhello"),
+        Script::Truncated => format!("{ok}Content-Length: 50\r\n\r\nhello"),
         // A target that ends never comes here.
         Script::Silent | Script::Ends => String::new(),
         Script::NoProof => {
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -81,7 +81,7 @@
     LimitCase { name: "too many", script: Script::TooMany, ..ONE },
     LimitCase { name: "chunks", script: Script::Chunked, ..ONE },
     LimitCase { name: "long answers", script: Script::Long, ..ONE },
-    LimitCase { name: "cut short", script: Script::CutShort, ..ONE },
+    LimitCase { name: "cut short", script: Script::Truncated, ..ONE },
 ];
 
 const OF_SIX_BOXES: &[LimitCase] = &[
--- a/crates/gateway/tests/notices.rs
+++ b/crates/gateway/tests/notices.rs
@@ -108,7 +108,7 @@
     NoticeCase { name: "a refusal", script: Script::Sheds, said: LEAVES, counts: true },
     NoticeCase { name: "too many", script: Script::TooMany, said: LEAVES, counts: true },
     NoticeCase { name: "a long answer", script: Script::Long, said: LEAVES, counts: true },
-    NoticeCase { name: "cut short", script: Script::CutShort, said: LEAVES, counts: true },
+    NoticeCase { name: "cut short", script: Script::Truncated, said: LEAVES, counts: true },
     NoticeCase { name: "long, cut", script: Script::LongCutShort, said: LEAVES, counts: true },
     NoticeCase {
         name: "said twice",
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,8 +1,8 @@
-//! A client for the platform's and the operators' end points: one request a
-//! connection, bounded in time. The path to targets has its own, in the proxy.
+//! An HTTP client for the platform's and the operators' end points: one request per
+//! connection, with bounded time. The path to targets has its own client, in the proxy.
 //!
-//! An answer whose length nobody knows beforehand is bounded by silence: as long as bytes
-//! arrive it is read on, since giving it up would only mean to send them all again.
+//! A response of unknown length is bounded by an idle timeout rather than by a total time:
+//! aborting a transfer that still makes progress would only cause all of it to be sent again.
 
 use std::time::Duration;
 
@@ -13,36 +13,37 @@
 
 use crate::error::{ErrorKind, HttpError};
 use crate::head::MessageLimits;
-use crate::reader::{AnswerBody, MessageReader};
+use crate::reader::{MessageReader, ResponseBody};
 
-/// Longest answer taken, in bytes: a value of a megabyte and a listing around it.
-const ANSWER_LIMIT: usize = 64 << 20;
+/// Maximum length of a response body: leaves room for a value of one megabyte and the
+/// listing around it.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// A status and a whole body.
+/// A status and a complete body.
 #[derive(Debug, Clone)]
 pub struct HttpReply {
     /// The status code.
     pub status: u16,
-    /// The whole body.
+    /// The complete body; empty if the response has none.
     pub body: Vec<u8>,
 }
 
-/// How long a call may take.
+/// Timeouts of one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallLimits {
-    /// Time without a byte of the answer, and for the connection.
-    pub silence: Duration,
-    /// Time for all of it.
-    pub whole: Duration,
+    /// Maximum time for the connection to come up, and between two reads of the response.
+    pub idle_timeout: Duration,
+    /// Maximum time for the call as a whole.
+    pub total_timeout: Duration,
 }
 
 impl From<Duration> for CallLimits {
-    fn from(whole: Duration) -> CallLimits {
-        CallLimits { silence: whole, whole }
+    fn from(timeout: Duration) -> CallLimits {
+        CallLimits { idle_timeout: timeout, total_timeout: timeout }
     }
 }
 
-/// Talks to one address.
+/// An HTTP client of one address.
 #[derive(Debug, Clone)]
 pub struct HttpClient {
     address: String,
@@ -50,22 +51,22 @@
 }
 
 impl HttpClient {
-    /// A client of `address` (`IP:port`) that gives up after `timeout`.
+    /// Creates a client of `address` (`IP:port`) whose [`HttpClient::get`] fails after `timeout`.
     pub fn new(address: &str, timeout: Duration) -> HttpClient {
         HttpClient { address: address.to_string(), limits: timeout.into() }
     }
 
-    /// The address it talks to.
+    /// Returns the address that requests are sent to.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Gets `path`.
+    /// Sends a GET request for `path`, bounded by the client's own timeout.
     pub async fn get(&self, path: &str) -> Result<HttpReply, HttpError> {
         self.call(Method::Get, path, Vec::new(), self.limits).await
     }
 
-    /// Sends `body` to `path` with `method`, and waits as long as `limits` allow.
+    /// Sends `body` to `path` with `method` and returns the response, within `limits`.
     pub async fn call(
         &self,
         method: Method,
@@ -73,13 +74,13 @@
         body: Vec<u8>,
         limits: impl Into<CallLimits>,
     ) -> Result<HttpReply, HttpError> {
-        let CallLimits { silence, whole } = limits.into();
-        let work = self.call_unbounded(method, path, body, silence);
-        self.within(whole, work).await
+        let CallLimits { idle_timeout, total_timeout } = limits.into();
+        let work = self.call_unbounded(method, path, body, idle_timeout);
+        self.with_timeout(total_timeout, work).await
     }
 
-    /// The outcome of `work`, or an error after `time`.
-    async fn within<T>(
+    /// Returns the result of `work`, or an error after `time`.
+    async fn with_timeout<T>(
         &self,
         time: Duration,
         work: impl Future<Output = Result<T, HttpError>>,
@@ -93,12 +94,13 @@
         }
     }
 
+    /// Performs a call without a bound on its total time.
     async fn call_unbounded(
         &self,
         method: Method,
         path: &str,
         body: Vec<u8>,
-        silence: Duration,
+        idle_timeout: Duration,
     ) -> Result<HttpReply, HttpError> {
         let Ok(url) = Url::parse(&format!("http://{}{path}", self.address)) else {
             let reason = format!("'{}{path}' is not an address and a path", self.address);
@@ -108,26 +110,27 @@
         request.insert_header("connection", "close");
         request.set_body(body);
         let connecting = async { Ok(TcpStream::connect(&self.address).await?) };
-        let mut stream = self.within(silence, connecting).await?;
+        let mut stream = self.with_timeout(idle_timeout, connecting).await?;
         stream.set_nodelay(true)?;
         copy(async_h1::client::Encoder::new(request), &mut stream).await?;
         stream.flush().await?;
-        let limits = MessageLimits { body: ANSWER_LIMIT, ..MessageLimits::default() };
-        let mut reader = MessageReader::new(stream).with_silence(silence);
-        let answer = reader.read_answer(method.as_ref(), &limits).await?;
-        let status = answer.response.status() as u16;
-        match answer.body {
-            AnswerBody::Whole(body) => Ok(HttpReply { status, body }),
-            AnswerBody::Absent(_) => Ok(HttpReply { status, body: Vec::new() }),
-            AnswerBody::Waiting(length) => {
-                let reason = format!("an answer of {length} bytes is over {ANSWER_LIMIT}");
+        let limits =
+            MessageLimits { max_body_bytes: MAX_RESPONSE_BYTES, ..MessageLimits::default() };
+        let mut reader = MessageReader::new(stream).with_idle_timeout(idle_timeout);
+        let incoming = reader.read_response(method.as_ref(), &limits).await?;
+        let status = incoming.response.status() as u16;
+        match incoming.body {
+            ResponseBody::Complete(body) => Ok(HttpReply { status, body }),
+            ResponseBody::Absent(_) => Ok(HttpReply { status, body: Vec::new() }),
+            ResponseBody::Unread(length) => {
+                let reason = format!("an answer of {length} bytes is over {MAX_RESPONSE_BYTES}");
                 Err(HttpError::new(ErrorKind::BodyTooLarge, reason))
             }
         }
     }
 }
 
-/// The bytes of a request, as the library writes them.
+/// Returns a reader of the bytes of `request` as `async-h1` encodes it.
 pub fn encoder(request: Request) -> impl futures::io::AsyncRead + Unpin {
     async_h1::client::Encoder::new(request)
 }
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -1,11 +1,11 @@
-//! The one error of this crate.
+//! The error type of this crate.
 
 use std::{fmt, io};
 
-/// What was wrong with a message or its connection.
+/// The category of a failure of a message or its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ErrorKind {
-    /// The message breaks the protocol or says two things at once (400).
+    /// The message violates the protocol or is ambiguous (400).
     Malformed,
     /// The request line is longer than the limit (414).
     TargetTooLong,
@@ -13,19 +13,19 @@
     HeadTooLarge,
     /// The body is longer than the limit (413).
     BodyTooLarge,
-    /// The version is not HTTP/1.1 (505).
-    Version,
-    /// The peer closed before the message was whole.
-    CutShort,
-    /// The length of an answer can't be known, so it can't be proved whole.
+    /// The HTTP version is not supported (505).
+    UnsupportedVersion,
+    /// The peer closed the connection before the message was complete (400).
+    Truncated,
+    /// The response has no known length, so its completeness can't be verified (400).
     UnknownLength,
-    /// The peer was too slow (408).
+    /// The peer did not send or respond in time (408).
     TimedOut,
-    /// The connection failed.
+    /// The connection failed (502).
     Io,
 }
 
-/// An error with its kind and one line that says why.
+/// An error with its kind and a one-line reason.
 #[derive(Debug, Clone)]
 pub struct HttpError {
     kind: ErrorKind,
@@ -33,24 +33,24 @@
 }
 
 impl HttpError {
-    /// Makes an error of `kind`.
+    /// Creates an error of `kind` with `reason`, which may be sent to the peer.
     pub fn new(kind: ErrorKind, reason: impl Into<String>) -> HttpError {
         HttpError { kind, reason: reason.into() }
     }
 
-    /// The kind, to decide on.
+    /// Returns the category of the failure.
     pub fn kind(&self) -> ErrorKind {
         self.kind
     }
 
-    /// The status code that a caller is told for this error.
+    /// Returns the status code that a caller gets for this error.
     pub fn status(&self) -> u16 {
         match self.kind {
-            ErrorKind::Malformed | ErrorKind::CutShort | ErrorKind::UnknownLength => 400,
+            ErrorKind::Malformed | ErrorKind::Truncated | ErrorKind::UnknownLength => 400,
             ErrorKind::TargetTooLong => 414,
             ErrorKind::HeadTooLarge => 431,
             ErrorKind::BodyTooLarge => 413,
-            ErrorKind::Version => 505,
+            ErrorKind::UnsupportedVersion => 505,
             ErrorKind::TimedOut => 408,
             ErrorKind::Io => 502,
         }
@@ -68,7 +68,7 @@
 impl From<io::Error> for HttpError {
     fn from(error: io::Error) -> HttpError {
         let kind = match error.kind() {
-            io::ErrorKind::UnexpectedEof => ErrorKind::CutShort,
+            io::ErrorKind::UnexpectedEof => ErrorKind::Truncated,
             io::ErrorKind::TimedOut => ErrorKind::TimedOut,
             _ => ErrorKind::Io,
         };
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,85 +1,94 @@
-//! The head of a message and what it says about the body's length.
+//! Validation of message heads before `async-h1` decodes them.
 //!
-//! Faults of `async-h1` 2.3.4 that the checks here keep away from it: a body
-//! shorter than its `Content-Length` comes back as whole; of two different
-//! `Content-Length`s the last wins; an unknown transfer coding empties the body
-//! and leaves its bytes to be read as the next request; an answer that ends by
-//! closing comes back empty; an interim answer is taken for the final one.
+//! The checks reject input that `async-h1` 2.3.4 handles incorrectly: it reports a body
+//! shorter than its `Content-Length` as complete; of two different `Content-Length`
+//! headers it uses the last; an unknown transfer coding gives an empty body and leaves the
+//! body's bytes to be read as the next request; a response that is delimited by the close
+//! of the connection comes back empty; an interim response is taken for the final one.
 
 use crate::error::{ErrorKind, HttpError};
 
-/// Header lines that a message may have; the library's own bound is 128.
+/// Maximum number of header lines in a message; the bound of `async-h1` is 128.
 const MAX_HEADERS: usize = 100;
 
-/// Bounds on what a peer may send.
+/// Bounds on the size of a message.
 #[derive(Debug, Clone)]
 pub struct MessageLimits {
-    /// Longest request line, in bytes.
-    pub request_line: usize,
-    /// Longest head, in bytes. The library refuses 8 KiB and more.
-    pub head: usize,
-    /// Longest body of known length that is held whole, in bytes.
-    pub body: usize,
-    /// Longest chunked body, in bytes: it is always held whole, having no length
-    /// by which a part could be told from it.
-    pub chunked: usize,
+    /// Maximum length of the request line, in bytes.
+    pub max_request_line_bytes: usize,
+    /// Maximum length of the head, in bytes. `async-h1` rejects 8 KiB and more.
+    pub max_head_bytes: usize,
+    /// Maximum length of a body of known length that is buffered completely, in bytes.
+    pub max_body_bytes: usize,
+    /// Maximum length of a chunked body, in bytes. It is always buffered completely: without
+    /// a declared length, the reader of a partial body could not detect that it is partial.
+    pub max_chunked_body_bytes: usize,
 }
 
 impl Default for MessageLimits {
     fn default() -> MessageLimits {
-        MessageLimits { request_line: 4096, head: 8000, body: 1 << 20, chunked: 1 << 20 }
+        MessageLimits {
+            max_request_line_bytes: 4096,
+            max_head_bytes: 8000,
+            max_body_bytes: 1 << 20,
+            max_chunked_body_bytes: 1 << 20,
+        }
     }
 }
 
-/// How the end of a body is found.
+/// How the length of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyFraming {
     /// There is no body.
     None,
-    /// The body has this many bytes.
+    /// The body has the given number of bytes.
     Length(u64),
-    /// The body comes in chunks and ends with an empty one.
+    /// The body is chunked and ends with an empty chunk.
     Chunked,
 }
 
-/// What a request's head says.
+/// The properties of a request that its head determines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestHead {
-    /// How long the body is.
+    /// How the length of the body is determined.
     pub framing: BodyFraming,
-    /// Whether the caller wants the connection kept.
+    /// Whether the connection may carry another request.
     pub keep_alive: bool,
-    /// Whether the caller waits for `100 Continue`.
+    /// Whether the caller waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
-/// What an answer's head says.
+/// The properties of a response that its head determines.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The status code.
     pub status: u16,
-    /// How long the body is.
+    /// How the length of the body is determined.
     pub framing: BodyFraming,
-    /// The length that was announced, which for `HEAD` has no body behind it.
-    pub announced: Option<u64>,
-    /// Whether the target keeps the connection.
+    /// The value of `Content-Length`, also where no body follows (`HEAD`, 304).
+    pub declared_length: Option<u64>,
+    /// Whether the connection may carry another request.
     pub keep_alive: bool,
 }
 
-/// Checks the head of a request.
+/// Validates the head of a request.
+///
+/// # Errors
+/// The head is malformed or ambiguous, has more than `MAX_HEADERS` header lines, or its
+/// version is not HTTP/1.1.
 pub fn check_request(head: &[u8]) -> Result<RequestHead, HttpError> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut lines);
-    parsed(request.parse(head))?;
+    check_complete(request.parse(head))?;
     if request.version != Some(1) {
-        return Err(HttpError::new(ErrorKind::Version, "only HTTP/1.1 is spoken here"));
+        return Err(HttpError::new(ErrorKind::UnsupportedVersion, "only HTTP/1.1 is spoken here"));
     }
     let path = request.path.unwrap_or_default();
     if !path.starts_with('/') {
         return Err(malformed("the request target must be a path that starts with '/'"));
     }
     let fields = HeaderFields::read(request.headers)?;
-    if fields.hosts != 1 {
+    if fields.host_count != 1 {
         return Err(malformed("exactly one Host header is needed"));
     }
     let framing = fields.framing()?.unwrap_or(BodyFraming::None);
@@ -90,17 +99,24 @@
     })
 }
 
-/// Checks the head of an answer to a request with `method`.
-pub fn check_answer(head: &[u8], method: &str) -> Result<AnswerHead, HttpError> {
+/// Validates the head of a response to a request with `method`.
+///
+/// # Errors
+/// The head is malformed or ambiguous, has more than `MAX_HEADERS` header lines, its
+/// version is not HTTP/1.1, or it has a body of unknown length.
+pub fn check_response(head: &[u8], method: &str) -> Result<ResponseHead, HttpError> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut answer = httparse::Response::new(&mut lines);
-    parsed(answer.parse(head))?;
-    if answer.version != Some(1) {
-        return Err(HttpError::new(ErrorKind::Version, "the target does not speak HTTP/1.1"));
+    let mut response = httparse::Response::new(&mut lines);
+    check_complete(response.parse(head))?;
+    if response.version != Some(1) {
+        return Err(HttpError::new(
+            ErrorKind::UnsupportedVersion,
+            "the target does not speak HTTP/1.1",
+        ));
     }
-    let status = answer.code.unwrap_or_default();
-    let fields = HeaderFields::read(answer.headers)?;
-    let announced = fields.length;
+    let status = response.code.unwrap_or_default();
+    let fields = HeaderFields::read(response.headers)?;
+    let declared_length = fields.length;
     let bodiless = method == "HEAD" || status < 200 || status == 204 || status == 304;
     let framing = match (bodiless, fields.framing()?) {
         (true, _) => BodyFraming::None,
@@ -110,17 +126,17 @@
             return Err(HttpError::new(ErrorKind::UnknownLength, reason));
         }
     };
-    Ok(AnswerHead { status, framing, announced, keep_alive: !fields.close })
+    Ok(ResponseHead { status, framing, declared_length, keep_alive: !fields.close })
 }
 
-/// The header fields that decide on length and connection.
+/// The header fields that determine the body's length and the connection's persistence.
 #[derive(Default)]
 struct HeaderFields {
     length: Option<u64>,
     chunked: bool,
     close: bool,
     expects_continue: bool,
-    hosts: usize,
+    host_count: usize,
 }
 
 impl HeaderFields {
@@ -130,14 +146,14 @@
             let Ok(value) = std::str::from_utf8(header.value) else {
                 return Err(malformed(format!("the value of header {} is not UTF-8", header.name)));
             };
-            fields.take(header.name, value.trim())?;
+            fields.apply(header.name, value.trim())?;
         }
         Ok(fields)
     }
 
-    fn take(&mut self, name: &str, value: &str) -> Result<(), HttpError> {
+    fn apply(&mut self, name: &str, value: &str) -> Result<(), HttpError> {
         match name.to_ascii_lowercase().as_str() {
-            "content-length" => self.take_length(value),
+            "content-length" => self.apply_length(value),
             "transfer-encoding" if value.eq_ignore_ascii_case("chunked") && !self.chunked => {
                 self.chunked = true;
                 Ok(())
@@ -155,14 +171,14 @@
                 Ok(())
             }
             "host" => {
-                self.hosts += 1;
+                self.host_count += 1;
                 Ok(())
             }
             _ => Ok(()),
         }
     }
 
-    fn take_length(&mut self, value: &str) -> Result<(), HttpError> {
+    fn apply_length(&mut self, value: &str) -> Result<(), HttpError> {
         self.length = Some(agreed_length(self.length, value.as_bytes())?);
         Ok(())
     }
@@ -179,9 +195,10 @@
     }
 }
 
-/// The length that a `Content-Length` header says, which must be the one `known` before.
+/// Returns the length in the value of a `Content-Length` header, which must equal `known`,
+/// the value of an earlier one.
 pub(crate) fn agreed_length(known: Option<u64>, value: &[u8]) -> Result<u64, HttpError> {
-    // `u64::from_str` takes a leading '+', which HTTP does not.
+    // `u64::from_str` accepts a leading '+', which HTTP does not.
     let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
     let text = std::str::from_utf8(value).ok().filter(|_| digits);
     let Some(length) = text.and_then(|text| text.parse::<u64>().ok()) else {
@@ -193,7 +210,7 @@
     Ok(length)
 }
 
-fn parsed(result: httparse::Result<usize>) -> Result<(), HttpError> {
+fn check_complete(result: httparse::Result<usize>) -> Result<(), HttpError> {
     match result {
         Ok(httparse::Status::Complete(_)) => Ok(()),
         Ok(httparse::Status::Partial) => Err(malformed("the head is not whole")),
@@ -202,7 +219,7 @@
             Err(HttpError::new(ErrorKind::HeadTooLarge, reason))
         }
         Err(httparse::Error::Version) => {
-            Err(HttpError::new(ErrorKind::Version, "only HTTP/1.1 is spoken here"))
+            Err(HttpError::new(ErrorKind::UnsupportedVersion, "only HTTP/1.1 is spoken here"))
         }
         Err(error) => Err(malformed(format!("the head is malformed: {error}"))),
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,10 +1,10 @@
-//! HTTP/1.1 messages, checked here before the library reads them.
+//! HTTP/1.1 messages: reading, validation, and a small client and server.
 //!
-//! `async-h1` decodes and encodes every message of wingbridge, but it accepts
-//! some that are cut short or say two things at once (see [`head`]). So one
-//! place reads the raw bytes, decides how long the message is, refuses what is
-//! ambiguous, and hands the library exactly the bytes of one message. Callers,
-//! targets, the store and the operators' end points all go through it.
+//! `async-h1` decodes and encodes messages, but it accepts some that are truncated or
+//! ambiguous (see [`head`]). [`MessageReader`] therefore reads the raw bytes, determines the
+//! length of the message, rejects ambiguous ones, and passes exactly the bytes of one message
+//! to `async-h1`. Messages that a proxy forwards unchanged are read by [`raw`], without
+//! `async-h1`.
 
 pub mod client;
 pub mod error;
@@ -18,4 +18,4 @@
 pub use error::{ErrorKind, HttpError};
 pub use head::{BodyFraming, MessageLimits};
 pub use http_types::Method;
-pub use reader::{AnswerBody, IncomingAnswer, IncomingRequest, MessageReader};
+pub use reader::{IncomingRequest, IncomingResponse, MessageReader, ResponseBody};
--- a/crates/http/src/memory.rs
+++ b/crates/http/src/memory.rs
@@ -1,4 +1,4 @@
-//! A stream over bytes in memory, for handing one message to the library.
+//! An in-memory stream that passes the bytes of one message to `async-h1`.
 
 use std::io;
 use std::pin::Pin;
@@ -6,7 +6,7 @@
 
 use futures::io::{AsyncRead, AsyncWrite};
 
-/// Reads the bytes of one message; what is written to it is dropped.
+/// A stream that reads from a buffer and discards writes.
 #[derive(Clone)]
 pub(crate) struct MemoryStream {
     bytes: Vec<u8>,
--- a/crates/http/src/raw/body.rs
+++ b/crates/http/src/raw/body.rs
@@ -1,32 +1,32 @@
-//! Bodies: where they end, and chunking undone.
+//! Incremental decoding of bodies: detection of their end, and removal of chunked coding.
 
 use crate::error::{ErrorKind, HttpError};
 
-/// Longest line that announces a chunk, and longest trailer line, in bytes. Longer
-/// ones have no use and would let a sender fill memory.
-const LINE_LIMIT: usize = 8 * 1024;
+/// Maximum length of a chunk-size line and of a trailer line. Longer lines have no use and
+/// would let a sender exhaust memory.
+const MAX_LINE_BYTES: usize = 8 * 1024;
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyLength {
     /// There is no body.
     None,
-    /// It has this many bytes.
+    /// The body has the given number of bytes.
     Known(u64),
-    /// It comes in chunks and ends with an empty one.
+    /// The body is chunked and ends with an empty chunk.
     Chunked,
-    /// It ends when the sender closes the connection. Only answers can.
+    /// The body ends when the sender closes the connection; only responses may do so.
     UntilClose,
 }
 
-/// Finds the end of a body in bytes as they arrive.
+/// An incremental decoder of one body.
 #[derive(Debug)]
 pub struct BodyDecoder {
-    part: BodyPart,
+    state: DecoderState,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum BodyPart {
+enum DecoderState {
     Done,
     Known(u64),
     UntilClose,
@@ -37,91 +37,102 @@
 }
 
 impl BodyDecoder {
-    /// A decoder at the start of a body.
+    /// Creates a decoder at the start of a body.
     pub fn new(length: BodyLength) -> BodyDecoder {
-        let part = match length {
-            BodyLength::None | BodyLength::Known(0) => BodyPart::Done,
-            BodyLength::Known(length) => BodyPart::Known(length),
-            BodyLength::Chunked => BodyPart::ChunkLine,
-            BodyLength::UntilClose => BodyPart::UntilClose,
+        let state = match length {
+            BodyLength::None | BodyLength::Known(0) => DecoderState::Done,
+            BodyLength::Known(length) => DecoderState::Known(length),
+            BodyLength::Chunked => DecoderState::ChunkLine,
+            BodyLength::UntilClose => DecoderState::UntilClose,
         };
-        BodyDecoder { part }
+        BodyDecoder { state }
     }
 
-    /// Whether the whole body was seen.
+    /// Returns whether the body has been decoded to its end.
     pub fn is_done(&self) -> bool {
-        self.part == BodyPart::Done
+        self.state == DecoderState::Done
     }
 
-    /// Moves the body's bytes from the front of `input` to the end of `body`. What
-    /// follows the body stays in `input`.
+    /// Moves bytes of the body from the front of `input` to the end of `body`, without
+    /// chunked coding. Bytes that follow the body stay in `input`.
     ///
     /// # Errors
-    /// The chunking is malformed.
+    /// The chunked coding is malformed.
     pub fn feed(&mut self, input: &mut Vec<u8>, body: &mut Vec<u8>) -> Result<(), HttpError> {
         while !self.is_done() && !input.is_empty() {
-            let before = (self.part, input.len());
+            let before = (self.state, input.len());
             self.step(input, body)?;
-            if before == (self.part, input.len()) {
-                // A line that is not whole yet.
+            if before == (self.state, input.len()) {
+                // The current line is incomplete; more input is needed.
                 break;
             }
         }
         Ok(())
     }
 
-    /// The sender closed the connection in order.
+    /// Completes the body after the sender closed the connection.
     ///
     /// # Errors
-    /// The body was not whole.
+    /// The body is truncated.
     pub fn end_of_input(&mut self) -> Result<(), HttpError> {
-        match self.part {
-            BodyPart::Done | BodyPart::UntilClose => {
-                self.part = BodyPart::Done;
+        match self.state {
+            DecoderState::Done | DecoderState::UntilClose => {
+                self.state = DecoderState::Done;
                 Ok(())
             }
-            _ => Err(HttpError::new(ErrorKind::CutShort, "closed within a body")),
+            _ => Err(HttpError::new(ErrorKind::Truncated, "closed within a body")),
         }
     }
 
     fn step(&mut self, input: &mut Vec<u8>, body: &mut Vec<u8>) -> Result<(), HttpError> {
-        match self.part {
-            BodyPart::Done => {}
-            BodyPart::UntilClose => body.append(input),
-            BodyPart::Known(rest) => {
-                let rest = take(input, body, rest);
-                self.part = if rest == 0 { BodyPart::Done } else { BodyPart::Known(rest) };
+        match self.state {
+            DecoderState::Done => {}
+            DecoderState::UntilClose => body.append(input),
+            DecoderState::Known(remaining) => {
+                let remaining = move_bytes(input, body, remaining);
+                self.state = if remaining == 0 {
+                    DecoderState::Done
+                } else {
+                    DecoderState::Known(remaining)
+                };
             }
-            BodyPart::ChunkData(rest) => {
-                let rest = take(input, body, rest);
-                self.part = if rest == 0 { BodyPart::ChunkEnd } else { BodyPart::ChunkData(rest) };
+            DecoderState::ChunkData(remaining) => {
+                let remaining = move_bytes(input, body, remaining);
+                self.state = if remaining == 0 {
+                    DecoderState::ChunkEnd
+                } else {
+                    DecoderState::ChunkData(remaining)
+                };
             }
-            BodyPart::ChunkLine => match httparse::parse_chunk_size(input) {
+            DecoderState::ChunkLine => match httparse::parse_chunk_size(input) {
                 Ok(httparse::Status::Complete((line, size))) => {
                     input.drain(..line);
-                    self.part =
-                        if size == 0 { BodyPart::Trailers } else { BodyPart::ChunkData(size) };
+                    self.state = if size == 0 {
+                        DecoderState::Trailers
+                    } else {
+                        DecoderState::ChunkData(size)
+                    };
                 }
-                Ok(httparse::Status::Partial) if input.len() < LINE_LIMIT => {}
+                Ok(httparse::Status::Partial) if input.len() < MAX_LINE_BYTES => {}
                 _ => return Err(malformed("a chunk size is malformed")),
             },
-            BodyPart::ChunkEnd => {
+            DecoderState::ChunkEnd => {
                 if input.starts_with(b"\r\n") {
                     input.drain(..2);
-                    self.part = BodyPart::ChunkLine;
+                    self.state = DecoderState::ChunkLine;
                 } else if input.len() >= 2 || input[0] != b'\r' {
                     return Err(malformed("a chunk has no end"));
                 }
             }
-            BodyPart::Trailers => self.skip_trailer(input)?,
+            DecoderState::Trailers => self.skip_trailer(input)?,
         }
         Ok(())
     }
 
-    /// Trailers are read and dropped: they are headers of one hop as far as we use them.
+    /// Discards one trailer line: trailers are treated as hop-by-hop and not forwarded.
     fn skip_trailer(&mut self, input: &mut Vec<u8>) -> Result<(), HttpError> {
         let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
-            if input.len() >= LINE_LIMIT {
+            if input.len() >= MAX_LINE_BYTES {
                 return Err(malformed("a trailer is too long"));
             }
             return Ok(());
@@ -129,17 +140,17 @@
         let last = end == 0 || (end == 1 && input[0] == b'\r');
         input.drain(..=end);
         if last {
-            self.part = BodyPart::Done;
+            self.state = DecoderState::Done;
         }
         Ok(())
     }
 }
 
-/// Moves up to `rest` bytes and returns how many are still missing.
-fn take(input: &mut Vec<u8>, body: &mut Vec<u8>, rest: u64) -> u64 {
-    let count = input.len().min(usize::try_from(rest).unwrap_or(usize::MAX));
+/// Moves up to `remaining` bytes from `input` to `body` and returns how many are still missing.
+fn move_bytes(input: &mut Vec<u8>, body: &mut Vec<u8>, remaining: u64) -> u64 {
+    let count = input.len().min(usize::try_from(remaining).unwrap_or(usize::MAX));
     body.extend(input.drain(..count));
-    rest - count as u64
+    remaining - count as u64
 }
 
 fn malformed(reason: &str) -> HttpError {
--- a/crates/http/src/raw/head.rs
+++ b/crates/http/src/raw/head.rs
@@ -1,13 +1,13 @@
-//! Heads of requests and answers, with their headers as they were written.
+//! Heads of requests and responses, with their headers as the sender wrote them.
 
 use crate::error::{ErrorKind, HttpError};
 use crate::head::agreed_length;
 use crate::raw::body::BodyLength;
 
-/// Header lines that a message may have.
+/// Maximum number of header lines in a message.
 const MAX_HEADERS: usize = 256;
 
-/// Headers that concern one connection and are not passed on (RFC 9110, 7.6.1).
+/// Hop-by-hop headers, which are not forwarded (RFC 9110, section 7.6.1).
 pub const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -24,13 +24,13 @@
 /// One header line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeaderField {
-    /// Its name, spelled as the sender did.
+    /// The name, in the sender's spelling.
     pub name: String,
-    /// Its value, without white space around it.
+    /// The value, without surrounding white space.
     pub value: Vec<u8>,
 }
 
-/// The header lines of a message, in their order.
+/// The header lines of a message, in their original order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HeaderList {
     fields: Vec<HeaderField>,
@@ -45,49 +45,50 @@
         HeaderList { fields: parsed.iter().map(field).collect() }
     }
 
-    /// All lines.
+    /// Iterates over all lines, in order.
     pub fn iter(&self) -> impl Iterator<Item = &HeaderField> {
         self.fields.iter()
     }
 
-    /// The first value of `name`, if it is text.
+    /// Returns the first value of `name`, trimmed, if it is valid UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         let field = self.fields.iter().find(|field| field.name.eq_ignore_ascii_case(name))?;
         std::str::from_utf8(&field.value).ok().map(str::trim)
     }
 
-    /// All values of `name` that are text, in their order.
+    /// Iterates over the values of `name` that are valid UTF-8, trimmed, in order.
     pub fn texts<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         let lines = self.fields.iter().filter(move |field| field.name.eq_ignore_ascii_case(name));
         lines.filter_map(|field| std::str::from_utf8(&field.value).ok()).map(str::trim)
     }
 
-    /// Whether there is a line named `name`.
-    pub fn has(&self, name: &str) -> bool {
+    /// Returns whether there is a line named `name`, ignoring case.
+    pub fn contains(&self, name: &str) -> bool {
         self.fields.iter().any(|field| field.name.eq_ignore_ascii_case(name))
     }
 
-    /// Takes out all lines named `name`, in their order.
-    pub fn take(&mut self, name: &str) -> Vec<HeaderField> {
+    /// Removes all lines named `name` and returns them, in order.
+    pub fn remove(&mut self, name: &str) -> Vec<HeaderField> {
         let named = |field: &mut HeaderField| field.name.eq_ignore_ascii_case(name);
         self.fields.extract_if(.., named).collect()
     }
 
-    /// Adds a line.
+    /// Appends a line.
     pub fn push(&mut self, name: &str, value: impl Into<Vec<u8>>) {
         self.fields.push(HeaderField { name: name.to_string(), value: value.into() });
     }
 
-    /// Writes all lines to `bytes`.
+    /// Appends all lines to `bytes`, each with its line end.
     pub fn write(&self, bytes: &mut Vec<u8>) {
         for field in &self.fields {
             write_field(bytes, &field.name, &field.value);
         }
     }
 
-    /// The lines that go on to the next hop: neither those of one connection, nor the
-    /// length, which is written anew, nor those named in `also`.
-    pub fn passed_on(&self, also: &[&str]) -> HeaderList {
+    /// Returns the lines to forward to the next hop: all except hop-by-hop headers, those that
+    /// `Connection` lists, `Content-Length`, which the forwarder writes itself, and those
+    /// named in `also`.
+    pub fn forwarded(&self, also: &[&str]) -> HeaderList {
         let named: Vec<&str> = self.tokens("connection").collect();
         let dropped = |name: &str| {
             HOP_BY_HOP.iter().any(|known| known.eq_ignore_ascii_case(name))
@@ -106,14 +107,15 @@
             .filter(|token| !token.is_empty())
     }
 
-    /// Whether the sender closes the connection after this message.
+    /// Returns whether the sender closes the connection after this message.
     fn closes(&self, minor_version: u8) -> bool {
-        let says =
-            |word: &str| self.tokens("connection").any(|token| token.eq_ignore_ascii_case(word));
-        says("close") || (minor_version == 0 && !says("keep-alive"))
+        let has_option = |option: &str| {
+            self.tokens("connection").any(|token| token.eq_ignore_ascii_case(option))
+        };
+        has_option("close") || (minor_version == 0 && !has_option("keep-alive"))
     }
 
-    /// The length of the body as far as headers say it; `None` if they are silent.
+    /// Returns how the headers determine the body's length; `None` if they don't.
     fn framing(&self) -> Result<Option<BodyLength>, HttpError> {
         let mut codings = self.tokens("transfer-encoding");
         let coding = codings.next();
@@ -146,30 +148,31 @@
 
 /// The head of a request.
 #[derive(Debug, Clone)]
-pub struct RequestStart {
+pub struct RawRequestHead {
     /// The method.
     pub method: String,
-    /// Path and query, as sent.
+    /// The request target (path and query), as sent.
     pub target: String,
     /// The header lines.
     pub headers: HeaderList,
-    /// How long the body is.
+    /// How the end of the body is determined.
     pub length: BodyLength,
-    /// Whether the caller closes the connection afterwards.
+    /// Whether the caller closes the connection after the request.
     pub closes: bool,
     /// Whether the caller waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
-impl RequestStart {
-    /// Reads a head from the start of `bytes`, with its length; `None` while it is not whole.
+impl RawRequestHead {
+    /// Parses a head at the start of `bytes` and returns it with its length; `None` while it
+    /// is incomplete.
     ///
     /// # Errors
-    /// The bytes are no head of a request, or it says two things at once.
-    pub fn parse(bytes: &[u8]) -> Result<Option<(RequestStart, usize)>, HttpError> {
+    /// The bytes are not a request head, or the head is ambiguous.
+    pub fn parse(bytes: &[u8]) -> Result<Option<(RawRequestHead, usize)>, HttpError> {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut lines);
-        let httparse::Status::Complete(end) = request.parse(bytes).map_err(refused)? else {
+        let httparse::Status::Complete(end) = request.parse(bytes).map_err(parse_error)? else {
             return Ok(None);
         };
         let minor = request.version.unwrap_or(1);
@@ -182,7 +185,7 @@
         if hosts.count() > 1 {
             return Err(malformed("more than one Host header"));
         }
-        let start = RequestStart {
+        let head = RawRequestHead {
             method: request.method.unwrap_or_default().to_string(),
             target: target.to_string(),
             length: headers.framing()?.unwrap_or(BodyLength::None),
@@ -192,54 +195,57 @@
                 .is_some_and(|value| value.eq_ignore_ascii_case("100-continue")),
             headers,
         };
-        Ok(Some((start, end)))
+        Ok(Some((head, end)))
     }
 
-    /// The path without the query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// The host, in lower case and without a port.
+    /// Returns the value of `Host`, in lower case and without a port; empty if there is none.
     pub fn host(&self) -> String {
         let host = self.headers.text("host").unwrap_or_default();
         host.split(':').next().unwrap_or_default().to_ascii_lowercase()
     }
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Debug, Clone)]
-pub struct AnswerStart {
+pub struct RawResponseHead {
     /// The status code.
     pub status: u16,
-    /// The text behind it.
+    /// The reason phrase.
     pub reason: String,
     /// The header lines.
     pub headers: HeaderList,
-    /// How long the body is.
+    /// How the end of the body is determined.
     pub length: BodyLength,
-    /// The length that headers announce, also where no body follows (`HEAD`, 304).
-    pub announced: Option<u64>,
+    /// The value of `Content-Length`, also where no body follows (`HEAD`, 304).
+    pub declared_length: Option<u64>,
 }
 
-impl AnswerStart {
-    /// Reads the head of an answer to `method` from the start of `bytes`, with its
-    /// length; `None` while it is not whole.
+impl RawResponseHead {
+    /// Parses the head of a response to `method` at the start of `bytes` and returns it with
+    /// its length; `None` while it is incomplete.
     ///
     /// # Errors
-    /// The bytes are no head of an answer, or it says two things at once.
-    pub fn parse(bytes: &[u8], method: &str) -> Result<Option<(AnswerStart, usize)>, HttpError> {
+    /// The bytes are not a response head, or the head is ambiguous.
+    pub fn parse(
+        bytes: &[u8],
+        method: &str,
+    ) -> Result<Option<(RawResponseHead, usize)>, HttpError> {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
-        let mut answer = httparse::Response::new(&mut lines);
-        let httparse::Status::Complete(end) = answer.parse(bytes).map_err(refused)? else {
+        let mut response = httparse::Response::new(&mut lines);
+        let httparse::Status::Complete(end) = response.parse(bytes).map_err(parse_error)? else {
             return Ok(None);
         };
-        let headers = HeaderList::read(answer.headers);
-        let status = answer.code.unwrap_or_default();
+        let headers = HeaderList::read(response.headers);
+        let status = response.code.unwrap_or_default();
         let framing = headers.framing()?;
         let bodiless =
             method == "HEAD" || (100..200).contains(&status) || matches!(status, 204 | 304);
-        let announced = match framing {
+        let declared_length = match framing {
             Some(BodyLength::Known(length)) => Some(length),
             _ => None,
         };
@@ -248,12 +254,12 @@
             Some(length) => length,
             None => BodyLength::UntilClose,
         };
-        let reason = answer.reason.unwrap_or_default().to_string();
-        Ok(Some((AnswerStart { status, reason, headers, length, announced }, end)))
+        let reason = response.reason.unwrap_or_default().to_string();
+        Ok(Some((RawResponseHead { status, reason, headers, length, declared_length }, end)))
     }
 }
 
-/// Writes one header line to `bytes`.
+/// Appends one header line to `bytes`, with its line end.
 pub fn write_field(bytes: &mut Vec<u8>, name: &str, value: &[u8]) {
     bytes.extend_from_slice(name.as_bytes());
     bytes.extend_from_slice(b": ");
@@ -261,13 +267,13 @@
     bytes.extend_from_slice(b"\r\n");
 }
 
-fn refused(error: httparse::Error) -> HttpError {
+fn parse_error(error: httparse::Error) -> HttpError {
     match error {
         httparse::Error::TooManyHeaders => {
             HttpError::new(ErrorKind::HeadTooLarge, format!("more than {MAX_HEADERS} headers"))
         }
         httparse::Error::Version => {
-            HttpError::new(ErrorKind::Version, "only HTTP/1 is spoken here")
+            HttpError::new(ErrorKind::UnsupportedVersion, "only HTTP/1 is spoken here")
         }
         error => malformed(format!("the head is malformed: {error}")),
     }
--- a/crates/http/src/raw/mod.rs
+++ b/crates/http/src/raw/mod.rs
@@ -1,15 +1,14 @@
-//! Messages that pass through unchanged.
+//! Messages that are forwarded unchanged.
 //!
-//! A proxy has to give an answer on as the target wrote it: the status text, the
-//! order and the spelling of headers, bodies without a length. `async-h1` builds
-//! messages anew and holds no such detail, so the path between callers and
-//! targets reads heads with `httparse` and keeps their bytes. Where a message
-//! ends is decided here, in [`head`] and [`body`], and nowhere else.
+//! A proxy has to forward a response as the target wrote it: the reason phrase, the order and
+//! spelling of headers, bodies without a declared length. `async-h1` rebuilds messages and
+//! loses these details, so the path between callers and targets parses heads with `httparse`
+//! and keeps their bytes. [`head`] and [`body`] alone determine where such a message ends.
 
 pub mod body;
 pub mod head;
 pub mod reader;
 
 pub use body::{BodyDecoder, BodyLength};
-pub use head::{AnswerStart, HeaderField, HeaderList, RequestStart};
+pub use head::{HeaderField, HeaderList, RawRequestHead, RawResponseHead};
 pub use reader::RawReader;
--- a/crates/http/src/raw/reader.rs
+++ b/crates/http/src/raw/reader.rs
@@ -1,4 +1,4 @@
-//! Reads raw messages off a connection.
+//! A reader of raw messages from a connection.
 
 use std::io;
 
@@ -6,12 +6,12 @@
 
 use crate::error::{ErrorKind, HttpError};
 use crate::raw::body::BodyDecoder;
-use crate::raw::head::{AnswerStart, RequestStart};
+use crate::raw::head::{RawRequestHead, RawResponseHead};
 
-/// Bytes asked of the connection at once: most heads and small bodies fit.
+/// Bytes requested from the connection at once; most heads and small bodies fit.
 const READ_BYTES: usize = 8 * 1024;
 
-/// The reading side of a connection, with what was read ahead.
+/// The read half of a connection, with a buffer of bytes that were read ahead.
 #[derive(Debug)]
 pub struct RawReader<S> {
     stream: S,
@@ -19,70 +19,73 @@
 }
 
 impl<S: AsyncRead + Unpin> RawReader<S> {
-    /// Reads from `stream`.
+    /// Creates a reader of `stream` with an empty buffer.
     pub fn new(stream: S) -> RawReader<S> {
         RawReader { stream, buffer: Vec::new() }
     }
 
-    /// Whether bytes of a next message have arrived.
-    pub fn has_ahead(&self) -> bool {
+    /// Returns whether the buffer holds bytes of the next message.
+    pub fn has_buffered(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Waits for the first byte of a message; false if the peer closed instead.
+    /// Waits for the first byte of a message; returns false if the peer closed instead.
     ///
     /// # Errors
     /// The connection failed.
-    pub async fn wait_first(&mut self) -> io::Result<bool> {
-        Ok(self.has_ahead() || self.fill().await? > 0)
+    pub async fn wait_for_data(&mut self) -> io::Result<bool> {
+        Ok(self.has_buffered() || self.fill().await? > 0)
     }
 
-    /// Reads the head of a request; `None` if the peer closed before it.
+    /// Reads the head of a request; returns `None` if the peer closed before it.
     ///
     /// # Errors
-    /// The head is malformed, longer than `limit` bytes or cut short.
-    pub async fn request_start(&mut self, limit: usize) -> Result<Option<RequestStart>, HttpError> {
-        self.start(limit, RequestStart::parse).await
+    /// The head is malformed, longer than `limit` bytes or truncated.
+    pub async fn read_request_head(
+        &mut self,
+        limit: usize,
+    ) -> Result<Option<RawRequestHead>, HttpError> {
+        self.read_head(limit, RawRequestHead::parse).await
     }
 
-    /// Reads the head of the final answer to `method`. Interim answers are dropped.
+    /// Reads the head of the final response to `method` and discards interim responses.
     ///
     /// # Errors
-    /// The head is malformed, longer than `limit` bytes, cut short or missing.
-    pub async fn answer_start(
+    /// The head is malformed, longer than `limit` bytes, truncated or missing.
+    pub async fn read_response_head(
         &mut self,
         method: &str,
         limit: usize,
-    ) -> Result<AnswerStart, HttpError> {
+    ) -> Result<RawResponseHead, HttpError> {
         loop {
-            let start = self.start(limit, |bytes| AnswerStart::parse(bytes, method)).await?;
-            let Some(start) = start else {
-                return Err(HttpError::new(ErrorKind::CutShort, "closed before an answer"));
+            let head = self.read_head(limit, |bytes| RawResponseHead::parse(bytes, method)).await?;
+            let Some(head) = head else {
+                return Err(HttpError::new(ErrorKind::Truncated, "closed before an answer"));
             };
-            match start.status {
+            match head.status {
                 101 => {
                     let reason = "the peer changes the protocol, which nobody asked for";
                     return Err(HttpError::new(ErrorKind::Malformed, reason));
                 }
                 100..200 => {}
-                _ => return Ok(start),
+                _ => return Ok(head),
             }
         }
     }
 
-    /// Reads some of a body to the end of `body`; returns whether all of it is there.
+    /// Reads part of a body and appends it to `body`; returns whether the body is complete.
     ///
     /// # Errors
-    /// The body is malformed or cut short, or the connection failed.
+    /// The body is malformed or truncated, or the connection failed.
     pub async fn read_body(
         &mut self,
         decoder: &mut BodyDecoder,
         body: &mut Vec<u8>,
     ) -> Result<bool, HttpError> {
-        let held = body.len();
+        let previous_len = body.len();
         decoder.feed(&mut self.buffer, body)?;
-        if decoder.is_done() || body.len() > held {
-            // What came with the head goes on at once, however late the rest is.
+        if decoder.is_done() || body.len() > previous_len {
+            // Bytes that arrived with the head are passed on at once, however late the rest is.
             return Ok(decoder.is_done());
         }
         if self.fill().await? == 0 {
@@ -93,9 +96,10 @@
         Ok(decoder.is_done())
     }
 
-    /// Waits until the peer closes or the connection fails. What it sends meanwhile is
-    /// kept; at `limit` bytes no more is read, and the wait does not end.
-    pub async fn wait_closed(&mut self, limit: usize) {
+    /// Waits until the peer closes or the connection fails. Bytes that arrive meanwhile are
+    /// buffered; once the buffer holds `limit` bytes, nothing more is read and the wait does
+    /// not end.
+    pub async fn wait_for_close(&mut self, limit: usize) {
         while self.buffer.len() < limit {
             match self.fill().await {
                 Ok(0) | Err(_) => return,
@@ -105,21 +109,21 @@
         futures::future::pending::<()>().await
     }
 
-    /// Waits for the head of a next request that `accepts` takes; `None` if the peer closes or the
-    /// connection fails instead. Whatever else it sends is kept; at `limit` bytes no more is read, and the wait
-    /// does not end. It can be dropped while it waits.
-    pub async fn request_ahead(
+    /// Waits for the head of a pipelined request for which `accepts` returns true; returns `None` if
+    /// the peer closes or the connection fails instead. Other bytes are buffered; once the buffer holds
+    /// `limit` bytes, nothing more is read and the wait does not end. The future is cancel-safe.
+    pub async fn read_pipelined_request(
         &mut self,
         limit: usize,
-        accepts: impl Fn(&RequestStart) -> bool,
-    ) -> Option<RequestStart> {
+        accepts: impl Fn(&RawRequestHead) -> bool,
+    ) -> Option<RawRequestHead> {
         loop {
             if !self.buffer.is_empty()
-                && let Ok(Some((start, end))) = RequestStart::parse(&self.buffer)
-                && accepts(&start)
+                && let Ok(Some((head, end))) = RawRequestHead::parse(&self.buffer)
+                && accepts(&head)
             {
                 self.buffer.drain(..end);
-                return Some(start);
+                return Some(head);
             }
             if self.buffer.len() >= limit {
                 futures::future::pending::<()>().await;
@@ -130,31 +134,31 @@
         }
     }
 
-    async fn start<T>(
+    async fn read_head<T>(
         &mut self,
         limit: usize,
         parse: impl Fn(&[u8]) -> Result<Option<(T, usize)>, HttpError>,
     ) -> Result<Option<T>, HttpError> {
         loop {
             if !self.buffer.is_empty()
-                && let Some((start, end)) = parse(&self.buffer)?
+                && let Some((head, end)) = parse(&self.buffer)?
             {
-                refuse_long(end, limit)?;
+                check_head_length(end, limit)?;
                 self.buffer.drain(..end);
-                return Ok(Some(start));
+                return Ok(Some(head));
             }
-            refuse_long(self.buffer.len(), limit)?;
+            check_head_length(self.buffer.len(), limit)?;
             if self.fill().await? == 0 {
                 if self.buffer.is_empty() {
                     return Ok(None);
                 }
-                return Err(HttpError::new(ErrorKind::CutShort, "closed within a head"));
+                return Err(HttpError::new(ErrorKind::Truncated, "closed within a head"));
             }
         }
     }
 
-    /// Reads more. It can be dropped while it waits: what is read is either all in the
-    /// buffer or still in the connection.
+    /// Reads into the buffer and returns the number of bytes, 0 at the end of the stream. The
+    /// future is cancel-safe: bytes are either in the buffer or still in the connection.
     async fn fill(&mut self) -> io::Result<usize> {
         let mut chunk = [0; READ_BYTES];
         let count = self.stream.read(&mut chunk).await?;
@@ -163,7 +167,7 @@
     }
 }
 
-fn refuse_long(length: usize, limit: usize) -> Result<(), HttpError> {
+fn check_head_length(length: usize, limit: usize) -> Result<(), HttpError> {
     if length > limit {
         let reason = format!("the head is longer than {limit} bytes");
         return Err(HttpError::new(ErrorKind::HeadTooLarge, reason));
--- a/crates/http/src/reader.rs
+++ b/crates/http/src/reader.rs
@@ -1,4 +1,7 @@
-//! Reads messages off a connection, one after the other, never past the end of one.
+//! A reader of consecutive messages from a connection, which decodes each with `async-h1`.
+//!
+//! The end of a message is determined here, so that `async-h1` gets the bytes of exactly one
+//! message; bytes of the next one stay in the buffer.
 
 use std::io;
 use std::pin::Pin;
@@ -10,79 +13,86 @@
 use http_types::{Request, Response};
 
 use crate::error::{ErrorKind, HttpError};
-use crate::head::{self, AnswerHead, BodyFraming, MessageLimits};
+use crate::head::{self, BodyFraming, MessageLimits, ResponseHead};
 use crate::memory::MemoryStream;
 
-const READ_SIZE: usize = 8 * 1024;
-/// Longest line that announces a chunk, with its extensions.
-const CHUNK_LINE: usize = 256;
-/// What a pipelining caller may send ahead while its request is answered.
-const PIPELINE_LIMIT: usize = 64 * 1024;
+/// Size of the read buffer, in bytes.
+const READ_BYTES: usize = 8 * 1024;
+/// Maximum length of a chunk-size line with its extensions.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
+/// Maximum number of bytes buffered from a pipelining caller while its request is in progress.
+const MAX_PIPELINED_BYTES: usize = 64 * 1024;
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug)]
 pub struct IncomingRequest {
-    /// The head, as the library decoded it.
+    /// The head, as decoded by `async-h1`.
     pub request: Request,
-    /// The whole body, with any chunking undone.
+    /// The complete body, without chunked coding.
     pub body: Vec<u8>,
-    /// Whether the caller wants the connection kept.
+    /// Whether the connection may carry another request.
     pub keep_alive: bool,
 }
 
-/// An answer whose head is read, and the body with it if it is small.
+/// A response whose head has been read, and also the body if it is small.
 #[derive(Debug)]
-pub struct IncomingAnswer {
-    /// The head, as the library decoded it.
+pub struct IncomingResponse {
+    /// The head, as decoded by `async-h1`.
     pub response: Response,
-    /// The body.
-    pub body: AnswerBody,
-    /// Whether the connection can carry another request.
+    /// The body, as far as it has been read.
+    pub body: ResponseBody,
+    /// Whether the connection may carry another request.
     pub keep_alive: bool,
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AnswerBody {
-    /// All of it.
-    Whole(Vec<u8>),
-    /// None, though `HEAD` announced this length.
+pub enum ResponseBody {
+    /// The complete body.
+    Complete(Vec<u8>),
+    /// No body, with the value of `Content-Length` if there is one (`HEAD`, 304).
     Absent(Option<u64>),
-    /// Too large to hold: this many bytes wait in the connection.
-    Waiting(u64),
+    /// A body over `max_body_bytes`: its length; it is still to be read from the connection.
+    Unread(u64),
 }
 
-/// The reading side of a connection with what was read ahead.
+/// The read half of a connection, with a buffer of bytes that were read ahead.
 #[derive(Debug)]
 pub struct MessageReader {
     stream: TcpStream,
     buffer: Vec<u8>,
-    /// Where reads go first; on the heap, since futures are moved about.
+    /// Scratch buffer of reads; on the heap, since inline it would be copied with each move of
+    /// a future that holds the reader.
     chunk: Box<[u8]>,
-    /// How long the peer may send nothing; `None` where the caller bounds the time.
-    silence: Option<Duration>,
+    /// Maximum time between two reads; `None` where the caller of the reader bounds the time.
+    idle_timeout: Option<Duration>,
 }
 
 impl MessageReader {
-    /// Reads from `stream`, which stays open for writing elsewhere.
+    /// Creates a reader of `stream`; another clone of the stream may be used for writing.
     pub fn new(stream: TcpStream) -> MessageReader {
-        let chunk = vec![0; READ_SIZE].into();
-        MessageReader { stream, buffer: Vec::new(), chunk, silence: None }
+        let chunk = vec![0; READ_BYTES].into();
+        MessageReader { stream, buffer: Vec::new(), chunk, idle_timeout: None }
     }
 
-    /// The same reader, which fails once the peer has sent nothing for `silence`.
-    pub fn with_silence(self, silence: Duration) -> MessageReader {
-        MessageReader { silence: Some(silence), ..self }
+    /// Returns the reader with an idle timeout: a read fails once the peer has sent nothing for
+    /// `idle_timeout`.
+    pub fn with_idle_timeout(self, idle_timeout: Duration) -> MessageReader {
+        MessageReader { idle_timeout: Some(idle_timeout), ..self }
     }
 
-    /// Waits for the first byte of the next message; false if the peer closed.
-    pub async fn wait_first(&mut self) -> Result<bool, HttpError> {
+    /// Waits for the first byte of the next message; returns false if the peer closed instead.
+    pub async fn wait_for_data(&mut self) -> Result<bool, HttpError> {
         Ok(!self.buffer.is_empty() || self.fill().await? > 0)
     }
 
-    /// Reads the next request, or `None` if the caller closed between two.
-    /// `send_continue` is called when the caller waits for leave to send the body.
+    /// Reads the next request; returns `None` if the caller closed between two requests.
+    /// `send_continue` is called if the caller waits for `100 Continue` before it sends the body.
+    ///
+    /// # Errors
+    /// The request is malformed, ambiguous, truncated or over one of the `limits`, or the
+    /// connection failed.
     pub async fn read_request(
         &mut self,
         limits: &MessageLimits,
@@ -92,11 +102,11 @@
             return Ok(None);
         };
         let head = head::check_request(&self.buffer[..head_end])?;
-        refuse_large(head.framing, limits)?;
+        check_body_length(head.framing, limits)?;
         if head.expects_continue {
             send_continue().await?;
         }
-        let end = self.read_body(head_end, head.framing, limits.chunked).await?;
+        let end = self.read_body(head_end, head.framing, limits.max_chunked_body_bytes).await?;
         let stream = MemoryStream::new(self.buffer.drain(..end).collect());
         let Some((mut request, _)) = async_h1::server::decode(stream).await? else {
             return Err(HttpError::new(ErrorKind::Malformed, "the head is not whole"));
@@ -105,33 +115,38 @@
         Ok(Some(IncomingRequest { request, body, keep_alive: head.keep_alive }))
     }
 
-    /// Reads the final answer to a request with `method`; interim ones are dropped.
-    pub async fn read_answer(
+    /// Reads the final response to a request with `method` and discards interim responses.
+    ///
+    /// # Errors
+    /// The response is malformed, ambiguous, truncated, of unknown length or over one of the
+    /// `limits`, or the connection failed.
+    pub async fn read_response(
         &mut self,
         method: &str,
         limits: &MessageLimits,
-    ) -> Result<IncomingAnswer, HttpError> {
+    ) -> Result<IncomingResponse, HttpError> {
         let (head, head_end) = self.final_head(method, limits).await?;
         if let BodyFraming::Length(length) = head.framing
-            && length > limits.body as u64
+            && length > limits.max_body_bytes as u64
         {
-            return self.large_answer(&head, head_end, length).await;
+            return self.unread_response(&head, head_end, length).await;
         }
-        let end = self.read_body(head_end, head.framing, limits.chunked).await?;
+        let end = self.read_body(head_end, head.framing, limits.max_chunked_body_bytes).await?;
         let message: Vec<u8> = self.buffer.drain(..end).collect();
         if head.framing == BodyFraming::None {
             let response = async_h1::client::decode(MemoryStream::new(message)).await?;
-            let body = AnswerBody::Absent(head.announced);
-            return Ok(IncomingAnswer { response, body, keep_alive: head.keep_alive });
+            let body = ResponseBody::Absent(head.declared_length);
+            return Ok(IncomingResponse { response, body, keep_alive: head.keep_alive });
         }
         let mut response = async_h1::client::decode(MemoryStream::new(message)).await?;
-        let body = AnswerBody::Whole(response.take_body().into_bytes().await?);
-        Ok(IncomingAnswer { response, body, keep_alive: head.keep_alive })
+        let body = ResponseBody::Complete(response.take_body().into_bytes().await?);
+        Ok(IncomingResponse { response, body, keep_alive: head.keep_alive })
     }
 
-    /// Waits until the peer closes. What it sends meanwhile is kept, up to a bound.
-    pub async fn wait_closed(&mut self) {
-        while self.buffer.len() < PIPELINE_LIMIT {
+    /// Waits until the peer closes or the connection fails. Bytes that arrive meanwhile are
+    /// buffered; once the buffer holds `MAX_PIPELINED_BYTES`, the wait does not end.
+    pub async fn wait_for_close(&mut self) {
+        while self.buffer.len() < MAX_PIPELINED_BYTES {
             match self.fill().await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
@@ -140,7 +155,7 @@
         futures::future::pending::<()>().await
     }
 
-    /// Turns the connection into the `length` bytes of body that wait in it.
+    /// Converts the reader into a stream of the `length` bytes of a [`ResponseBody::Unread`] body.
     pub fn into_body(self, length: u64) -> BodyReader {
         BodyReader { reader: self, remaining: length }
     }
@@ -149,12 +164,12 @@
         &mut self,
         method: &str,
         limits: &MessageLimits,
-    ) -> Result<(AnswerHead, usize), HttpError> {
+    ) -> Result<(ResponseHead, usize), HttpError> {
         loop {
             let Some(head_end) = self.read_head(limits).await? else {
-                return Err(HttpError::new(ErrorKind::CutShort, "closed before an answer"));
+                return Err(HttpError::new(ErrorKind::Truncated, "closed before an answer"));
             };
-            let head = head::check_answer(&self.buffer[..head_end], method)?;
+            let head = head::check_response(&self.buffer[..head_end], method)?;
             match head.status {
                 101 => {
                     return Err(HttpError::new(ErrorKind::Malformed, "upgrade was not asked for"));
@@ -165,36 +180,36 @@
         }
     }
 
-    async fn large_answer(
+    async fn unread_response(
         &mut self,
-        head: &AnswerHead,
+        head: &ResponseHead,
         head_end: usize,
         length: u64,
-    ) -> Result<IncomingAnswer, HttpError> {
+    ) -> Result<IncomingResponse, HttpError> {
         let message = self.buffer.drain(..head_end).collect();
         let mut response = async_h1::client::decode(MemoryStream::new(message)).await?;
         drop(response.take_body());
-        let body = AnswerBody::Waiting(length);
-        Ok(IncomingAnswer { response, body, keep_alive: head.keep_alive })
+        let body = ResponseBody::Unread(length);
+        Ok(IncomingResponse { response, body, keep_alive: head.keep_alive })
     }
 
-    /// Reads a head and returns where it ends, or `None` if the peer closed before it.
+    /// Reads a head into the buffer and returns where it ends; `None` if the peer closed before it.
     async fn read_head(&mut self, limits: &MessageLimits) -> Result<Option<usize>, HttpError> {
         let mut searched = 0;
         loop {
-            let from = searched_from(searched);
+            let from = search_start(searched);
             if let Some(found) = find(&self.buffer[from..], HEAD_END) {
                 let end = from + found + HEAD_END.len();
-                refuse_long_head(&self.buffer[..end], limits)?;
+                check_head_length(&self.buffer[..end], limits)?;
                 return Ok(Some(end));
             }
-            refuse_long_head(&self.buffer, limits)?;
+            check_head_length(&self.buffer, limits)?;
             searched = self.buffer.len();
             if self.fill().await? == 0 {
                 if self.buffer.is_empty() {
                     return Ok(None);
                 }
-                return Err(HttpError::new(ErrorKind::CutShort, "closed within a head"));
+                return Err(HttpError::new(ErrorKind::Truncated, "closed within a head"));
             }
         }
     }
@@ -216,7 +231,7 @@
         }
     }
 
-    /// Reads chunks up to the empty one and returns where the message ends.
+    /// Reads chunks into the buffer up to the empty one and returns where the message ends.
     async fn read_chunks(&mut self, start: usize, limit: usize) -> Result<usize, HttpError> {
         let mut position = start;
         let mut total = 0;
@@ -248,19 +263,20 @@
                 Ok(httparse::Status::Complete((line, size))) => {
                     return Ok((self.drop_extension(position, line), size));
                 }
-                Ok(httparse::Status::Partial) if self.buffer.len() - position < CHUNK_LINE => {}
+                Ok(httparse::Status::Partial)
+                    if self.buffer.len() - position < MAX_CHUNK_LINE_BYTES => {}
                 _ => {
                     return Err(HttpError::new(ErrorKind::Malformed, "a chunk size is malformed"));
                 }
             }
             if self.fill().await? == 0 {
-                return Err(HttpError::new(ErrorKind::CutShort, "closed within a body"));
+                return Err(HttpError::new(ErrorKind::Truncated, "closed within a body"));
             }
         }
     }
 
-    /// Takes the extension out of a chunk's line, since the library refuses it and nobody
-    /// on this path has a use for it. Returns what is left of the line's length.
+    /// Removes the extension from a chunk-size line, since `async-h1` rejects extensions and
+    /// nothing on this path uses them. Returns the remaining length of the line.
     fn drop_extension(&mut self, position: usize, line: usize) -> usize {
         let text = &self.buffer[position..position + line];
         let Some(start) = text.iter().position(|byte| *byte == b';') else {
@@ -273,21 +289,21 @@
     async fn read_until(&mut self, end: usize) -> Result<(), HttpError> {
         while self.buffer.len() < end {
             if self.fill().await? == 0 {
-                return Err(HttpError::new(ErrorKind::CutShort, "closed within a body"));
+                return Err(HttpError::new(ErrorKind::Truncated, "closed within a body"));
             }
         }
         Ok(())
     }
 
-    /// Reads more. It can be dropped while it waits: what is read is either all in the
-    /// buffer or still in the connection.
+    /// Reads into the buffer and returns the number of bytes, 0 at the end of the stream. The
+    /// future is cancel-safe: bytes are either in the buffer or still in the connection.
     async fn fill(&mut self) -> io::Result<usize> {
         let reading = self.stream.read(&mut self.chunk);
-        let count = match self.silence {
-            Some(silence) => match async_std::future::timeout(silence, reading).await {
+        let count = match self.idle_timeout {
+            Some(idle_timeout) => match async_std::future::timeout(idle_timeout, reading).await {
                 Ok(count) => count?,
                 Err(_) => {
-                    let reason = format!("nothing came for {silence:?}");
+                    let reason = format!("nothing came for {idle_timeout:?}");
                     return Err(io::Error::new(io::ErrorKind::TimedOut, reason));
                 }
             },
@@ -298,7 +314,8 @@
     }
 }
 
-/// A body too large to hold, which fails if the connection ends before it does.
+/// A stream of a body that is too large to buffer. It fails with `UnexpectedEof` if the
+/// connection ends before the body does.
 #[derive(Debug)]
 pub struct BodyReader {
     reader: MessageReader,
@@ -315,12 +332,12 @@
         if wanted == 0 {
             return Poll::Ready(Ok(0));
         }
-        let ahead = self.reader.buffer.len().min(wanted);
-        if ahead > 0 {
-            buffer[..ahead].copy_from_slice(&self.reader.buffer[..ahead]);
-            self.reader.buffer.drain(..ahead);
-            self.remaining -= ahead as u64;
-            return Poll::Ready(Ok(ahead));
+        let buffered = self.reader.buffer.len().min(wanted);
+        if buffered > 0 {
+            buffer[..buffered].copy_from_slice(&self.reader.buffer[..buffered]);
+            self.reader.buffer.drain(..buffered);
+            self.remaining -= buffered as u64;
+            return Poll::Ready(Ok(buffered));
         }
         let stream = Pin::new(&mut self.reader.stream);
         match futures::ready!(stream.poll_read(context, &mut buffer[..wanted]))? {
@@ -333,29 +350,33 @@
     }
 }
 
-fn refuse_large(framing: BodyFraming, limits: &MessageLimits) -> Result<(), HttpError> {
-    if matches!(framing, BodyFraming::Length(length) if length > limits.body as u64) {
-        let reason = format!("the body is longer than {} bytes", limits.body);
+fn check_body_length(framing: BodyFraming, limits: &MessageLimits) -> Result<(), HttpError> {
+    if matches!(framing, BodyFraming::Length(length) if length > limits.max_body_bytes as u64) {
+        let reason = format!("the body is longer than {} bytes", limits.max_body_bytes);
         return Err(HttpError::new(ErrorKind::BodyTooLarge, reason));
     }
     Ok(())
 }
 
-fn refuse_long_head(head: &[u8], limits: &MessageLimits) -> Result<(), HttpError> {
+fn check_head_length(head: &[u8], limits: &MessageLimits) -> Result<(), HttpError> {
     let line = find(head, b"\r\n").unwrap_or(head.len());
-    if line > limits.request_line {
-        let reason = format!("the first line is longer than {} bytes", limits.request_line);
+    if line > limits.max_request_line_bytes {
+        let reason =
+            format!("the first line is longer than {} bytes", limits.max_request_line_bytes);
         return Err(HttpError::new(ErrorKind::TargetTooLong, reason));
     }
-    if head.len() > limits.head && find(head, HEAD_END).is_none_or(|end| end > limits.head) {
-        let reason = format!("the headers are longer than {} bytes", limits.head);
+    if head.len() > limits.max_head_bytes
+        && find(head, HEAD_END).is_none_or(|end| end > limits.max_head_bytes)
+    {
+        let reason = format!("the headers are longer than {} bytes", limits.max_head_bytes);
         return Err(HttpError::new(ErrorKind::HeadTooLarge, reason));
     }
     Ok(())
 }
 
-/// Where to search on from, so that an end split over two reads is found.
-fn searched_from(searched: usize) -> usize {
+/// Returns where to continue the search for the end of a head, so that an end that is split
+/// over two reads is found.
+fn search_start(searched: usize) -> usize {
     searched.saturating_sub(HEAD_END.len() - 1)
 }
 
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! A server for operators' end points and stand-ins: small whole answers.
+//! An HTTP server for operators' end points and test stand-ins, with small complete responses.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -17,23 +17,24 @@
 use crate::head::MessageLimits;
 use crate::reader::{IncomingRequest, MessageReader};
 
-/// Answers up to this length go out in one write.
-const ONE_WRITE: usize = 64 * 1024;
-/// Wait after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum length of a response body that is sent in one write with its head.
+const MAX_SINGLE_WRITE_BYTES: usize = 64 * 1024;
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How a server treats its connections.
+/// Limits of a server and its connections.
 #[derive(Debug, Clone)]
 pub struct ServerSettings {
-    /// Bounds on messages.
+    /// Bounds on the size of a request.
     pub limits: MessageLimits,
-    /// Time that a peer has for one request, from its first byte.
-    pub request_time: Duration,
-    /// Time that a connection may be idle between two requests.
-    pub idle_time: Duration,
-    /// Connections at once; one more is told so and closed.
-    pub connections: usize,
-    /// Closes when no new work is to be taken. What is in flight is finished.
+    /// Maximum time for one request to arrive, from its first byte.
+    pub request_timeout: Duration,
+    /// Maximum time that a connection may be idle between two requests.
+    pub idle_timeout: Duration,
+    /// Maximum number of concurrent connections; further ones get a 503 response and are closed.
+    pub max_connections: usize,
+    /// A channel whose closing starts the drain: no new requests are accepted, those in
+    /// progress are completed.
     pub drain: Option<Receiver<Infallible>>,
 }
 
@@ -41,9 +42,9 @@
     fn default() -> ServerSettings {
         ServerSettings {
             limits: MessageLimits::default(),
-            request_time: Duration::from_secs(10),
-            idle_time: Duration::from_secs(60),
-            connections: 4096,
+            request_timeout: Duration::from_secs(10),
+            idle_timeout: Duration::from_secs(60),
+            max_connections: 4096,
             drain: None,
         }
     }
@@ -52,40 +53,40 @@
 /// A request with the address of the peer that sent it.
 #[derive(Debug)]
 pub struct PeerRequest {
-    /// The request.
+    /// The complete request.
     pub incoming: IncomingRequest,
-    /// Who sent it.
+    /// The address of the peer.
     pub peer: SocketAddr,
 }
 
-/// Serves `listener` with `answer` until the drain signal, if there is one, and then
-/// until all connections have ended.
-pub async fn serve<F, Fut>(listener: TcpListener, settings: ServerSettings, answer: F)
+/// Serves connections of `listener` with `handler` until the drain signal, if there is one, and
+/// returns once all connections have ended.
+pub async fn serve<F, Fut>(listener: TcpListener, settings: ServerSettings, handler: F)
 where
     F: Fn(PeerRequest) -> Fut + Send + Sync + 'static,
     Fut: Future<Output = Response> + Send + 'static,
 {
-    let answer = Arc::new(answer);
+    let handler = Arc::new(handler);
     let settings = Arc::new(settings);
-    // Each connection holds a sender; the last one that goes tells that all have ended.
+    // Each connection holds a sender; the channel closes when the last one is dropped.
     let (open, all_ended) = async_channel::bounded::<Infallible>(1);
     while let Some(accepted) = accept(&listener, &settings).await {
         let Ok((stream, peer)) = accepted else {
-            // Out of file descriptors, usually: wait rather than spin.
-            task::sleep(ACCEPT_PAUSE).await;
+            // Usually the process is out of file descriptors: wait rather than spin.
+            task::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let held = open.clone();
-        if open.sender_count() > settings.connections + 1 {
-            task::spawn(refuse_connection(stream));
+        let open_guard = open.clone();
+        if open.sender_count() > settings.max_connections + 1 {
+            task::spawn(reject_connection(stream));
             continue;
         }
-        let answer = Arc::clone(&answer);
+        let handler = Arc::clone(&handler);
         let settings = Arc::clone(&settings);
         task::spawn(async move {
-            // A peer that breaks the protocol has been told so; nothing is left to do.
-            let _ = serve_stream(stream, peer, &settings, &*answer).await;
-            drop(held);
+            // A peer that violated the protocol has got an error response already.
+            let _ = serve_stream(stream, peer, &settings, &*handler).await;
+            drop(open_guard);
         });
     }
     drop(listener);
@@ -93,20 +94,23 @@
     let _ = all_ended.recv().await;
 }
 
-/// Writes `response` to a request with `method`.
+/// Writes `response` to `stream`, without its body if `method` is HEAD.
+///
+/// # Errors
+/// The connection failed.
 pub async fn write_response(
     stream: &mut TcpStream,
     response: Response,
     method: Method,
 ) -> std::io::Result<()> {
     let bodiless = matches!(response.status() as u16, 204 | 304);
-    let small = response.len().is_some_and(|length| length <= ONE_WRITE);
+    let small = response.len().is_some_and(|length| length <= MAX_SINGLE_WRITE_BYTES);
     let mut encoder = async_h1::server::Encoder::new(response, method);
     if !small {
         copy(encoder, &mut *stream).await?;
         return stream.flush().await;
     }
-    // Head and body in one packet.
+    // Head and body go into one write, so that small responses fit one packet.
     let mut bytes = Vec::with_capacity(1024);
     encoder.read_to_end(&mut bytes).await?;
     if bodiless {
@@ -115,7 +119,7 @@
     stream.write_all(&bytes).await
 }
 
-/// A response with one line of text.
+/// Returns a response with one line of text.
 pub fn text_response(status: u16, text: &str) -> Response {
     let code = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
     let mut response = Response::new(code);
@@ -123,7 +127,7 @@
     response
 }
 
-/// A response with a JSON body.
+/// Returns a response with a JSON body.
 pub fn json_response(status: u16, json: String) -> Response {
     let mut response = text_response(status, "");
     response.set_body(json);
@@ -146,11 +150,11 @@
     }
 }
 
-async fn refuse_connection(mut stream: TcpStream) {
+async fn reject_connection(mut stream: TcpStream) {
     let mut response = text_response(503, "too many connections");
     response.insert_header("connection", "close");
     response.insert_header("retry-after", "2");
-    // Best effort: the caller is turned away either way.
+    // Best effort: the connection is closed either way.
     let _ = write_response(&mut stream, response, Method::Get).await;
 }
 
@@ -158,7 +162,7 @@
     stream: TcpStream,
     peer: SocketAddr,
     settings: &ServerSettings,
-    answer: &F,
+    handler: &F,
 ) -> Result<(), HttpError>
 where
     F: Fn(PeerRequest) -> Fut,
@@ -173,10 +177,10 @@
         };
         let method = incoming.request.method();
         let keep_alive = incoming.keep_alive;
-        // A peer that hangs up has no use for the answer: dropping the work cancels it.
+        // Once the peer has disconnected, the response has no recipient: dropping the work cancels it.
         let mut response = {
-            let work = std::pin::pin!(answer(PeerRequest { incoming, peer }));
-            let closed = std::pin::pin!(reader.wait_closed());
+            let work = std::pin::pin!(handler(PeerRequest { incoming, peer }));
+            let closed = std::pin::pin!(reader.wait_for_close());
             match select(work, closed).await {
                 Either::Left((response, _)) => response,
                 Either::Right(((), _)) => return Ok(()),
@@ -194,12 +198,13 @@
     Ok(())
 }
 
-/// Waits for the next request; false if none comes, or none is to be taken.
+/// Waits for the next request; returns false if the peer closes, the idle timeout passes or
+/// the server drains.
 async fn wait_for_request(
     reader: &mut MessageReader,
     settings: &ServerSettings,
 ) -> Result<bool, HttpError> {
-    let first = async_std::future::timeout(settings.idle_time, reader.wait_first());
+    let first = async_std::future::timeout(settings.idle_timeout, reader.wait_for_data());
     let Some(drain) = &settings.drain else {
         return first.await.unwrap_or(Ok(false));
     };
@@ -211,7 +216,7 @@
     }
 }
 
-/// Reads a request, or tells the peer what is wrong with it.
+/// Reads a request, or sends the peer an error response that says why it was rejected.
 async fn read_request(
     reader: &mut MessageReader,
     writer: &mut TcpStream,
@@ -221,9 +226,9 @@
     let read = reader.read_request(&settings.limits, async move || {
         interim.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await
     });
-    let slow = || HttpError::new(ErrorKind::TimedOut, "the request took too long to arrive");
-    let read = async_std::future::timeout(settings.request_time, read).await;
-    let error = match read.unwrap_or_else(|_| Err(slow())) {
+    let timed_out = || HttpError::new(ErrorKind::TimedOut, "the request took too long to arrive");
+    let read = async_std::future::timeout(settings.request_timeout, read).await;
+    let error = match read.unwrap_or_else(|_| Err(timed_out())) {
         Ok(incoming) => return Ok(incoming),
         Err(error) => error,
     };
@@ -237,8 +242,9 @@
     settings.drain.as_ref().is_some_and(Receiver::is_closed)
 }
 
-/// The library gives an answer without a body a length of 0, which 204 must not
-/// have and which for 304 would speak of the wrong thing.
+/// Removes the `content-length: 0` that `async-h1` writes for a response without a body: a 204
+/// response must not have one, and in a 304 response it would state the length of the
+/// representation that was not sent.
 fn strip_empty_length(head: &mut Vec<u8>) {
     const LINE: &[u8] = b"content-length: 0\r\n";
     if let Some(at) = head.windows(LINE.len()).position(|window| window == LINE) {
--- a/crates/http/tests/any_bytes.rs
+++ b/crates/http/tests/any_bytes.rs
@@ -1,7 +1,7 @@
 //! Whatever bytes come as a head, they are taken or refused.
 
 use proptest::prelude::*;
-use wingbridge_http::head::{check_answer, check_request};
+use wingbridge_http::head::{check_request, check_response};
 
 proptest! {
     #[test]
@@ -16,7 +16,7 @@
         let noisy = [&head[..], &noise[..], b"\r\n\r\n"].concat();
         for bytes in [&whole, &noisy, &noise] {
             let _ = check_request(bytes);
-            let _ = check_answer(bytes, "GET");
+            let _ = check_response(bytes, "GET");
         }
     }
 }
--- a/crates/http/tests/raw_answers.rs
+++ b/crates/http/tests/raw_answers.rs
@@ -2,20 +2,20 @@
 
 mod streams;
 
-use wingbridge_http::{AnswerBody, ErrorKind, MessageLimits};
+use wingbridge_http::{ErrorKind, MessageLimits, ResponseBody};
 
-use crate::streams::read_answer;
+use crate::streams::read_response;
 
 struct AnswerCase {
     name: &'static str,
     method: &'static str,
     bytes: &'static [u8],
-    expected: Result<(u16, AnswerBody), ErrorKind>,
+    expected: Result<(u16, ResponseBody), ErrorKind>,
 }
 
 #[test]
 fn answers_are_whole_or_refused() {
-    let whole = |bytes: &[u8]| AnswerBody::Whole(bytes.to_vec());
+    let whole = |bytes: &[u8]| ResponseBody::Complete(bytes.to_vec());
     let cases = [
         AnswerCase {
             name: "plain",
@@ -27,7 +27,7 @@
             name: "short body",
             method: "GET",
             bytes: b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
-            expected: Err(ErrorKind::CutShort),
+            expected: Err(ErrorKind::Truncated),
         },
         AnswerCase {
             name: "ends by closing",
@@ -57,19 +57,19 @@
             name: "HEAD has a length and no body",
             method: "HEAD",
             bytes: b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n",
-            expected: Ok((200, AnswerBody::Absent(Some(99)))),
+            expected: Ok((200, ResponseBody::Absent(Some(99)))),
         },
         AnswerCase {
             name: "204 has no body",
             method: "GET",
             bytes: b"HTTP/1.1 204 No Content\r\n\r\n",
-            expected: Ok((204, AnswerBody::Absent(None))),
+            expected: Ok((204, ResponseBody::Absent(None))),
         },
         AnswerCase {
             name: "304 speaks of another body's length",
             method: "GET",
             bytes: b"HTTP/1.1 304 Not Modified\r\nContent-Length: 5\r\n\r\n",
-            expected: Ok((304, AnswerBody::Absent(Some(5)))),
+            expected: Ok((304, ResponseBody::Absent(Some(5)))),
         },
         AnswerCase {
             name: "chunked",
@@ -81,24 +81,28 @@
             name: "chunked, cut",
             method: "GET",
             bytes: b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
-            expected: Err(ErrorKind::CutShort),
+            expected: Err(ErrorKind::Truncated),
         },
         AnswerCase {
             name: "closed before an answer",
             method: "GET",
             bytes: b"",
-            expected: Err(ErrorKind::CutShort),
+            expected: Err(ErrorKind::Truncated),
         },
         AnswerCase {
             name: "large: it waits, and its length is known",
             method: "GET",
             bytes: b"HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\nabc",
-            expected: Ok((200, AnswerBody::Waiting(101))),
+            expected: Ok((200, ResponseBody::Unread(101))),
         },
     ];
-    let limits = MessageLimits { body: 100, chunked: 100, ..MessageLimits::default() };
+    let limits = MessageLimits {
+        max_body_bytes: 100,
+        max_chunked_body_bytes: 100,
+        ..MessageLimits::default()
+    };
     for case in cases {
-        let answer = read_answer(case.bytes, case.method, &limits);
+        let answer = read_response(case.bytes, case.method, &limits);
         let answer = answer.map(|answer| (answer.response.status() as u16, answer.body));
         assert_eq!(answer.map_err(|error| error.kind()), case.expected, "case {}", case.name);
     }
@@ -107,7 +111,7 @@
 #[test]
 fn a_large_body_that_ends_early_is_an_error_and_not_an_end() {
     let bytes = b"HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\nabc";
-    let limits = MessageLimits { body: 100, ..MessageLimits::default() };
+    let limits = MessageLimits { max_body_bytes: 100, ..MessageLimits::default() };
     let (read, error) = streams::read_waiting(bytes, &limits);
     assert_eq!(read, b"abc");
     assert_eq!(error, Some(std::io::ErrorKind::UnexpectedEof));
--- a/crates/http/tests/raw_messages.rs
+++ b/crates/http/tests/raw_messages.rs
@@ -2,7 +2,7 @@
 
 use async_std::task;
 use futures::io::Cursor;
-use wingbridge_http::raw::{AnswerStart, BodyDecoder, BodyLength, RawReader, RequestStart};
+use wingbridge_http::raw::{BodyDecoder, BodyLength, RawReader, RawRequestHead, RawResponseHead};
 
 struct AnswerCase {
     name: &'static str,
@@ -98,15 +98,15 @@
 #[test]
 fn answers_end_where_they_say_or_are_not_whole() {
     for case in ANSWERS {
-        let read = task::block_on(read_answer(case.bytes.as_bytes(), case.method));
+        let read = task::block_on(read_response(case.bytes.as_bytes(), case.method));
         let wanted = case.wanted.map(|(status, body)| (status, body.as_bytes().to_vec()));
         assert_eq!(read, wanted, "{}", case.name);
     }
 }
 
-async fn read_answer(bytes: &[u8], method: &str) -> Option<(u16, Vec<u8>)> {
+async fn read_response(bytes: &[u8], method: &str) -> Option<(u16, Vec<u8>)> {
     let mut reader = RawReader::new(Cursor::new(bytes.to_vec()));
-    let start: AnswerStart = reader.answer_start(method, 8192).await.ok()?;
+    let start: RawResponseHead = reader.read_response_head(method, 8192).await.ok()?;
     let mut decoder = BodyDecoder::new(start.length);
     let mut body = Vec::new();
     while !decoder.is_done() {
@@ -158,7 +158,7 @@
 #[test]
 fn requests_say_one_thing_or_are_refused() {
     for case in REQUESTS {
-        let parsed = RequestStart::parse(case.bytes.as_bytes()).ok().flatten();
+        let parsed = RawRequestHead::parse(case.bytes.as_bytes()).ok().flatten();
         let read = parsed.as_ref().map(|(start, _)| (start.path(), start.length, start.closes));
         assert_eq!(read, case.wanted, "{}", case.name);
     }
@@ -168,8 +168,8 @@
 fn headers_of_one_connection_are_not_passed_on() {
     let bytes = b"GET / HTTP/1.1\r\nHost: h\r\nX-One: 1\r\nConnection: X-Two\r\nX-Two: 2\r\n\
         TE: trailers\r\nContent-Length: 0\r\nX-Own: 3\r\nX-Bytes: \xff\r\n\r\n";
-    let (start, _) = RequestStart::parse(bytes).expect("a request").expect("a whole one");
-    let passed = start.headers.passed_on(&["x-own"]);
+    let (start, _) = RawRequestHead::parse(bytes).expect("a request").expect("a whole one");
+    let passed = start.headers.forwarded(&["x-own"]);
     let names: Vec<&str> = passed.iter().map(|field| field.name.as_str()).collect();
     assert_eq!(names, ["Host", "X-One", "X-Bytes"]);
 }
@@ -194,6 +194,6 @@
 fn a_head_over_the_limit_is_refused() {
     let bytes = format!("GET / HTTP/1.1\r\nHost: h\r\nX: {}\r\n\r\n", "x".repeat(500));
     let mut reader = RawReader::new(Cursor::new(bytes.into_bytes()));
-    let error = task::block_on(reader.request_start(200)).expect_err("it is too long");
+    let error = task::block_on(reader.read_request_head(200)).expect_err("it is too long");
     assert_eq!(error.status(), 431);
 }
--- a/crates/http/tests/raw_requests.rs
+++ b/crates/http/tests/raw_requests.rs
@@ -34,7 +34,7 @@
             name: "short body: 3 of 10 bytes",
             bytes: b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nabc",
             bodies: &[],
-            refusal: Some(ErrorKind::CutShort),
+            refusal: Some(ErrorKind::Truncated),
         },
         RequestCase {
             name: "two lengths that differ",
@@ -76,7 +76,7 @@
             name: "chunked, cut",
             bytes: b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
             bodies: &[],
-            refusal: Some(ErrorKind::CutShort),
+            refusal: Some(ErrorKind::Truncated),
         },
         RequestCase {
             name: "chunk without an end",
@@ -94,13 +94,13 @@
             name: "pipelined, the second cut",
             bytes: b"GET / HTTP/1.1\r\nHost: a\r\n\r\nGET /b HT",
             bodies: &[b""],
-            refusal: Some(ErrorKind::CutShort),
+            refusal: Some(ErrorKind::Truncated),
         },
         RequestCase {
             name: "old version",
             bytes: b"GET / HTTP/1.0\r\nHost: a\r\n\r\n",
             bodies: &[],
-            refusal: Some(ErrorKind::Version),
+            refusal: Some(ErrorKind::UnsupportedVersion),
         },
         RequestCase {
             name: "no host",
@@ -148,7 +148,12 @@
 
 #[test]
 fn what_is_too_large_is_refused_with_its_own_code() {
-    let limits = MessageLimits { request_line: 100, head: 1000, body: 50, chunked: 50 };
+    let limits = MessageLimits {
+        max_request_line_bytes: 100,
+        max_head_bytes: 1000,
+        max_body_bytes: 50,
+        max_chunked_body_bytes: 50,
+    };
     let line = format!("GET /{} HTTP/1.1\r\nHost: a\r\n\r\n", "x".repeat(100));
     let head = format!("GET / HTTP/1.1\r\nHost: a\r\nX-A: {}\r\n\r\n", "x".repeat(1000));
     let many: String = (0..101).map(|number| format!("X-{number}: y\r\n")).collect();
--- a/crates/http/tests/streams/mod.rs
+++ b/crates/http/tests/streams/mod.rs
@@ -9,7 +9,8 @@
 use async_std::task;
 use futures::{AsyncReadExt, AsyncWriteExt};
 use wingbridge_http::{
-    AnswerBody, ErrorKind, HttpError, IncomingAnswer, IncomingRequest, MessageLimits, MessageReader,
+    ErrorKind, HttpError, IncomingRequest, IncomingResponse, MessageLimits, MessageReader,
+    ResponseBody,
 };
 
 /// A reader at the other end of which `bytes` are written and the connection is closed.
@@ -62,20 +63,20 @@
     asked.load(Ordering::SeqCst)
 }
 
-pub fn read_answer(
+pub fn read_response(
     bytes: &[u8],
     method: &str,
     limits: &MessageLimits,
-) -> Result<IncomingAnswer, HttpError> {
-    task::block_on(async { reader_of(bytes).await.read_answer(method, limits).await })
+) -> Result<IncomingResponse, HttpError> {
+    task::block_on(async { reader_of(bytes).await.read_response(method, limits).await })
 }
 
 /// What can be read of a body that waits, and the error that ends it.
 pub fn read_waiting(bytes: &[u8], limits: &MessageLimits) -> (Vec<u8>, Option<std::io::ErrorKind>) {
     task::block_on(async {
         let mut reader = reader_of(bytes).await;
-        let answer = reader.read_answer("GET", limits).await.expect("a head");
-        let AnswerBody::Waiting(length) = answer.body else { panic!("it waits") };
+        let answer = reader.read_response("GET", limits).await.expect("a head");
+        let ResponseBody::Unread(length) = answer.body else { panic!("it waits") };
         let mut body = reader.into_body(length);
         let mut read = Vec::new();
         let result = body.read_to_end(&mut read).await;
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -4,9 +4,9 @@
 
 use rhai::{Engine, EvalAltResult};
 
-use crate::STEP_LIMIT;
+use crate::MAX_STEPS;
 use crate::plan::{PolicyDecision, PolicyPlan};
-use crate::request::{RequestView, RouteOffer};
+use crate::request::{RequestView, RouteDefaults};
 
 const CALL_LEVELS: usize = 16;
 const EXPRESSION_DEPTH: usize = 32;
@@ -21,7 +21,7 @@
 /// An engine that runs policy programs and nothing else.
 pub(crate) fn policy_engine() -> Engine {
     let mut engine = Engine::new();
-    engine.set_max_operations(STEP_LIMIT);
+    engine.set_max_operations(MAX_STEPS);
     engine.set_max_call_levels(CALL_LEVELS);
     engine.set_max_expr_depths(EXPRESSION_DEPTH, EXPRESSION_DEPTH);
     engine.set_max_string_size(STRING_BYTES);
@@ -43,22 +43,24 @@
     engine.register_get("caller", |request: &mut RequestView| request.caller());
     engine.register_fn("header", |request: &mut RequestView, name: &str| request.header(name));
     engine.register_get("offer", |request: &mut RequestView| request.offer());
-    engine.register_type_with_name::<RouteOffer>("Offer");
-    engine.register_get("service", |offer: &mut RouteOffer| offer.service.to_string());
-    engine.register_get("millis", |offer: &mut RouteOffer| {
-        i64::try_from(offer.time.as_millis()).unwrap_or(i64::MAX)
+    engine.register_type_with_name::<RouteDefaults>("Offer");
+    engine.register_get("service", |offer: &mut RouteDefaults| offer.service.to_string());
+    engine.register_get("millis", |offer: &mut RouteDefaults| {
+        i64::try_from(offer.timeout.as_millis()).unwrap_or(i64::MAX)
     });
-    engine.register_get("attempts", |offer: &mut RouteOffer| i64::from(offer.attempts));
-    engine.register_get("priority", |offer: &mut RouteOffer| i64::from(offer.priority));
+    engine.register_get("attempts", |offer: &mut RouteDefaults| i64::from(offer.attempts));
+    engine.register_get("priority", |offer: &mut RouteDefaults| i64::from(offer.priority));
 }
 
 fn register_plan(engine: &mut Engine) {
     engine.register_type_with_name::<PolicyDecision>("Decision");
-    engine.register_fn("route", |service: &str| PolicyDecision::Route(PolicyPlan::to(service)));
-    engine.register_fn("refuse", |status: i64, why: &str| -> Fallible<PolicyDecision> {
+    engine.register_fn("route", |service: &str| {
+        PolicyDecision::Route(PolicyPlan::for_service(service))
+    });
+    engine.register_fn("refuse", |status: i64, reason: &str| -> Fallible<PolicyDecision> {
         let status = u16::try_from(status).ok().filter(|status| (400..=599).contains(status));
         let status = status.ok_or("refuse: the status must be 400 to 599")?;
-        Ok(PolicyDecision::Refuse { status, why: why.into() })
+        Ok(PolicyDecision::Refuse { status, reason: reason.into() })
     });
     engine.register_fn("deadline", |decision: PolicyDecision, millis: i64| {
         let deadline = u64::try_from(millis).ok().map(Duration::from_millis);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -4,7 +4,7 @@
 //! `route("service")` with what else it wants to say, or `refuse(status, why)`.
 //! It is compiled and tried when it is submitted, runs within a bound on steps
 //! and sizes, and has no access to anything but the request. One that fails at
-//! run time gives a [`PolicyFault`], which callers of this crate turn into "not
+//! run time gives a [`PolicyError`], which callers of this crate turn into "not
 //! run": the safe answer, since nothing has been sent anywhere.
 
 mod engine;
@@ -17,10 +17,10 @@
 use rhai::{AST, Engine, EvalAltResult, Position, Scope};
 
 pub use plan::{PolicyDecision, PolicyPlan};
-pub use request::{RequestView, RouteOffer};
+pub use request::{RequestView, RouteDefaults};
 
 /// Steps that one evaluation may take.
-pub const STEP_LIMIT: u64 = 20_000;
+pub const MAX_STEPS: u64 = 20_000;
 
 /// A compiled and checked policy. Clones share it.
 #[derive(Clone)]
@@ -34,16 +34,16 @@
     /// # Errors
     /// The program does not compile, has no `plan(request)`, or fails on one of
     /// the requests it is tried on; with line and column.
-    pub fn compile(text: &str) -> Result<PolicyProgram, PolicyFault> {
+    pub fn compile(text: &str) -> Result<PolicyProgram, PolicyError> {
         let engine = shared_engine();
         let ast = engine
             .compile(text)
-            .map_err(|error| PolicyFault::at(error.position(), error.err_type().to_string()))?;
+            .map_err(|error| PolicyError::at(error.position(), error.err_type().to_string()))?;
         let planned = ast
             .iter_functions()
             .any(|function| function.name == "plan" && function.params.len() == 1);
         if !planned {
-            return Err(PolicyFault::at(Position::NONE, "it defines no 'fn plan(request)'".into()));
+            return Err(PolicyError::at(Position::NONE, "it defines no 'fn plan(request)'".into()));
         }
         let program = PolicyProgram { ast: Arc::new(ast) };
         for method in ["GET", "HEAD", "POST", "PUT", "DELETE"] {
@@ -57,11 +57,11 @@
     ///
     /// # Errors
     /// The program failed, ran out of steps or returned something else.
-    pub fn plan(&self, request: RequestView) -> Result<PolicyDecision, PolicyFault> {
+    pub fn plan(&self, request: RequestView) -> Result<PolicyDecision, PolicyError> {
         let mut scope = Scope::new();
         let result =
             shared_engine().call_fn::<PolicyDecision>(&mut scope, &self.ast, "plan", (request,));
-        result.map_err(|error| PolicyFault::run_time(&error))
+        result.map_err(|error| PolicyError::run_time(&error))
     }
 }
 
@@ -73,7 +73,7 @@
 
 /// What is wrong with a program, and where.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PolicyFault {
+pub struct PolicyError {
     /// Line, counted from 1, where known.
     pub line: Option<usize>,
     /// Column, counted from 1, where known.
@@ -82,28 +82,28 @@
     pub reason: String,
 }
 
-impl PolicyFault {
-    fn at(position: Position, reason: String) -> PolicyFault {
-        PolicyFault { line: position.line(), column: position.position(), reason }
+impl PolicyError {
+    fn at(position: Position, reason: String) -> PolicyError {
+        PolicyError { line: position.line(), column: position.position(), reason }
     }
 
-    fn run_time(error: &EvalAltResult) -> PolicyFault {
+    fn run_time(error: &EvalAltResult) -> PolicyError {
         let inner = innermost(error);
         let mut bare = inner.to_string();
         // The library appends the position, which stands in fields of its own here.
         if let Some(end) = bare.find(" (line ") {
             bare.truncate(end);
         }
-        PolicyFault::at(inner.position(), bare)
+        PolicyError::at(inner.position(), bare)
     }
 
-    fn on(mut self, method: &str) -> PolicyFault {
+    fn on(mut self, method: &str) -> PolicyError {
         self.reason = format!("{} (tried on {method} /)", self.reason);
         self
     }
 }
 
-impl fmt::Display for PolicyFault {
+impl fmt::Display for PolicyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match (self.line, self.column) {
             (Some(line), Some(column)) => {
@@ -115,7 +115,7 @@
     }
 }
 
-impl std::error::Error for PolicyFault {}
+impl std::error::Error for PolicyError {}
 
 /// One engine for all programs: it is some hundred kilobytes, a program a few.
 fn shared_engine() -> &'static Engine {
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -15,7 +15,7 @@
         /// The status code for the caller, 400 to 599.
         status: u16,
         /// One line for the caller.
-        why: String,
+        reason: String,
     },
 }
 
@@ -40,7 +40,7 @@
 
 impl PolicyPlan {
     /// A careful plan: not repeatable, five seconds.
-    pub fn to(service: &str) -> PolicyPlan {
+    pub fn for_service(service: &str) -> PolicyPlan {
         PolicyPlan {
             service: service.to_string(),
             deadline: DEADLINE,
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -7,26 +7,31 @@
 #[derive(Debug, Clone)]
 pub struct RequestView {
     parts: Arc<RequestParts>,
-    offer: RouteOffer,
+    offer: RouteDefaults,
 }
 
 /// What a route table says of a request, where there is one: programs may take it as it is.
 #[derive(Debug, Clone)]
-pub struct RouteOffer {
+pub struct RouteDefaults {
     /// The service.
     pub service: Arc<str>,
     /// The route's time.
-    pub time: Duration,
+    pub timeout: Duration,
     /// Attempts at most, the first counted.
     pub attempts: u32,
     /// Higher goes first.
     pub priority: u8,
 }
 
-impl Default for RouteOffer {
+impl Default for RouteDefaults {
     /// What programs are tried on, and what they see where there is no route table.
-    fn default() -> RouteOffer {
-        RouteOffer { service: "".into(), time: Duration::from_secs(1), attempts: 1, priority: 0 }
+    fn default() -> RouteDefaults {
+        RouteDefaults {
+            service: "".into(),
+            timeout: Duration::from_secs(1),
+            attempts: 1,
+            priority: 0,
+        }
     }
 }
 
@@ -55,15 +60,15 @@
             caller: caller.to_string(),
             headers,
         };
-        RequestView { parts: Arc::new(parts), offer: RouteOffer::default() }
+        RequestView { parts: Arc::new(parts), offer: RouteDefaults::default() }
     }
 
     /// The same with what a route table says of it.
-    pub fn with_offer(self, offer: RouteOffer) -> RequestView {
+    pub fn with_route_defaults(self, offer: RouteDefaults) -> RequestView {
         RequestView { offer, ..self }
     }
 
-    pub(crate) fn offer(&self) -> RouteOffer {
+    pub(crate) fn offer(&self) -> RouteDefaults {
         self.offer.clone()
     }
 
--- a/crates/policy/tests/policy_programs.rs
+++ b/crates/policy/tests/policy_programs.rs
@@ -92,7 +92,7 @@
     };
     assert!(!plan.repeatable && !plan.cancel_on_hangup && plan.priority == 9);
     let bare = RequestView::new("POST", "/x", "", "me", Vec::new());
-    let refused = PolicyDecision::Refuse { status: 401, why: "a key is needed".into() };
+    let refused = PolicyDecision::Refuse { status: 401, reason: "a key is needed".into() };
     assert_eq!(program.plan(bare), Ok(refused));
 }
 
--- a/crates/process/src/log_ring.rs
+++ b/crates/process/src/log_ring.rs
@@ -63,7 +63,7 @@
     }
 
     /// Takes a line, which ends without a line break. It is dropped if there is no room.
-    pub fn put(&self, line: Vec<u8>) {
+    pub fn push(&self, line: Vec<u8>) {
         let room = lock(&self.shared.rate).allow();
         let lines = lock(&self.shared.lines);
         let taken = room && lines.as_ref().is_some_and(|lines| lines.try_send(line).is_ok());
@@ -73,7 +73,7 @@
     }
 
     /// Lines that were dropped and not yet told of.
-    pub fn dropped(&self) -> u64 {
+    pub fn unreported_drops(&self) -> u64 {
         self.shared.dropped.load(Ordering::Relaxed)
     }
 
--- a/crates/process/src/logs.rs
+++ b/crates/process/src/logs.rs
@@ -40,7 +40,7 @@
     fn write(&self, now: &mut DeferredNow, record: &Record<'_>) -> std::io::Result<()> {
         let mut line = Vec::with_capacity(512);
         write_line(&mut line, now, record, Some(&self.box_id))?;
-        self.ring.put(line);
+        self.ring.push(line);
         Ok(())
     }
 
--- a/crates/process/src/stop.rs
+++ b/crates/process/src/stop.rs
@@ -20,7 +20,7 @@
 }
 
 /// A handle and its signal.
-pub fn stop_pair() -> (StopHandle, StopSignal) {
+pub fn stop_channel() -> (StopHandle, StopSignal) {
     let (sender, receiver) = async_channel::bounded(1);
     (StopHandle { sender }, StopSignal { receiver })
 }
@@ -50,7 +50,7 @@
 /// # Errors
 /// The operating system refused the handlers.
 pub fn stop_on_signals() -> std::io::Result<StopSignal> {
-    let (handle, signal) = stop_pair();
+    let (handle, signal) = stop_channel();
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     thread::Builder::new().name("signals".into()).spawn(move || {
         signals.forever().next();
@@ -73,7 +73,7 @@
 /// # Errors
 /// The operating system refused the handlers.
 pub fn watch_signals() -> std::io::Result<ProcessSignals> {
-    let (handle, stop) = stop_pair();
+    let (handle, stop) = stop_channel();
     let (reload, reloads) = async_channel::bounded(1);
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     thread::Builder::new().name("signals".into()).spawn(move || {
--- a/crates/process/tests/log_ring.rs
+++ b/crates/process/tests/log_ring.rs
@@ -42,7 +42,7 @@
     // Far more than ring and rate have room for; a `put` that waited would never return,
     // since the gate opens only afterwards.
     for number in 0..20_000 {
-        ring.put(format!("line {number}").into_bytes());
+        ring.push(format!("line {number}").into_bytes());
     }
     open.send(()).expect("the sink waits");
     ring.close();
@@ -51,7 +51,7 @@
     let told: u64 = text.lines().filter_map(dropped_count).sum();
     assert!(told >= 10_000, "only {told} of 20,000 lines were dropped");
     assert_eq!(kept + told, 20_000, "each line is either written or told as dropped");
-    assert_eq!(ring.dropped(), 0, "none is left to tell");
+    assert_eq!(ring.unreported_drops(), 0, "none is left to tell");
 }
 
 /// The count of a line that tells of dropped ones.
@@ -65,10 +65,10 @@
     let (sink, open, written) = gated();
     open.send(()).expect("the sink waits");
     let ring = LogRing::start(sink).expect("a thread");
-    ring.put(b"first".to_vec());
-    ring.put(b"last".to_vec());
+    ring.push(b"first".to_vec());
+    ring.push(b"last".to_vec());
     ring.close();
     assert_eq!(*written.lock().expect("no thread panics"), b"first\nlast\n");
-    ring.put(b"too late".to_vec());
-    assert_eq!(ring.dropped(), 1);
+    ring.push(b"too late".to_vec());
+    assert_eq!(ring.unreported_drops(), 1);
 }
--- a/crates/proxy/src/agent_link.rs
+++ b/crates/proxy/src/agent_link.rs
@@ -51,13 +51,13 @@
 
     async fn hold_link(&self, keeper: &mut ConfigKeeper) -> Result<(), WireError> {
         let (reader, writer) = self.connect().await?;
-        self.context.line.note("agent-connected", &[]);
+        self.context.line.record("agent-connected", &[]);
         let result = {
             let reading = std::pin::pin!(self.read(reader, keeper));
             let writing = std::pin::pin!(self.write(writer));
             select(reading, writing).await.factor_first().0
         };
-        self.context.line.note("agent-lost", &[]);
+        self.context.line.record("agent-lost", &[]);
         // What the agent held against this box is void until it says so again.
         self.context.ready.suspend(false);
         result
@@ -132,7 +132,7 @@
             FrameBody::Readiness(readiness) => {
                 self.context.ready.suspend(!readiness.allowed);
                 let kind = if readiness.allowed { "box-restored" } else { "box-suspended" };
-                self.context.line.note(kind, &[("why", &readiness.reason)]);
+                self.context.line.record(kind, &[("why", &readiness.reason)]);
             }
             _ => {}
         }
@@ -149,12 +149,12 @@
         }
         for (key, reason) in &change.refused {
             log::error!(key = key.as_str(), reason = reason.as_str(); "config-refused");
-            self.context.line.note("config-refused", &[("key", key), ("reason", reason)]);
+            self.context.line.record("config-refused", &[("key", key), ("reason", reason)]);
         }
         for held in &change.in_force {
             let generation = held.stamp.generation.to_string();
             let fields = [("key", held.key.as_str()), ("generation", generation.as_str())];
-            self.context.line.note("config-in-force", &fields);
+            self.context.line.record("config-in-force", &fields);
         }
         if !change.in_force.is_empty() {
             let stamps = Stamps { stamps: change.in_force, buckets: Vec::new() };
--- a/crates/proxy/src/answers.rs
+++ b/crates/proxy/src/answers.rs
@@ -4,7 +4,7 @@
 
 use http_types::{Body, Response, StatusCode};
 use wingbridge_decide::{Conclusion, RefuseReason};
-use wingbridge_http::AnswerBody;
+use wingbridge_http::ResponseBody;
 use wingbridge_http::server::text_response;
 
 use crate::attempt::TargetAnswer;
@@ -72,13 +72,13 @@
 pub(crate) fn answered(answer: TargetAnswer, streamed: Option<Body>) -> CallerAnswer {
     let mut response = Response::new(answer.response.status());
     match (answer.body, streamed) {
-        (AnswerBody::Whole(bytes), _) => response.set_body(bytes),
-        (AnswerBody::Absent(Some(length)), _) => {
+        (ResponseBody::Complete(bytes), _) => response.set_body(bytes),
+        (ResponseBody::Absent(Some(length)), _) => {
             let empty = futures::io::BufReader::new(futures::io::empty());
             response.set_body(Body::from_reader(empty, Some(length as usize)));
         }
-        (AnswerBody::Absent(None), _) => response.set_body(Body::empty()),
-        (AnswerBody::Waiting(_), body) => response.set_body(body.unwrap_or_else(Body::empty)),
+        (ResponseBody::Absent(None), _) => response.set_body(Body::empty()),
+        (ResponseBody::Unread(_), body) => response.set_body(body.unwrap_or_else(Body::empty)),
     }
     // The library makes up a type for bodies that have none.
     response.remove_header("content-type");
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -8,7 +8,7 @@
 use futures::io::AsyncWriteExt;
 use http_types::{Method, Request, Response, Url};
 use wingbridge_decide::{AttemptOutcome, BoxEvent, Name, TargetKey};
-use wingbridge_http::{AnswerBody, ErrorKind, HttpError, IncomingAnswer, MessageLimits};
+use wingbridge_http::{ErrorKind, HttpError, IncomingResponse, MessageLimits, ResponseBody};
 
 use crate::context::ProxyContext;
 use crate::headers::{self, BOX, DEADLINE, REQUEST};
@@ -35,7 +35,7 @@
 pub(crate) struct TargetAnswer {
     pub(crate) target: Name,
     pub(crate) response: Response,
-    pub(crate) body: AnswerBody,
+    pub(crate) body: ResponseBody,
     pub(crate) connection: Option<TargetConnection>,
 }
 
@@ -67,7 +67,8 @@
             Ok(result) => return result,
             // The target closed the idle connection as the request went out. That is no
             // failure of it; the request may be repeated, or it would not be here.
-            Err(error) if error.kind() == ErrorKind::CutShort || error.kind() == ErrorKind::Io => {}
+            Err(error) if error.kind() == ErrorKind::Truncated || error.kind() == ErrorKind::Io => {
+            }
             Err(_) => return AttemptResult::without_answer(AttemptOutcome::Broken),
         }
     }
@@ -121,12 +122,12 @@
     let bytes = encode(context, request, time_left).await?;
     connection.writer.write_all(&bytes).await?;
     let limits = MessageLimits {
-        body: context.settings.held_bytes,
-        chunked: CHUNKED_BYTES,
-        request_line: 8000,
+        max_body_bytes: context.settings.held_bytes,
+        max_chunked_body_bytes: CHUNKED_BYTES,
+        max_request_line_bytes: 8000,
         ..MessageLimits::default()
     };
-    let answer = connection.reader.read_answer(request.method.as_ref(), &limits).await?;
+    let answer = connection.reader.read_response(request.method.as_ref(), &limits).await?;
     Ok(sort_answer(context, target, connection, answer))
 }
 
@@ -163,9 +164,9 @@
     context: &ProxyContext,
     target: &Name,
     connection: TargetConnection,
-    answer: IncomingAnswer,
+    answer: IncomingResponse,
 ) -> AttemptResult {
-    let IncomingAnswer { response, body, keep_alive } = answer;
+    let IncomingResponse { response, body, keep_alive } = answer;
     let report = headers::target_report(&response);
     let outcome = match response.status() as u16 {
         _ if headers::says_not_run(&response) => AttemptOutcome::Shed(report),
@@ -173,7 +174,7 @@
         _ => AttemptOutcome::Answered(report),
     };
     let mut held = None;
-    if matches!(body, AnswerBody::Waiting(_)) {
+    if matches!(body, ResponseBody::Unread(_)) {
         held = Some(connection);
     } else if keep_alive {
         context.pool.put(target, connection);
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -6,7 +6,7 @@
 use async_channel::Sender;
 use wingbridge_decide::{Name, RequestId};
 use wingbridge_process::ProcessClock;
-use wingbridge_trace::TimeLine;
+use wingbridge_trace::EventTrace;
 
 use crate::active_config::ActiveConfig;
 use crate::inputs::DecisionInput;
@@ -19,7 +19,7 @@
     pub(crate) settings: ProxySettings,
     pub(crate) box_id: Name,
     pub(crate) clock: ProcessClock,
-    pub(crate) line: TimeLine,
+    pub(crate) line: EventTrace,
     pub(crate) config: ActiveConfig,
     pub(crate) pool: ConnectionPool,
     pub(crate) decisions: Sender<DecisionInput>,
@@ -33,7 +33,7 @@
     pub(crate) fn new(
         settings: ProxySettings,
         clock: ProcessClock,
-        line: TimeLine,
+        line: EventTrace,
         decisions: Sender<DecisionInput>,
         ready: ReadyFlag,
     ) -> Arc<ProxyContext> {
--- a/crates/proxy/src/decision.rs
+++ b/crates/proxy/src/decision.rs
@@ -98,7 +98,7 @@
             BoxCommand::SelfSuspected(failing) => {
                 self.failing = failing;
                 let kind = if failing { "box-fails" } else { "box-works-again" };
-                self.context.line.note(kind, &[]);
+                self.context.line.record(kind, &[]);
                 log::warn!(failing; "box-suspects-itself");
             }
         }
@@ -127,7 +127,7 @@
             ("from", from.as_str()),
             ("why", reason),
         ];
-        self.context.line.note(kind, &fields);
+        self.context.line.record(kind, &fields);
         log::info!(service:% = service, target:% = target, from = from.as_str(), why = reason; "{kind}");
         let labels = [("service", service.to_string()), ("to", to.as_str().to_string())];
         metrics::counter!("wingbridge_target_changes", &labels).increment(1);
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use wingbridge_trace::TimeLine;
+use wingbridge_trace::EventTrace;
 
 /// What the balancer is told.
 #[derive(Debug, Clone, Default)]
@@ -39,26 +39,26 @@
 /// A proxy in one part of its life.
 pub(crate) struct BoxLife<S> {
     ready: ReadyFlag,
-    line: TimeLine,
+    line: EventTrace,
     state: PhantomData<S>,
 }
 
 impl BoxLife<Starting> {
-    pub(crate) fn new(ready: ReadyFlag, line: TimeLine) -> BoxLife<Starting> {
-        line.note("box-starting", &[]);
+    pub(crate) fn new(ready: ReadyFlag, line: EventTrace) -> BoxLife<Starting> {
+        line.record("box-starting", &[]);
         BoxLife { ready, line, state: PhantomData }
     }
 
     /// The configuration is whole.
     pub(crate) fn serve(self) -> BoxLife<Serving> {
-        self.line.note("box-ready", &[]);
+        self.line.record("box-ready", &[]);
         self.ready.serving.store(true, Ordering::Release);
         self.step()
     }
 
     /// It is stopped before it ever served.
     pub(crate) fn give_up(self) -> BoxLife<Leaving> {
-        self.line.note("box-leaving", &[]);
+        self.line.record("box-leaving", &[]);
         self.step()
     }
 }
@@ -67,7 +67,7 @@
     /// A planned stop begins.
     pub(crate) fn leave(self) -> BoxLife<Leaving> {
         self.ready.serving.store(false, Ordering::Release);
-        self.line.note("box-leaving", &[]);
+        self.line.record("box-leaving", &[]);
         self.step()
     }
 }
@@ -75,7 +75,7 @@
 impl BoxLife<Leaving> {
     /// All has ended; `whole` if nothing was cut.
     pub(crate) fn drained(self, whole: bool) {
-        self.line.note("box-drained", &[("cut", if whole { "nothing" } else { "some" })]);
+        self.line.record("box-drained", &[("cut", if whole { "nothing" } else { "some" })]);
     }
 }
 
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -11,9 +11,9 @@
 use wingbridge_decide::{BoxCore, BoxEvent, EvidenceSource, HealthChart};
 use wingbridge_http::MessageLimits;
 use wingbridge_http::server::{ServerSettings, serve};
-use wingbridge_process::stop::stop_pair;
+use wingbridge_process::stop::stop_channel;
 use wingbridge_process::{Outcome, ProcessClock, StopSignal, TimerService};
-use wingbridge_trace::TimeLine;
+use wingbridge_trace::EventTrace;
 
 use crate::admin::serve_admin;
 use crate::agent_link::{AGENT_RING, AgentLink};
@@ -64,7 +64,7 @@
     let admin = TcpListener::bind(settings.admin_listen).await?;
     let addresses = ProxyAddresses { callers: callers.local_addr()?, admin: admin.local_addr()? };
     let clock = ProcessClock::start();
-    let line = TimeLine::new(&settings.box_id, "proxy", LINE_EVENTS);
+    let line = EventTrace::new(&settings.box_id, "proxy", LINE_EVENTS);
     let ready = ReadyFlag::default();
     let (decisions, inputs) = async_channel::bounded(DECISION_RING);
     let (to_agent, outgoing) = async_channel::bounded(AGENT_RING);
@@ -75,7 +75,7 @@
     let decision =
         thread::Builder::new().name("decisions".into()).spawn(move || duty.run(&inputs))?;
     let (caught_up, whole) = async_channel::bounded::<()>(1);
-    let (link_handle, link_stop) = stop_pair();
+    let (link_handle, link_stop) = stop_channel();
     let link = AgentLink {
         context: Arc::clone(&context),
         outgoing,
@@ -144,12 +144,12 @@
 ) -> ServerSettings {
     ServerSettings {
         limits: MessageLimits {
-            body: settings.request_bytes,
-            chunked: settings.request_bytes,
+            max_body_bytes: settings.request_bytes,
+            max_chunked_body_bytes: settings.request_bytes,
             ..MessageLimits::default()
         },
-        request_time: settings.request_time,
-        connections: settings.connections,
+        request_timeout: settings.request_time,
+        max_connections: settings.connections,
         drain: Some(drained),
         ..ServerSettings::default()
     }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -109,7 +109,7 @@
     let view = request_view(incoming, caller);
     match policy.plan(view) {
         Ok(PolicyDecision::Route(plan)) => Ok(plan),
-        Ok(PolicyDecision::Refuse { status, why }) => Err(refused(status, &why, None)),
+        Ok(PolicyDecision::Refuse { status, reason }) => Err(refused(status, &reason, None)),
         Err(fault) => Err(Box::new(note_fault(context, service, &fault.to_string()))),
     }
 }
@@ -122,7 +122,7 @@
 fn note_fault(context: &ProxyContext, service: &ServiceConfig, fault: &str) -> CallerAnswer {
     let policy = service.policy.as_str();
     log::error!(policy, reason = fault; "policy-failed");
-    context.line.note("policy-failed", &[("policy", policy), ("reason", fault)]);
+    context.line.record("policy-failed", &[("policy", policy), ("reason", fault)]);
     metrics::counter!("wingbridge_policy_faults").increment(1);
     not_run(503, "the policy for this path failed", Some(NOT_READY_RETRY))
 }
--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -15,7 +15,7 @@
 use futures::stream::TryStreamExt;
 use http_types::{Body, Method, Response};
 use wingbridge_decide::{BoxEvent, Name, RequestPlan, TargetKey, TimePoint};
-use wingbridge_http::AnswerBody;
+use wingbridge_http::ResponseBody;
 
 use crate::attempt::{OutgoingRequest, TargetAnswer};
 use crate::context::ProxyContext;
@@ -40,7 +40,7 @@
 
 /// Starts passing on a body that waits in the answer's connection.
 pub(crate) fn stream_body(stream: StreamContext, answer: &mut TargetAnswer) -> Option<Body> {
-    let AnswerBody::Waiting(length) = answer.body else {
+    let ResponseBody::Unread(length) = answer.body else {
         return None;
     };
     let connection = answer.connection.take()?;
@@ -111,7 +111,7 @@
         let context = &self.stream.context;
         let position = self.position.to_string();
         let fields = [("target", &*self.target), ("at", position.as_str())];
-        context.line.note("request-answer-broken", &fields);
+        context.line.record("request-answer-broken", &fields);
         log::warn!(target:% = self.target, at = self.position, reason:% = error; "answer-broken");
         let event = BoxEvent::AnswerBroken {
             service: self.stream.plan.service.clone(),
@@ -141,15 +141,15 @@
         let rest = self.length - self.position;
         let TargetAnswer { target, connection, body, .. } = *answer;
         let reader: RestReader = match (body, connection) {
-            (AnswerBody::Waiting(length), Some(connection)) if length == rest => {
+            (ResponseBody::Unread(length), Some(connection)) if length == rest => {
                 Box::new(connection.reader.into_body(rest))
             }
-            (AnswerBody::Whole(bytes), _) if bytes.len() as u64 == rest => {
+            (ResponseBody::Complete(bytes), _) if bytes.len() as u64 == rest => {
                 Box::new(Cursor::new(bytes))
             }
             _ => return None,
         };
-        context.line.note("request-answer-resumed", &[("target", &*target)]);
+        context.line.record("request-answer-resumed", &[("target", &*target)]);
         self.target = target;
         Some(reader)
     }
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -17,7 +17,7 @@
 
 /// Serves the store's end points until the task is dropped.
 pub async fn serve_store(listener: TcpListener, handle: StoreHandle) {
-    let limits = MessageLimits { body: VALUE_LIMIT, ..MessageLimits::default() };
+    let limits = MessageLimits { max_body_bytes: VALUE_LIMIT, ..MessageLimits::default() };
     let settings = ServerSettings { limits, ..ServerSettings::default() };
     serve(listener, settings, move |request| answer(handle.clone(), request.incoming)).await;
 }
--- a/crates/trace/src/event.rs
+++ b/crates/trace/src/event.rs
@@ -24,7 +24,7 @@
 
 /// The last events of one process. Clones share the same ring.
 #[derive(Debug, Clone)]
-pub struct TimeLine {
+pub struct EventTrace {
     shared: Arc<SharedLine>,
 }
 
@@ -44,9 +44,9 @@
     dropped: u64,
 }
 
-impl TimeLine {
+impl EventTrace {
     /// A ring of `capacity` events for one process.
-    pub fn new(box_id: &str, process: &str, capacity: usize) -> TimeLine {
+    pub fn new(box_id: &str, process: &str, capacity: usize) -> EventTrace {
         let shared = SharedLine {
             clock: HybridClock::new(),
             box_id: box_id.to_string(),
@@ -54,7 +54,7 @@
             capacity,
             ring: Mutex::default(),
         };
-        TimeLine { shared: Arc::new(shared) }
+        EventTrace { shared: Arc::new(shared) }
     }
 
     /// The process's clock.
@@ -63,7 +63,7 @@
     }
 
     /// Notes an event and returns it.
-    pub fn note(&self, kind: &str, fields: &[(&str, &str)]) -> TraceEvent {
+    pub fn record(&self, kind: &str, fields: &[(&str, &str)]) -> TraceEvent {
         let fields = fields.iter().map(|(name, value)| (name.to_string(), value.to_string()));
         let event = TraceEvent {
             stamp: self.shared.clock.tick(),
@@ -77,7 +77,7 @@
     }
 
     /// Keeps another process's event beside the own ones.
-    pub fn keep_foreign(&self, event: TraceEvent) {
+    pub fn record_remote(&self, event: TraceEvent) {
         self.clock().observe(event.stamp);
         self.keep(event, false);
     }
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -9,4 +9,4 @@
 pub mod page;
 
 pub use clock::HybridClock;
-pub use event::{TimeLine, TraceEvent, merge_events};
+pub use event::{EventTrace, TraceEvent, merge_events};
--- a/crates/trace/src/page.rs
+++ b/crates/trace/src/page.rs
@@ -12,7 +12,7 @@
 const MARK_RADIUS: usize = 6;
 
 /// One line for each event, with times from the first one on.
-pub fn as_text(events: &[TraceEvent]) -> String {
+pub fn render_text(events: &[TraceEvent]) -> String {
     let start = events.first().map_or(0, |event| stamp_millis(event.stamp));
     let mut text = String::new();
     for event in events {
@@ -30,7 +30,7 @@
 }
 
 /// A page with a lane for each process, a mark for each event and the list below.
-pub fn as_html(events: &[TraceEvent]) -> String {
+pub fn render_html(events: &[TraceEvent]) -> String {
     let mut page = String::from(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>wingbridge time line</title>\
          <style>body{font:14px/1.5 system-ui,sans-serif;margin:2rem;color:#1d2733;background:#fbfcfd}\
--- a/crates/trace/tests/causal_order.rs
+++ b/crates/trace/tests/causal_order.rs
@@ -1,7 +1,7 @@
 //! Causes stand before effects, whatever the boxes' clocks say.
 
 use proptest::prelude::*;
-use wingbridge_trace::{HybridClock, TimeLine, merge_events};
+use wingbridge_trace::{EventTrace, HybridClock, merge_events};
 
 proptest! {
     /// Three clocks that are wrong by up to half a minute pass a stamp around: it only grows.
@@ -34,9 +34,9 @@
 
 #[test]
 fn the_ring_is_bounded_and_counts_what_it_dropped() {
-    let line = TimeLine::new("box-1", "agent", 3);
+    let line = EventTrace::new("box-1", "agent", 3);
     for number in 0..5 {
-        line.note("test", &[("number", &number.to_string())]);
+        line.record("test", &[("number", &number.to_string())]);
     }
     assert_eq!(line.events().len(), 3);
     assert_eq!(line.dropped(), 2);
@@ -45,8 +45,8 @@
 
 #[test]
 fn an_event_heard_from_two_sides_stands_once() {
-    let line = TimeLine::new("box-1", "agent", 3);
-    line.note("test", &[]);
+    let line = EventTrace::new("box-1", "agent", 3);
+    line.record("test", &[]);
     let twice = line.events().into_iter().chain(line.events());
     assert_eq!(merge_events(twice).len(), 1);
 }
