--- a/crates/bench/src/steer/cost.rs
+++ b/crates/bench/src/steer/cost.rs
@@ -115,7 +115,7 @@
         large: false,
         body_bytes: 1200,
         goal: Duration::from_millis(1200),
-        left: Duration::from_secs(4),
+        remaining: Duration::from_secs(4),
         tried: &[],
         homes: HomeRegions::Any,
     }
--- a/crates/bench/src/steer/event.rs
+++ b/crates/bench/src/steer/event.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use wingbridge_decide::steer::ledger::RetryTally;
+use wingbridge_decide::steer::ledger::RetryCounts;
 use wingbridge_decide::steer::{AttemptHandle, PeerSample};
 use wingbridge_decide::{TargetKey, TimePoint};
 
@@ -81,5 +81,5 @@
     pub(super) from: u64,
     pub(super) key: TargetKey,
     pub(super) sample: PeerSample,
-    pub(super) tallies: Vec<(usize, RetryTally)>,
+    pub(super) retry_counts: Vec<(usize, RetryCounts)>,
 }
--- a/crates/bench/src/steer/world/limits.rs
+++ b/crates/bench/src/steer/world/limits.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 use wingbridge_decide::permits::PermitAnswer;
-use wingbridge_decide::steer::{LimitSaid, RequestRate, SteerPick};
+use wingbridge_decide::steer::{LimitUpdate, RequestRate, SteerPick};
 
 use super::World;
 use crate::steer::event::{Attempt, Request};
@@ -17,7 +17,7 @@
 
 impl World<'_> {
     /// Takes what a target's answer says of its limit, here and at all boxes if it is new.
-    pub(super) fn hear_limit(&mut self, attempt: usize) {
+    pub(super) fn receive_limit(&mut self, attempt: usize) {
         let Attempt { request, target, handle, .. } = self.attempts[attempt];
         let now = self.events.now;
         let named = self.named_limit(target);
@@ -26,8 +26,8 @@
             return;
         }
         let Request { gateway, .. } = self.requests[request];
-        let said = named.map_or(LimitSaid::None, LimitSaid::At);
-        let change = self.boxes[gateway].hear_limit(now, handle.key, handle.started, said);
+        let said = named.map_or(LimitUpdate::None, LimitUpdate::At);
+        let change = self.boxes[gateway].receive_limit(now, handle.key, handle.started, said);
         if change.is_none() {
             return;
         }
@@ -35,7 +35,7 @@
         for (number, core) in self.boxes.iter_mut().enumerate() {
             if number != gateway {
                 // Told at once; the time on the way changes little of seconds.
-                let _ = core.take_limit(now, handle.key, rate, Duration::ZERO);
+                let _ = core.merge_limit(now, handle.key, rate, Duration::ZERO);
             }
         }
     }
@@ -72,7 +72,7 @@
         match answer {
             PermitAnswer::Granted => true,
             PermitAnswer::Denied(wait) => {
-                self.boxes[gateway].note_used_up(pick.key, now + wait);
+                self.boxes[gateway].record_no_permit_until(pick.key, now + wait);
                 false
             }
         }
--- a/crates/bench/src/steer/world/mod.rs
+++ b/crates/bench/src/steer/world/mod.rs
@@ -13,7 +13,8 @@
 use wingbridge_decide::steer::mechanism::MechanismSet;
 use wingbridge_decide::steer::record::SteerTarget;
 use wingbridge_decide::steer::{
-    AttemptNews, HomeRegions, NoPick, RetryUse, SteerCore, SteerOutcome, SteerRequest, SteerSetup,
+    AttemptEffect, HomeRegions, PickError, RetryUse, SteerCore, SteerOutcome, SteerRequest,
+    SteerSetup,
 };
 use wingbridge_decide::{Name, TargetKey, TimePoint};
 
@@ -185,8 +186,10 @@
     /// queues and it has time to spare.
     fn send(&mut self, request: usize) {
         match self.try_send(request) {
-            Err(NoPick::Saturated) => self.events.schedule(HOLD_STEP, Event::LookAgain { request }),
-            Err(NoPick::Resting(left)) if self.may_hold(request, left) => {
+            Err(PickError::Saturated) => {
+                self.events.schedule(HOLD_STEP, Event::LookAgain { request })
+            }
+            Err(PickError::BackingOff(left)) if self.may_hold(request, left) => {
                 self.events.schedule(left, Event::LookAgain { request });
             }
             Err(_) if self.open_attempts(request) == 0 => self.end_request(request, None),
@@ -194,7 +197,7 @@
         }
     }
 
-    fn try_send(&mut self, request: usize) -> Result<(), NoPick> {
+    fn try_send(&mut self, request: usize) -> Result<(), PickError> {
         let Request { service, gateway, since, .. } = self.requests[request];
         let plan = &self.plan.services[service];
         let tried: Vec<TargetKey> = self.requests[request]
@@ -210,7 +213,7 @@
             large: false,
             body_bytes: 0,
             goal: plan.goal,
-            left: plan.timeout.saturating_sub(self.events.now.since(since)),
+            remaining: plan.timeout.saturating_sub(self.events.now.since(since)),
             tried: &tried,
             homes: HomeRegions::Any,
         };
@@ -240,7 +243,7 @@
         {
             self.events.schedule(after, Event::HedgeDue { request, attempt });
         }
-        self.tell(gateway, pick.key, None, &AttemptNews::default());
+        self.tell(gateway, pick.key, None, &AttemptEffect::default());
         Ok(())
     }
 
@@ -309,7 +312,7 @@
                 SteerOutcome::Shed
             }
         };
-        self.hear_limit(attempt);
+        self.receive_limit(attempt);
         self.end_attempt(attempt, outcome);
         if kind == AnswerKind::Good {
             self.end_request(request, Some(self.events.now.since(self.requests[request].since)));
@@ -381,7 +384,7 @@
         }
         self.requests[request].over = true;
         let outcome =
-            if served.is_some() { SteerOutcome::Dropped } else { SteerOutcome::OutOfTime };
+            if served.is_some() { SteerOutcome::Cancelled } else { SteerOutcome::DeadlineExceeded };
         for attempt in self.requests[request].attempts.clone() {
             if self.attempts[attempt].open {
                 self.end_attempt(attempt, outcome);
--- a/crates/bench/src/steer/world/telling.rs
+++ b/crates/bench/src/steer/world/telling.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use rand::Rng;
-use wingbridge_decide::steer::ledger::RetryTally;
+use wingbridge_decide::steer::ledger::RetryCounts;
 use wingbridge_decide::steer::{
-    AttemptHandle, AttemptNews, PeerSample, SteerOutcome, TargetNotice,
+    AttemptEffect, AttemptHandle, PeerSample, SteerOutcome, TargetNotice,
 };
 use wingbridge_decide::{Name, TargetKey};
 
@@ -15,7 +15,7 @@
 
 impl World<'_> {
     /// Counts a suspicion, and the time since its target's spell began.
-    pub(super) fn note_suspect(&mut self, handle: &AttemptHandle, news: &AttemptNews) {
+    pub(super) fn note_suspect(&mut self, handle: &AttemptHandle, news: &AttemptEffect) {
         if !news.change.as_ref().is_some_and(|change| change.suspect) {
             return;
         }
@@ -34,7 +34,7 @@
         gateway: usize,
         key: TargetKey,
         outcome: Option<SteerOutcome>,
-        news: &AttemptNews,
+        news: &AttemptEffect,
     ) {
         let (open, informative) = self.boxes[gateway].open_attempts_at(key);
         let failed = outcome == Some(SteerOutcome::Failed);
@@ -51,11 +51,12 @@
         let far_sample =
             PeerSample { bad: sample.bad, overdue: sample.overdue, ..PeerSample::default() };
         let urgent = failed || news.stalled;
-        let tallies = self.boxes[gateway].unreported_retry_counts(self.events.now);
-        let named = |(name, tally): (Name, RetryTally)| {
-            Some((self.names.iter().position(|known| *known == name)?, tally))
+        let retry_counts = self.boxes[gateway].unreported_retry_counts(self.events.now);
+        let named = |(name, counts): (Name, RetryCounts)| {
+            Some((self.names.iter().position(|known| *known == name)?, counts))
         };
-        let tallies: Vec<(usize, RetryTally)> = tallies.into_iter().filter_map(named).collect();
+        let retry_counts: Vec<(usize, RetryCounts)> =
+            retry_counts.into_iter().filter_map(named).collect();
         for to in (0..self.boxes.len()).filter(|to| *to != gateway) {
             let near = to % self.plan.centres == gateway % self.plan.centres;
             if !near && !urgent {
@@ -66,7 +67,7 @@
                 from: gateway as u64,
                 key,
                 sample: if near { sample.clone() } else { far_sample.clone() },
-                tallies: if near { tallies.clone() } else { Vec::new() },
+                retry_counts: if near { retry_counts.clone() } else { Vec::new() },
             };
             let gathered = if urgent { Duration::ZERO } else { TELL_AFTER };
             let way = if near { NEAR } else { self.plan.between };
@@ -76,13 +77,14 @@
     }
 
     pub(super) fn take_message(&mut self, message: usize) {
-        let Some(Message { to, from, key, sample, tallies }) = self.messages[message].take() else {
+        let Some(Message { to, from, key, sample, retry_counts }) = self.messages[message].take()
+        else {
             return;
         };
         // Suspicions are counted where an attempt gave rise to them.
         let _ = self.boxes[to].merge_peer_sample(self.events.now, from, key, &sample);
-        for (service, tally) in tallies {
-            self.boxes[to].merge_retry_counts(self.events.now, from, &self.names[service], tally);
+        for (service, counts) in retry_counts {
+            self.boxes[to].merge_retry_counts(self.events.now, from, &self.names[service], counts);
         }
     }
 
@@ -101,12 +103,12 @@
             RestWay::Spread => rest.mul_f64(self.random.random::<f64>() / 4.0),
             _ => Duration::ZERO,
         };
-        let notice = TargetNotice { leaves: false, rest: Some(rest + longer) };
+        let notice = TargetNotice { draining: false, backoff: Some(rest + longer) };
         let centre = gateway % self.plan.centres;
         let told = |other: usize| other % self.plan.centres == centre;
         for (number, core) in self.boxes.iter_mut().enumerate() {
             if number == gateway || (self.rest_way == RestWay::Told && told(number)) {
-                core.note_notice(now, handle.key, &notice);
+                core.record_notice(now, handle.key, &notice);
             }
         }
     }
--- a/crates/decide/src/core/evidence.rs
+++ b/crates/decide/src/core/evidence.rs
@@ -81,7 +81,7 @@
         commands: &mut Vec<BoxCommand>,
     ) {
         let good = !kind.is_bad();
-        self.self_check.note(!good);
+        self.self_check.record(!good);
         let Some((service, index)) = locate(&mut self.services, name, open.target) else {
             return;
         };
--- a/crates/decide/src/core/mod.rs
+++ b/crates/decide/src/core/mod.rs
@@ -20,7 +20,7 @@
 use crate::messages::{BoxCommand, BoxEvent, Conclusion, RefuseReason, RequestId};
 use crate::names::{Name, TargetKey};
 use crate::requests::{OpenAttempt, RequestTable, TimedCheck};
-use crate::selfcheck::SelfCheck;
+use crate::self_check::SelfCheck;
 use crate::service::ServiceState;
 use crate::setup::ServiceSetup;
 use crate::time::TimePoint;
--- a/crates/decide/src/detector/service.rs
+++ b/crates/decide/src/detector/service.rs
@@ -218,7 +218,7 @@
             }
             for mode in 0..FAILURE_MODES {
                 let rate = baseline.long.rate_without(&target.long.counts, mode);
-                self.dispersion[mode].note(now, span.count[mode], span.bad[mode], rate);
+                self.dispersion[mode].record(now, span.count[mode], span.bad[mode], rate);
             }
         }
     }
--- a/crates/decide/src/detector/target.rs
+++ b/crates/decide/src/detector/target.rs
@@ -211,7 +211,7 @@
         backoff: Duration,
         backoff_max: Duration,
     ) {
-        self.flaps.note(now, 0);
+        self.flaps.record(now, 0);
         let wait = self.flaps.backoff(backoff, backoff_max);
         self.conviction = Some(Conviction { since: now, trial_from: now + wait, finding });
         self.pools.clear();
--- a/crates/decide/src/dispersion.rs
+++ b/crates/decide/src/dispersion.rs
@@ -35,7 +35,7 @@
     }
 
     /// Notes a span of one target: `bad` of `count` outcomes, where `rate` is usual.
-    pub fn note(&mut self, now: TimePoint, count: f32, bad: f32, rate: f32) {
+    pub fn record(&mut self, now: TimePoint, count: f32, bad: f32, rate: f32) {
         if count < LEAST_COUNT {
             return;
         }
--- a/crates/decide/src/flaps.rs
+++ b/crates/decide/src/flaps.rs
@@ -18,7 +18,7 @@
 
 impl FlapCount {
     /// Counts one more ejection. `least` is what another part has counted.
-    pub(crate) fn note(&mut self, now: TimePoint, least: u32) {
+    pub(crate) fn record(&mut self, now: TimePoint, least: u32) {
         self.count = least.max(self.remembered(now) + 1);
         self.last = now;
     }
--- a/crates/decide/src/floor.rs
+++ b/crates/decide/src/floor.rs
@@ -13,9 +13,9 @@
     /// How many requests it works on at once.
     pub slots: u32,
     /// Whether it would be in service if it were not kept out.
-    pub counted: bool,
+    pub in_service: bool,
     /// Why it should be kept out, if it should.
-    pub wanted: Option<EjectionRank>,
+    pub ejection: Option<EjectionRank>,
 }
 
 /// The order in which ejections are granted; lower first. It is made only of what
@@ -39,14 +39,14 @@
 /// Which targets are kept out: for each its yes or no, in the order given.
 pub fn guard_floor(targets: &[GuardedTarget], floor: u32) -> Vec<bool> {
     let mut kept_out = vec![false; targets.len()];
-    let counted = targets.iter().filter(|target| target.counted);
+    let counted = targets.iter().filter(|target| target.in_service);
     let mut in_service: u32 = counted.map(|target| target.slots).sum();
     let mut wanted: Vec<usize> = (0..targets.len()).collect();
-    wanted.retain(|&index| targets[index].wanted.is_some());
-    wanted.sort_by_key(|&index| targets[index].wanted);
+    wanted.retain(|&index| targets[index].ejection.is_some());
+    wanted.sort_by_key(|&index| targets[index].ejection);
     for index in wanted {
         let target = &targets[index];
-        if !target.counted {
+        if !target.in_service {
             // It is no capacity, so keeping it out takes none away.
             kept_out[index] = in_service >= floor;
             continue;
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -219,7 +219,7 @@
             self.flaps.raise(flaps);
             return true;
         }
-        self.flaps.note(now, flaps);
+        self.flaps.record(now, flaps);
         self.backoff_until = now + self.flaps.backoff(limits.backoff, limits.backoff_max);
         true
     }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -24,7 +24,7 @@
 pub mod queue;
 pub mod quota;
 mod requests;
-mod selfcheck;
+mod self_check;
 pub mod service;
 pub mod setup;
 pub mod sketch;
--- a/crates/decide/src/names.rs
+++ b/crates/decide/src/names.rs
@@ -20,7 +20,7 @@
 
     /// The key of one life of the target named `id`: it holds nothing of what was known of an
     /// earlier one. `born_ms` is its start in milliseconds since 1970; 0 if it is not known.
-    pub fn of_life(id: &str, born_ms: u64) -> TargetKey {
+    pub fn of_incarnation(id: &str, born_ms: u64) -> TargetKey {
         if born_ms == 0 {
             return TargetKey::of(id);
         }
@@ -42,10 +42,10 @@
 /// The weight of `member` for `subject` in rendezvous hashing: the members with
 /// the highest weights take the subject, and the loss of one moves only its own.
 pub fn rendezvous_weight(subject: &str, member: &str) -> u64 {
-    rendezvous_weight_of(stable_hash(subject), member)
+    rendezvous_weight_for_hash(stable_hash(subject), member)
 }
 
 /// The same where the subject's [`stable_hash`] is at hand.
-pub fn rendezvous_weight_of(subject: u64, member: &str) -> u64 {
+pub fn rendezvous_weight_for_hash(subject: u64, member: &str) -> u64 {
     xxh3_64_with_seed(member.as_bytes(), subject)
 }
--- a/crates/decide/src/selfcheck.rs
+++ b/crates/decide/src/self_check.rs
@@ -23,7 +23,7 @@
 
 impl SelfCheck {
     /// Counts an attempt.
-    pub(crate) fn note(&mut self, failed: bool) {
+    pub(crate) fn record(&mut self, failed: bool) {
         self.attempts += 1.0;
         self.failed += f64::from(u8::from(failed));
     }
--- a/crates/decide/src/service.rs
+++ b/crates/decide/src/service.rs
@@ -86,8 +86,8 @@
         let slots = self.setup.slots;
         GuardedTarget {
             slots,
-            counted: self.health.counts_toward_floor(),
-            wanted: self.ejection_rank(),
+            in_service: self.health.counts_toward_floor(),
+            ejection: self.ejection_rank(),
         }
     }
 }
--- a/crates/decide/src/steer/ledger.rs
+++ b/crates/decide/src/steer/ledger.rs
@@ -35,14 +35,14 @@
 
 /// What a box got and sent again of one service within the last window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct RetryTally {
+pub struct RetryCounts {
     /// Requests.
     pub requests: u32,
     /// Sends beyond the first of a request.
     pub retries: u32,
     /// Retries of boxes that the teller heard of within the window and hears no more. A
     /// box that took the place of one of them would not know of them.
-    pub silent_retries: u32,
+    pub unresponsive_retries: u32,
 }
 
 /// The tallies of one service over the window.
@@ -50,7 +50,7 @@
 pub struct RetryLedger {
     parts: VecDeque<WindowPart>,
     /// What each peer told last, by its incarnation.
-    peers: HashMap<u64, (RetryTally, TimePoint)>,
+    peers: HashMap<u64, (RetryCounts, TimePoint)>,
     /// Whether this box did something that it has not told yet.
     untold: bool,
 }
@@ -65,37 +65,37 @@
 
 impl RetryLedger {
     /// Counts a request of this box.
-    pub fn note_request(&mut self, now: TimePoint) {
+    pub fn record_request(&mut self, now: TimePoint) {
         self.part(now).requests += 1;
         self.untold = true;
     }
 
     /// Counts a retry of this box.
-    pub fn note_retry(&mut self, now: TimePoint) {
+    pub fn record_retry(&mut self, now: TimePoint) {
         self.part(now).retries += 1;
         self.untold = true;
     }
 
     /// Takes what the peer of that incarnation told.
-    pub fn note_told(&mut self, now: TimePoint, peer: u64, tally: RetryTally) {
+    pub fn record_peer(&mut self, now: TimePoint, peer: u64, tally: RetryCounts) {
         self.peers.insert(peer, (tally, now));
     }
 
     /// What this box tells its peers, if it did something since it last told. Of services
     /// that rest nothing is told again and again: a large fleet has hundreds of them.
-    pub fn take_untold(&mut self, now: TimePoint, window: Duration) -> Option<RetryTally> {
+    pub fn take_unreported(&mut self, now: TimePoint, window: Duration) -> Option<RetryCounts> {
         let untold = std::mem::take(&mut self.untold);
-        untold.then(|| self.own_tally(now, window))
+        untold.then(|| self.own_counts(now, window))
     }
 
     /// What this box did within the window, and what silent boxes did.
-    pub fn own_tally(&mut self, now: TimePoint, window: Duration) -> RetryTally {
+    pub fn own_counts(&mut self, now: TimePoint, window: Duration) -> RetryCounts {
         self.forget_old(now, window);
         let silent = self.peers.values().filter(|(_, told)| is_silent(now, *told));
-        RetryTally {
+        RetryCounts {
             requests: self.parts.iter().map(|part| part.requests).sum(),
             retries: self.parts.iter().map(|part| part.retries).sum(),
-            silent_retries: silent.map(|(tally, _)| tally.retries).sum(),
+            unresponsive_retries: silent.map(|(tally, _)| tally.retries).sum(),
         }
     }
 
@@ -108,14 +108,14 @@
         heard: usize,
         all: usize,
     ) -> bool {
-        let own = self.own_tally(now, bounds.window);
+        let own = self.own_counts(now, bounds.window);
         let (mut requests, mut retries) = (own.requests, own.retries);
-        let mut silent = own.silent_retries;
+        let mut silent = own.unresponsive_retries;
         for (tally, told) in self.peers.values() {
             if !is_silent(now, *told) {
                 requests = requests.saturating_add(tally.requests);
                 retries = retries.saturating_add(tally.retries);
-                silent = silent.max(tally.silent_retries);
+                silent = silent.max(tally.unresponsive_retries);
             }
         }
         let slack = bounds.slack * heard as f64 / all.max(heard).max(1) as f64;
--- a/crates/decide/src/steer/limit.rs
+++ b/crates/decide/src/steer/limit.rs
@@ -1,71 +1,72 @@
-//! The limit that a target names in its answers: the requests a second that it takes from all boxes
-//! together, for as long as it says so.
+//! The limit that a target sets in its answers: the requests per second that it accepts from all boxes
+//! together, until it reports another limit or none.
 //!
-//! Answers of one target come back by different boxes, and not in the order in which it gave them. So a
-//! lower limit counts at once, whoever heard it, and a higher one or none only by the answer to a request
-//! that was sent after the lower one was heard: what had been under way may have been answered before.
+//! Answers of one target reach different boxes, and not in the order in which the target sent them. So a
+//! lower limit applies at once, whichever box received it. A higher limit, or the end of one, applies only
+//! by the answer to a request that was sent after the lower limit was received: the target may have answered
+//! an earlier request before it set the lower limit.
 
 use std::fmt;
 use std::time::Duration;
 
 use crate::time::TimePoint;
 
-/// Requests a second, in millionths.
+/// A rate of requests, stored in millionths of a request per second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct RequestRate(u64);
 
-/// What an answer says of its target's limit.
+/// The limit header of one answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum LimitSaid {
-    /// It names none.
+pub enum LimitUpdate {
+    /// The answer sets no limit.
     #[default]
     None,
-    /// It names one that can't be read, which changes nothing of what is known.
-    Unclear,
-    /// It names this one.
+    /// The answer has a limit that can't be parsed, so the known limit stays.
+    Unreadable,
+    /// The answer sets this limit.
     At(RequestRate),
 }
 
-/// What a target said last of its limit.
+/// The last limit that a target reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LimitWord {
-    /// The limit; `None` if it has none any more.
+pub struct LimitReport {
+    /// The limit; `None` if the target has lifted it.
     pub rate: Option<RequestRate>,
-    /// When a box heard it.
-    pub said: TimePoint,
+    /// When a box received it from the target.
+    pub received_at: TimePoint,
 }
 
-/// What is new of a target's limit.
+/// A change of a target's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitChange {
-    /// It has this one, or another one than before.
-    Named(RequestRate),
-    /// It has none any more.
-    Ended,
+    /// The target set its first limit, or a different one.
+    Set(RequestRate),
+    /// The target has no limit any more.
+    Cleared,
 }
 
 impl RequestRate {
-    /// One request a second.
+    /// Millionths in one request per second.
     const ONE: f64 = 1e6;
 
-    /// So many requests a second. `None` if that is no number from 0 on; more than a rate can hold
-    /// is the largest one.
+    /// Converts requests per second. Returns `None` for NaN and negative numbers; a number above the
+    /// largest rate gives the largest rate.
     pub fn new(per_second: f64) -> Option<RequestRate> {
-        // The cast keeps to the bounds of the number.
+        // A cast from float to integer saturates.
         (per_second >= 0.0).then(|| RequestRate((per_second * RequestRate::ONE).round() as u64))
     }
 
-    /// A rate in millionths of a request a second.
+    /// Converts millionths of a request per second.
     pub const fn from_millionths(millionths: u64) -> RequestRate {
         RequestRate(millionths)
     }
 
-    /// The rate in millionths of a request a second.
+    /// Returns the rate in millionths of a request per second.
     pub fn millionths(self) -> u64 {
         self.0
     }
 
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     pub fn per_second(self) -> f64 {
         self.0 as f64 / RequestRate::ONE
     }
@@ -77,51 +78,52 @@
     }
 }
 
-impl LimitWord {
-    /// The word that holds once an answer to a request that was sent at `asked` has said `said`, with
-    /// what is new by it; `None` if the answer changes nothing.
-    pub(crate) fn heard(
-        known: Option<LimitWord>,
+impl LimitReport {
+    /// Returns the report that is in force after an answer with `update` to a request that was sent at
+    /// `sent_at`, and the change that it makes; `None` if the answer changes nothing.
+    pub(crate) fn after_answer(
+        known: Option<LimitReport>,
         now: TimePoint,
-        asked: TimePoint,
-        said: LimitSaid,
-    ) -> Option<(LimitWord, Option<LimitChange>)> {
-        let rate = match said {
-            LimitSaid::None => None,
-            LimitSaid::Unclear => return None,
-            LimitSaid::At(rate) => Some(rate),
+        sent_at: TimePoint,
+        update: LimitUpdate,
+    ) -> Option<(LimitReport, Option<LimitChange>)> {
+        let rate = match update {
+            LimitUpdate::None => None,
+            LimitUpdate::Unreadable => return None,
+            LimitUpdate::At(rate) => Some(rate),
         };
-        let word = LimitWord { rate, said: now };
+        let report = LimitReport { rate, received_at: now };
         let Some(known) = known else {
-            return rate.map(|rate| (word, Some(LimitChange::Named(rate))));
+            return rate.map(|rate| (report, Some(LimitChange::Set(rate))));
         };
         if known.rate == rate {
-            return Some((word, None));
+            return Some((report, None));
         }
-        let is_later = asked >= known.said;
-        (word.is_lower_than(&known) || is_later).then(|| (word, Some(word.as_change())))
+        let is_later = sent_at >= known.received_at;
+        (report.is_lower_than(&known) || is_later).then(|| (report, Some(report.as_change())))
     }
 
-    /// The same for what a peer tells that heard it `age` ago: the later word holds.
-    pub(crate) fn told(
-        known: Option<LimitWord>,
+    /// Returns the report that is in force after a peer passed on a limit that it received `age` ago, and
+    /// the change that it makes; `None` if the known report is as recent. The more recent report wins.
+    pub(crate) fn after_peer_report(
+        known: Option<LimitReport>,
         now: TimePoint,
         rate: Option<RequestRate>,
         age: Duration,
-    ) -> Option<(LimitWord, Option<LimitChange>)> {
-        let word = LimitWord { rate, said: now.before(age) };
+    ) -> Option<(LimitReport, Option<LimitChange>)> {
+        let report = LimitReport { rate, received_at: now.before(age) };
         let Some(known) = known else {
-            let change = rate.map(LimitChange::Named);
-            return Some((word, change));
+            let change = rate.map(LimitChange::Set);
+            return Some((report, change));
         };
-        if word.said <= known.said {
+        if report.received_at <= known.received_at {
             return None;
         }
-        let change = (known.rate != rate).then(|| word.as_change());
-        Some((word, change))
+        let change = (known.rate != rate).then(|| report.as_change());
+        Some((report, change))
     }
 
-    fn is_lower_than(&self, other: &LimitWord) -> bool {
+    fn is_lower_than(&self, other: &LimitReport) -> bool {
         match (self.rate, other.rate) {
             (Some(rate), Some(other)) => rate < other,
             (rate, None) => rate.is_some(),
@@ -130,6 +132,6 @@
     }
 
     fn as_change(self) -> LimitChange {
-        self.rate.map_or(LimitChange::Ended, LimitChange::Named)
+        self.rate.map_or(LimitChange::Cleared, LimitChange::Set)
     }
 }
--- a/crates/decide/src/steer/messages.rs
+++ b/crates/decide/src/steer/messages.rs
@@ -40,7 +40,7 @@
     /// The time within which its answer is worth most.
     pub goal: Duration,
     /// The time that is left for it.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Targets that were tried for it.
     pub tried: &'a [TargetKey],
     /// The regions that it may be served in.
@@ -102,7 +102,7 @@
 impl RetryUse {
     /// The part of the budget that is there for it. What hedges leave is for requests that
     /// are lost for certain without a retry.
-    pub(crate) fn budget_part(self) -> f64 {
+    pub(crate) fn budget_share(self) -> f64 {
         match self {
             RetryUse::Repeat => 1.0,
             RetryUse::Hedge => 0.9,
@@ -112,12 +112,12 @@
 
 /// Why there is no choice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoPick {
+pub enum PickError {
     /// The service has no target that takes work, or each was tried.
     NoTarget,
     /// All targets of the service have said that they want nothing, or no more than they get: the
     /// first of them for this long yet.
-    Resting(Duration),
+    BackingOff(Duration),
     /// Each target is so full that the request can't be answered in time.
     Overloaded,
     /// Requests queue at each target, and this one has time to spare: it had better look
@@ -133,22 +133,22 @@
     /// A whole answer that says that it failed.
     Failed,
     /// No whole answer came back.
-    Broken,
+    Incomplete,
     /// The request's time was over while it was open.
-    OutOfTime,
+    DeadlineExceeded,
     /// The target refused before it ran anything.
     Shed,
     /// The connection did not come up.
-    NotConnected,
+    ConnectFailed,
     /// Another target listens at the address.
     WrongTarget,
     /// Dropped by us, for reasons of our own.
-    Dropped,
+    Cancelled,
 }
 
 /// What the end of an attempt, or its age, told of its target.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct AttemptNews {
+pub struct AttemptEffect {
     /// Whether it counts as stalled, which peers should hear.
     pub stalled: bool,
     /// The time of a good answer without its wait, in multiples of what is usual for its
@@ -206,12 +206,12 @@
     pub(crate) fn as_sample(self) -> Option<OutcomeSample> {
         match self {
             SteerOutcome::Good(_) => Some(OutcomeSample::Good),
-            SteerOutcome::Failed | SteerOutcome::Broken => Some(OutcomeSample::Bad),
-            SteerOutcome::OutOfTime
+            SteerOutcome::Failed | SteerOutcome::Incomplete => Some(OutcomeSample::Bad),
+            SteerOutcome::DeadlineExceeded
             | SteerOutcome::Shed
-            | SteerOutcome::NotConnected
+            | SteerOutcome::ConnectFailed
             | SteerOutcome::WrongTarget
-            | SteerOutcome::Dropped => None,
+            | SteerOutcome::Cancelled => None,
         }
     }
 }
--- a/crates/decide/src/steer/mod.rs
+++ b/crates/decide/src/steer/mod.rs
@@ -11,23 +11,23 @@
 mod average;
 mod choose;
 pub mod failure_estimate;
-mod kept;
 pub mod latency_ratios;
 pub mod ledger;
 pub mod limit;
-pub mod listeners;
 pub mod mechanism;
 pub mod messages;
-pub mod news;
 pub mod notice;
 mod notices;
 mod open;
-mod parted;
+pub mod peer_subset;
 mod pool;
 pub mod record;
+pub mod relay;
 mod routes;
 pub mod split;
+mod subset;
 mod trial;
+mod unlisted;
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -37,24 +37,24 @@
 
 use crate::names::{Name, TargetKey};
 use crate::steer::choose::{candidates, sample_candidate};
-use crate::steer::kept::kept_targets;
 use crate::steer::latency_ratios::OVERDUE_SHARE;
-use crate::steer::ledger::{RetryBounds, RetryLedger, RetryTally};
-use crate::steer::listeners::heard_boxes;
+use crate::steer::ledger::{RetryBounds, RetryCounts, RetryLedger};
 use crate::steer::mechanism::Mechanism;
-use crate::steer::parted::PartedNotices;
+use crate::steer::peer_subset::reporting_boxes;
 use crate::steer::pool::{ASSUMED_TIME, TargetPool};
 use crate::steer::record::{SteerTarget, TargetRecord};
 use crate::steer::routes::RouteStats;
+use crate::steer::subset::target_subset;
 use crate::steer::trial::{TrialContext, sample_trial};
+use crate::steer::unlisted::UnlistedNotices;
 use crate::time::TimePoint;
 
-pub use limit::{LimitChange, LimitSaid, LimitWord, RequestRate};
+pub use limit::{LimitChange, LimitReport, LimitUpdate, RequestRate};
 pub use messages::{
-    AttemptNews, HomeRegions, LoadReport, NoPick, PeerSample, RetryUse, SteerOutcome, SteerPick,
-    SteerRequest, SteerSetup, SuspicionChange,
+    AttemptEffect, HomeRegions, LoadReport, PeerSample, PickError, RetryUse, SteerOutcome,
+    SteerPick, SteerRequest, SteerSetup, SuspicionChange,
 };
-pub use notice::{LeftOut, NoticeBar, NoticeChange, TargetNotice};
+pub use notice::{ExcludedTargets, Ineligibility, NoticeChange, TargetNotice};
 pub use open::{AttemptHandle, OpenAge};
 pub use record::MIN_SUSPECT_RISK;
 
@@ -85,7 +85,7 @@
     setup: SteerSetup,
     pools: HashMap<Name, TargetPool>,
     services: HashMap<TargetKey, Name>,
-    unlisted: PartedNotices,
+    unlisted: UnlistedNotices,
     ledgers: HashMap<Name, RetryLedger>,
     routes: RouteStats,
     local_boxes: usize,
@@ -105,7 +105,7 @@
             setup,
             pools: HashMap::new(),
             services: HashMap::new(),
-            unlisted: PartedNotices::default(),
+            unlisted: UnlistedNotices::default(),
             ledgers: HashMap::new(),
             routes: RouteStats::default(),
             local_boxes: 1,
@@ -128,7 +128,7 @@
         let at_start = self.services.is_empty();
         for key in removed {
             if let Some(record) = self.remove_record(*key) {
-                self.unlisted.keep(now, *key, record.notices);
+                self.unlisted.store(now, *key, record.notices);
             }
         }
         for target in set {
@@ -138,7 +138,7 @@
                 Some(record) => record.with_setup(target),
                 None => {
                     let in_use = self.pools.get(&service).is_some_and(TargetPool::is_in_use);
-                    TargetRecord::new(target, now, at_start, in_use, self.unlisted.restore(key))
+                    TargetRecord::new(target, now, at_start, in_use, self.unlisted.take(key))
                 }
             };
             self.services.insert(key, service.clone());
@@ -161,23 +161,23 @@
         if let Some(pool) = self.pools.get_mut(service) {
             pool.record_request(now);
         }
-        self.ledger(service).note_request(now);
+        self.ledger(service).record_request(now);
     }
 
     /// Takes a retry from the budget that all boxes share; returns false if none is left for that use.
     pub fn spend_retry(&mut self, now: TimePoint, service: &str, usage: RetryUse) -> bool {
-        let (bounds, reporting) = (self.setup.retries, heard_boxes(self.local_boxes));
+        let (bounds, reporting) = (self.setup.retries, reporting_boxes(self.local_boxes));
         let all = self.boxes.max(MIN_BOXES);
         // The retries of this box and its peers before it started are unknown. If the whole fleet was
         // restarted, the slack may have been used up just before.
         let is_window_known = now.since(TimePoint::default()) >= bounds.window;
         let slack = if is_window_known { bounds.slack } else { 0.0 };
-        let part = usage.budget_part();
+        let part = usage.budget_share();
         let bounds = RetryBounds { slack: slack * part, share: bounds.share * part, ..bounds };
         let ledger = self.ledger(service);
         let allowed = ledger.allows(now, &bounds, reporting, all);
         if allowed {
-            ledger.note_retry(now);
+            ledger.record_retry(now);
         }
         allowed
     }
@@ -189,17 +189,17 @@
         now: TimePoint,
         peer: u64,
         service: &str,
-        counts: RetryTally,
+        counts: RetryCounts,
     ) {
-        self.ledger(service).note_told(now, peer, counts);
+        self.ledger(service).record_peer(now, peer, counts);
     }
 
     /// Returns what this box counted of each service within the last window, to be reported to its peers,
     /// without the services for which nothing was counted since the last report.
-    pub fn unreported_retry_counts(&mut self, now: TimePoint) -> Vec<(Name, RetryTally)> {
+    pub fn unreported_retry_counts(&mut self, now: TimePoint) -> Vec<(Name, RetryCounts)> {
         let window = self.setup.retries.window;
         let unreported = self.ledgers.iter_mut().filter_map(|(service, ledger)| {
-            let counts = ledger.take_untold(now, window)?;
+            let counts = ledger.take_unreported(now, window)?;
             Some((service.clone(), counts))
         });
         unreported.collect()
@@ -214,13 +214,13 @@
         &mut self,
         now: TimePoint,
         request: &SteerRequest<'_>,
-    ) -> Result<SteerPick, NoPick> {
+    ) -> Result<SteerPick, PickError> {
         let Some(pool) = self.pools.get(request.service) else {
-            return Err(NoPick::NoTarget);
+            return Err(PickError::NoTarget);
         };
         let random: f64 = self.random.random();
         let context = self.trial_context();
-        let subset = kept_targets(now, pool, request, &context);
+        let subset = target_subset(now, pool, request, &context);
         let context = TrialContext { only_unattempted: subset.is_some(), ..context };
         if let Some(key) = sample_trial(now, pool, request, &context, random) {
             return Ok(make_pick(key, pool, now, true));
@@ -229,17 +229,17 @@
         let candidates = candidates(now, pool, request, typical, &self.setup, subset);
         if candidates.is_empty() {
             let first = pool.time_to_first(now, request.homes);
-            return Err(first.map_or(NoPick::NoTarget, NoPick::Resting));
+            return Err(first.map_or(PickError::NoTarget, PickError::BackingOff));
         }
-        if candidates.iter().all(|candidate| candidate.wait >= request.left) {
-            return Err(NoPick::Overloaded);
+        if candidates.iter().all(|candidate| candidate.wait >= request.remaining) {
+            return Err(PickError::Overloaded);
         }
         let Some(chosen) = sample_candidate(&candidates, &mut self.random) else {
-            return Err(NoPick::NoTarget);
+            return Err(PickError::NoTarget);
         };
         let holds_back = self.setup.mechanisms.has(Mechanism::HoldBack);
-        if holds_back && chosen.wait > MIN_SATURATED_WAIT && request.left > request.goal {
-            return Err(NoPick::Saturated);
+        if holds_back && chosen.wait > MIN_SATURATED_WAIT && request.remaining > request.goal {
+            return Err(PickError::Saturated);
         }
         Ok(make_pick(chosen.key, pool, now, false))
     }
@@ -287,16 +287,16 @@
         route: &Name,
         outcome: SteerOutcome,
         bytes: usize,
-    ) -> AttemptNews {
+    ) -> AttemptEffect {
         let known = self.routes.typical_time(route);
         let work_time = work_time(now, handle);
         match outcome {
             SteerOutcome::Good(_) if handle.timed => self.routes.record_answer(route, work_time),
-            SteerOutcome::OutOfTime if handle.timed => self.routes.record_out_of_time(route),
+            SteerOutcome::DeadlineExceeded if handle.timed => self.routes.record_out_of_time(route),
             _ => {}
         }
         let Some(pool) = self.pool_mut(handle.key) else {
-            return AttemptNews::default();
+            return AttemptEffect::default();
         };
         let mut latency_ratio = None;
         if let SteerOutcome::Good(time) = outcome
@@ -309,14 +309,14 @@
         if let Some(latency_ratio) = latency_ratio {
             pool.record_latency_ratio(now, handle.key, latency_ratio);
         }
-        AttemptNews { latency_ratio, ..pool.record_end(now, handle, outcome) }
+        AttemptEffect { latency_ratio, ..pool.record_end(now, handle, outcome) }
     }
 
     /// Records that an attempt is open for longer than nearly all; returns the effect.
-    pub fn record_overdue(&mut self, now: TimePoint, handle: &AttemptHandle) -> AttemptNews {
+    pub fn record_overdue(&mut self, now: TimePoint, handle: &AttemptHandle) -> AttemptEffect {
         match self.pool_mut(handle.key) {
             Some(pool) if handle.informative => pool.record_overdue(now, handle),
-            _ => AttemptNews::default(),
+            _ => AttemptEffect::default(),
         }
     }
 
--- a/crates/decide/src/steer/notice.rs
+++ b/crates/decide/src/steer/notice.rs
@@ -1,159 +1,163 @@
-//! What targets say of themselves in their answers: that they leave, for how long they want nothing
-//! from the box that they answer, and how many requests a second they take from all boxes together.
+//! Notices: what targets report about themselves in their answers. A target can report that it is draining,
+//! ask the box that it answers to back off, and limit the requests per second of all boxes together.
 //!
-//! Such a notice is the target's own word, so it counts without the store and whatever the store
-//! lists. It belongs to one life of a target: the next one, under another name or the same, begins
-//! without any.
+//! A notice comes from the target itself, so it applies without the store and overrides what the store
+//! lists. It belongs to one incarnation of a target: the next one, under the same name or another, starts
+//! without notices.
 
 use std::time::Duration;
 
-use crate::steer::limit::{LimitChange, LimitSaid, LimitWord, RequestRate};
+use crate::steer::limit::{LimitChange, LimitReport, LimitUpdate, RequestRate};
 use crate::time::TimePoint;
 
-/// A longer rest is taken for one of this time. Targets ask for seconds; one that asks for years by
-/// mistake is back in use after ten minutes, and asked for again by one request a box then.
-const LONGEST_REST: Duration = Duration::from_secs(600);
-/// A rest that is asked for again with an end this near the known one is no news.
-const SAME_END: Duration = Duration::from_millis(100);
+/// Upper bound on a back-off. Targets ask for seconds; one that asks for years by mistake is back in use
+/// after ten minutes, when one request of each box finds out whether it still wants to back off.
+const MAX_BACKOFF: Duration = Duration::from_secs(600);
+/// A repeated back-off whose end moves by no more than this is not reported as a change.
+const SAME_END_TOLERANCE: Duration = Duration::from_millis(100);
 
-/// What one answer says of the target that gave it.
+/// The notice in one answer of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TargetNotice {
-    /// Whether it leaves.
-    pub leaves: bool,
-    /// For how long it wants nothing from this box.
-    pub rest: Option<Duration>,
+    /// Whether the target is draining.
+    pub draining: bool,
+    /// Time for which the target asks this box to send nothing.
+    pub backoff: Option<Duration>,
 }
 
-/// What is new by a notice.
+/// The part of a notice that was not known before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct NoticeChange {
-    /// Whether it was not known that the target leaves.
-    pub leaves: bool,
-    /// The time of a rest that was not known, or not to be as long.
-    pub rest: Option<Duration>,
+    /// Whether the target is now known to be draining and was not before.
+    pub draining: bool,
+    /// The back-off, if it is new or ends later than the known one.
+    pub backoff: Option<Duration>,
 }
 
-/// Why a target wants nothing now.
+/// The reason why a target must not be sent requests now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoticeBar {
-    /// It has said that it leaves, that long ago.
-    Leaving(Duration),
-    /// It has asked for rest.
-    Resting {
-        /// How long ago.
+pub enum Ineligibility {
+    /// The target reported that it is draining, this long ago.
+    Draining(Duration),
+    /// The target asked the box to back off.
+    BackingOff {
+        /// Time since the target asked for it.
         since: Duration,
-        /// For how much longer.
-        left: Duration,
+        /// Time until the back-off ends.
+        remaining: Duration,
     },
 }
 
-/// Targets of one service that want nothing now.
+/// Numbers of targets that are excluded from selection now, by reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct LeftOut {
-    /// Those that leave.
-    pub leaving: usize,
-    /// Those that rest.
-    pub resting: usize,
-    /// Those whose addresses others have.
+pub struct ExcludedTargets {
+    /// Targets that are draining.
+    pub draining: usize,
+    /// Targets that asked this box to back off.
+    pub backing_off: usize,
+    /// Targets whose address another instance has taken.
     pub replaced: usize,
-    /// Those whose limit over all boxes is used up for now.
+    /// Targets whose limit over all boxes is used up for now.
     pub limited: usize,
-    /// Those whose data centres operators want nothing sent to.
+    /// Targets in data centres that operators have evacuated.
     pub evacuated: usize,
 }
 
-/// All that one target has said of itself.
+/// All notices of one target that are in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct NoticeState {
-    leaves_since: Option<TimePoint>,
-    rest: Option<RestSpan>,
-    limit: Option<LimitWord>,
+    draining_since: Option<TimePoint>,
+    backoff: Option<BackoffSpan>,
+    limit: Option<LimitReport>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct RestSpan {
+struct BackoffSpan {
     since: TimePoint,
     until: TimePoint,
 }
 
 impl NoticeState {
-    /// Takes what an answer says. A shorter rest doesn't end a longer one: the target was promised
-    /// that.
-    pub(crate) fn take(&mut self, now: TimePoint, notice: &TargetNotice) -> NoticeChange {
-        let leaves = notice.leaves && self.leaves_since.is_none();
-        if leaves {
-            self.leaves_since = Some(now);
+    /// Applies the notice of an answer. A shorter back-off does not end a longer one: the box has already
+    /// agreed to the longer one.
+    pub(crate) fn apply(&mut self, now: TimePoint, notice: &TargetNotice) -> NoticeChange {
+        let draining = notice.draining && self.draining_since.is_none();
+        if draining {
+            self.draining_since = Some(now);
         }
-        let rest = notice.rest.map(|rest| rest.min(LONGEST_REST)).filter(|rest| !rest.is_zero());
-        let rest = rest.filter(|rest| self.lengthen(now, *rest));
-        NoticeChange { leaves, rest }
+        let backoff =
+            notice.backoff.map(|time| time.min(MAX_BACKOFF)).filter(|time| !time.is_zero());
+        let backoff = backoff.filter(|time| self.extend_backoff(now, *time));
+        NoticeChange { draining, backoff }
     }
 
-    /// Takes what an answer to a request that was sent at `asked` says of the target's limit.
-    pub(crate) fn hear_limit(
+    /// Applies the limit in an answer to a request that was sent at `sent_at`.
+    pub(crate) fn receive_limit(
         &mut self,
         now: TimePoint,
-        asked: TimePoint,
-        said: LimitSaid,
+        sent_at: TimePoint,
+        update: LimitUpdate,
     ) -> Option<LimitChange> {
-        let (word, change) = LimitWord::heard(self.limit, now, asked, said)?;
-        self.limit = Some(word);
+        let (report, change) = LimitReport::after_answer(self.limit, now, sent_at, update)?;
+        self.limit = Some(report);
         change
     }
 
-    /// Takes what a peer tells of the limit that heard it `age` ago.
-    pub(crate) fn take_limit(
+    /// Merges a limit that a peer received from the target `age` ago.
+    pub(crate) fn merge_limit(
         &mut self,
         now: TimePoint,
         rate: Option<RequestRate>,
         age: Duration,
     ) -> Option<LimitChange> {
-        let (word, change) = LimitWord::told(self.limit, now, rate, age)?;
-        self.limit = Some(word);
+        let (report, change) = LimitReport::after_peer_report(self.limit, now, rate, age)?;
+        self.limit = Some(report);
         change
     }
 
-    /// What the target said last of its limit.
-    pub(crate) fn limit_word(&self) -> Option<LimitWord> {
+    /// Returns the target's last limit report.
+    pub(crate) fn limit_report(&self) -> Option<LimitReport> {
         self.limit
     }
 
-    /// The limit that it has now.
+    /// Returns the limit that is in force.
     pub(crate) fn limit(&self) -> Option<RequestRate> {
         self.limit?.rate
     }
 
-    /// Why the target wants nothing at `now`, if so.
-    pub(crate) fn bar(&self, now: TimePoint) -> Option<NoticeBar> {
-        if let Some(since) = self.leaves_since {
-            return Some(NoticeBar::Leaving(now.since(since)));
+    /// Returns the reason why the target must not be sent requests at `now`, if there is one.
+    pub(crate) fn ineligibility(&self, now: TimePoint) -> Option<Ineligibility> {
+        if let Some(since) = self.draining_since {
+            return Some(Ineligibility::Draining(now.since(since)));
         }
-        let rest = self.rest.filter(|rest| now < rest.until)?;
-        Some(NoticeBar::Resting { since: now.since(rest.since), left: rest.until.since(now) })
+        let backoff = self.backoff.filter(|backoff| now < backoff.until)?;
+        Some(Ineligibility::BackingOff {
+            since: now.since(backoff.since),
+            remaining: backoff.until.since(now),
+        })
     }
 
-    /// Whether it has said nothing so far.
-    pub(crate) fn is_silent(&self) -> bool {
+    /// Whether the target has given no notice so far.
+    pub(crate) fn is_empty(&self) -> bool {
         *self == NoticeState::default()
     }
 
-    /// Ends rests sooner by `time`, which the clock did not count.
+    /// Ends the back-off earlier by `time`, which passed without being counted by the clock.
     pub(crate) fn advance_clocks(&mut self, time: Duration) {
-        if let Some(rest) = &mut self.rest {
-            rest.until = rest.until.before(time);
+        if let Some(backoff) = &mut self.backoff {
+            backoff.until = backoff.until.before(time);
         }
     }
 
-    /// Takes a rest from `now` on; returns whether it ends later than what was known.
-    fn lengthen(&mut self, now: TimePoint, time: Duration) -> bool {
+    /// Records a back-off that starts at `now`; returns whether it ends later than the known one.
+    fn extend_backoff(&mut self, now: TimePoint, time: Duration) -> bool {
         let until = now + time;
-        let known = self.rest.filter(|rest| now < rest.until);
-        let Some(rest) = known else {
-            self.rest = Some(RestSpan { since: now, until });
+        let known = self.backoff.filter(|backoff| now < backoff.until);
+        let Some(backoff) = known else {
+            self.backoff = Some(BackoffSpan { since: now, until });
             return true;
         };
-        self.rest = Some(RestSpan { until: until.max(rest.until), ..rest });
-        until > rest.until + SAME_END
+        self.backoff = Some(BackoffSpan { until: until.max(backoff.until), ..backoff });
+        until > backoff.until + SAME_END_TOLERANCE
     }
 }
--- a/crates/decide/src/steer/notices.rs
+++ b/crates/decide/src/steer/notices.rs
@@ -4,56 +4,58 @@
 
 use crate::names::{Name, TargetKey};
 use crate::steer::SteerCore;
-use crate::steer::limit::{LimitChange, LimitSaid, LimitWord, RequestRate};
+use crate::steer::limit::{LimitChange, LimitReport, LimitUpdate, RequestRate};
 use crate::steer::messages::HomeRegions;
-use crate::steer::notice::{LeftOut, NoticeBar, NoticeChange, NoticeState, TargetNotice};
+use crate::steer::notice::{
+    ExcludedTargets, Ineligibility, NoticeChange, NoticeState, TargetNotice,
+};
 use crate::steer::record::TargetRecord;
 use crate::time::TimePoint;
 
 impl SteerCore {
     /// Takes what a target's answer to this box says of it.
-    pub fn note_notice(
+    pub fn record_notice(
         &mut self,
         now: TimePoint,
         key: TargetKey,
         notice: &TargetNotice,
     ) -> NoticeChange {
         match self.record_mut(key) {
-            Some(record) => record.notices.take(now, notice),
-            None => self.unlisted.take(now, key, notice),
+            Some(record) => record.notices.apply(now, notice),
+            None => self.unlisted.apply(now, key, notice),
         }
     }
 
     /// Takes a peer's word that a target has said that it leaves; returns whether that is new.
-    pub fn note_leaving(&mut self, now: TimePoint, key: TargetKey) -> bool {
-        self.note_notice(now, key, &TargetNotice { leaves: true, rest: None }).leaves
+    pub fn record_draining(&mut self, now: TimePoint, key: TargetKey) -> bool {
+        self.record_notice(now, key, &TargetNotice { draining: true, backoff: None }).draining
     }
 
     /// Takes what a target's answer to a request of this box, sent at `asked`, says of its limit.
-    pub fn hear_limit(
+    pub fn receive_limit(
         &mut self,
         now: TimePoint,
         key: TargetKey,
         asked: TimePoint,
-        said: LimitSaid,
+        said: LimitUpdate,
     ) -> Option<LimitChange> {
-        self.change_limit(now, key, |notices| notices.hear_limit(now, asked, said))
+        self.change_limit(now, key, |notices| notices.receive_limit(now, asked, said))
     }
 
     /// Takes what a peer tells of a target's limit that heard it `age` ago; `None` for the end of one.
-    pub fn take_limit(
+    pub fn merge_limit(
         &mut self,
         now: TimePoint,
         key: TargetKey,
         rate: Option<RequestRate>,
         age: Duration,
     ) -> Option<LimitChange> {
-        self.change_limit(now, key, |notices| notices.take_limit(now, rate, age))
+        self.change_limit(now, key, |notices| notices.merge_limit(now, rate, age))
     }
 
     /// What a listed target said last of its limit.
-    pub fn limit_word(&self, key: TargetKey) -> Option<LimitWord> {
-        self.pool_of(key)?[key].notices.limit_word()
+    pub fn limit_report(&self, key: TargetKey) -> Option<LimitReport> {
+        self.pool_of(key)?[key].notices.limit_report()
     }
 
     /// The limit of a target over all boxes, if it has one now, by its own word or since it is cold.
@@ -67,7 +69,7 @@
     }
 
     /// Takes a peer's word that a target is cold and takes `rate` from all boxes together.
-    pub fn note_cold(&mut self, now: TimePoint, key: TargetKey, rate: RequestRate) {
+    pub fn record_cold(&mut self, now: TimePoint, key: TargetKey, rate: RequestRate) {
         if let Some(record) = self.record_mut(key) {
             record.record_cold(now, rate);
         }
@@ -79,16 +81,16 @@
     }
 
     /// Notes that there is no permit for a target until then.
-    pub fn note_used_up(&mut self, key: TargetKey, until: TimePoint) {
+    pub fn record_no_permit_until(&mut self, key: TargetKey, until: TimePoint) {
         if let Some(record) = self.record_mut(key) {
             record.record_no_permit_until(until);
         }
     }
 
     /// The listed targets that have a limit now, with what they said last of it.
-    pub fn limited_targets(&self) -> impl Iterator<Item = (TargetKey, LimitWord)> {
+    pub fn limited_targets(&self) -> impl Iterator<Item = (TargetKey, LimitReport)> {
         let records = self.pools.values().flat_map(|pool| pool.all_records());
-        let words = records.filter_map(|record| Some((record, record.notices.limit_word()?)));
+        let words = records.filter_map(|record| Some((record, record.notices.limit_report()?)));
         let limited = words.filter(|(_, word)| word.rate.is_some());
         limited.map(|(record, word)| (record.setup.key(), word))
     }
@@ -105,7 +107,7 @@
 
     /// Whether a target in the regions `homes` could be chosen for a request of `service` beside those
     /// that were tried.
-    pub fn has_choice(
+    pub fn has_eligible_target(
         &self,
         now: TimePoint,
         service: &str,
@@ -117,19 +119,19 @@
     }
 
     /// Why a target wants nothing at `now`, by its own word; `None` if it does, or is not known.
-    pub fn notice_bar(&self, now: TimePoint, key: TargetKey) -> Option<NoticeBar> {
-        self.pool_of(key)?[key].notices.bar(now)
+    pub fn ineligibility(&self, now: TimePoint, key: TargetKey) -> Option<Ineligibility> {
+        self.pool_of(key)?[key].notices.ineligibility(now)
     }
 
     /// What is left out of each choice among the targets of `service`.
-    pub fn left_out(&self, now: TimePoint, service: &str) -> LeftOut {
+    pub fn excluded(&self, now: TimePoint, service: &str) -> ExcludedTargets {
         let pool = self.pools.get(service);
         let records = pool.into_iter().flat_map(|pool| pool.all_records());
         count(now, records)
     }
 
     /// The same over all services.
-    pub fn all_left_out(&self, now: TimePoint) -> LeftOut {
+    pub fn all_excluded(&self, now: TimePoint) -> ExcludedTargets {
         count(now, self.pools.values().flat_map(|pool| pool.all_records()))
     }
 
@@ -148,7 +150,7 @@
         take: impl FnOnce(&mut NoticeState) -> Option<LimitChange>,
     ) -> Option<LimitChange> {
         let Some(record) = self.record_mut(key) else {
-            return self.unlisted.change(now, key, take);
+            return self.unlisted.update(now, key, take);
         };
         let change = take(&mut record.notices)?;
         record.clear_permit_wait();
@@ -156,8 +158,8 @@
     }
 }
 
-fn count<'a>(now: TimePoint, records: impl Iterator<Item = &'a TargetRecord>) -> LeftOut {
-    let mut out = LeftOut::default();
+fn count<'a>(now: TimePoint, records: impl Iterator<Item = &'a TargetRecord>) -> ExcludedTargets {
+    let mut out = ExcludedTargets::default();
     for record in records {
         if record.is_replaced() {
             out.replaced += 1;
@@ -167,9 +169,9 @@
             out.evacuated += 1;
             continue;
         }
-        match record.notices.bar(now) {
-            Some(NoticeBar::Leaving(_)) => out.leaving += 1,
-            Some(NoticeBar::Resting { .. }) => out.resting += 1,
+        match record.notices.ineligibility(now) {
+            Some(Ineligibility::Draining(_)) => out.draining += 1,
+            Some(Ineligibility::BackingOff { .. }) => out.backing_off += 1,
             None => out.limited += usize::from(record.permit_wait(now).is_some()),
         }
     }
--- a/crates/decide/src/steer/listeners.rs
+++ b/crates/decide/src/steer/peer_subset.rs
@@ -12,21 +12,21 @@
 
 /// Boxes that hear of all that one sees. Data centres of the users with 36 boxes and fewer, for
 /// whom the beliefs were measured, tell everybody.
-pub const LISTENERS: usize = 36;
+pub const PEER_SUBSET_SIZE: usize = 36;
 
-/// The `LISTENERS` of `others` that box `own` tells all, chosen evenly over the boxes: who hears
+/// The `PEER_SUBSET_SIZE` of `others` that box `own` tells all, chosen evenly over the boxes: who hears
 /// whom changes only for the places of boxes that come and go.
-pub fn listeners<'a, T>(own: &str, others: &'a [T], name: impl Fn(&T) -> &str) -> Vec<&'a T> {
+pub fn peer_subset<'a, T>(own: &str, others: &'a [T], name: impl Fn(&T) -> &str) -> Vec<&'a T> {
     let mut ranked: Vec<&T> = others.iter().collect();
-    if ranked.len() > LISTENERS {
+    if ranked.len() > PEER_SUBSET_SIZE {
         ranked.sort_by_cached_key(|other| std::cmp::Reverse(rendezvous_weight(own, name(other))));
-        ranked.truncate(LISTENERS);
+        ranked.truncate(PEER_SUBSET_SIZE);
     }
     ranked
 }
 
 /// Of `near` boxes of a data centre, the one that asks counted, how many tell it all, itself
 /// counted.
-pub fn heard_boxes(near: usize) -> usize {
-    near.min(LISTENERS + 1)
+pub fn reporting_boxes(near: usize) -> usize {
+    near.min(PEER_SUBSET_SIZE + 1)
 }
--- a/crates/decide/src/steer/pool.rs
+++ b/crates/decide/src/steer/pool.rs
@@ -10,9 +10,9 @@
 use crate::steer::latency_ratios::LatencyRatios;
 use crate::steer::mechanism::{Mechanism, MechanismSet};
 use crate::steer::messages::{
-    AttemptNews, HomeRegions, PeerSample, SteerOutcome, SteerRequest, SuspicionChange,
+    AttemptEffect, HomeRegions, PeerSample, SteerOutcome, SteerRequest, SuspicionChange,
 };
-use crate::steer::notice::NoticeBar;
+use crate::steer::notice::Ineligibility;
 use crate::steer::open::{AttemptHandle, OpenAge, PEER_REPORT_LIFETIME};
 use crate::steer::record::TargetRecord;
 use crate::time::TimePoint;
@@ -123,45 +123,50 @@
         now: TimePoint,
         handle: &AttemptHandle,
         outcome: SteerOutcome,
-    ) -> AttemptNews {
+    ) -> AttemptEffect {
         let Some(record) = self.records.get_mut(&handle.key) else {
-            return AttemptNews::default();
+            return AttemptEffect::default();
         };
         let informative = record.open.finish(handle);
         record.record_own_outcome(now, outcome);
         if let Some(sample) = outcome.as_sample() {
             let change = self.record_own_sample(now, handle.key, sample);
-            return AttemptNews { change, ..AttemptNews::default() };
+            return AttemptEffect { change, ..AttemptEffect::default() };
         }
-        let unanswered = matches!(outcome, SteerOutcome::OutOfTime | SteerOutcome::Dropped);
+        let unanswered =
+            matches!(outcome, SteerOutcome::DeadlineExceeded | SteerOutcome::Cancelled);
         if !unanswered || !informative {
-            return AttemptNews::default();
+            return AttemptEffect::default();
         }
         self.record_unanswered(now, handle)
     }
 
     /// Records the age of an attempt that ended without an answer as evidence about its target.
-    fn record_unanswered(&mut self, now: TimePoint, handle: &AttemptHandle) -> AttemptNews {
+    fn record_unanswered(&mut self, now: TimePoint, handle: &AttemptHandle) -> AttemptEffect {
         let ratio = self.age_likelihood_ratio(now, std::iter::once(handle.age()));
         if ratio >= MIN_STALL_RATIO {
             let change = self.record_own_sample(now, handle.key, OutcomeSample::Stalled);
-            return AttemptNews { stalled: true, change, latency_ratio: None };
+            return AttemptEffect { stalled: true, change, latency_ratio: None };
         }
         if let Some(record) = self.get_mut(handle.key) {
             record.record_unanswered(now, ratio);
         }
-        AttemptNews::default()
+        AttemptEffect::default()
     }
 
     /// Records that an attempt of this box is open for longer than nearly all; returns the effect.
-    pub(crate) fn record_overdue(&mut self, now: TimePoint, handle: &AttemptHandle) -> AttemptNews {
+    pub(crate) fn record_overdue(
+        &mut self,
+        now: TimePoint,
+        handle: &AttemptHandle,
+    ) -> AttemptEffect {
         let Some(record) = self.get_mut(handle.key) else {
-            return AttemptNews::default();
+            return AttemptEffect::default();
         };
         record.open.mark_uninformative(handle);
         record.record_path_failure(now);
         let change = self.record_own_sample(now, handle.key, OutcomeSample::Stalled);
-        AttemptNews { stalled: true, change, latency_ratio: None }
+        AttemptEffect { stalled: true, change, latency_ratio: None }
     }
 
     /// Merges what a peer observed of a target; returns the change if the target became a suspect, or
@@ -291,9 +296,9 @@
         let present = self.records.values().filter(|record| is_present(record));
         let mut first: Option<Duration> = None;
         for record in present {
-            let remaining = match record.notices.bar(now) {
-                Some(NoticeBar::Leaving(_)) => continue,
-                Some(NoticeBar::Resting { left, .. }) => left,
+            let remaining = match record.notices.ineligibility(now) {
+                Some(Ineligibility::Draining(_)) => continue,
+                Some(Ineligibility::BackingOff { remaining: left, .. }) => left,
                 None => record.permit_wait(now)?,
             };
             first = Some(first.map_or(remaining, |known| known.min(remaining)));
--- a/crates/decide/src/steer/record.rs
+++ b/crates/decide/src/steer/record.rs
@@ -64,7 +64,7 @@
     /// Returns the identity of the target between boxes. It is made of the name and the start of the
     /// incarnation, since addresses are reused.
     pub fn key(&self) -> TargetKey {
-        TargetKey::of_life(&self.id, self.born_ms)
+        TargetKey::of_incarnation(&self.id, self.born_ms)
     }
 }
 
@@ -184,7 +184,7 @@
     pub(crate) fn is_eligible(&self, now: TimePoint) -> bool {
         !self.replaced
             && !self.setup.evacuated
-            && self.notices.bar(now).is_none()
+            && self.notices.ineligibility(now).is_none()
             && self.permit_wait(now).is_none()
     }
 
@@ -340,7 +340,7 @@
     /// Records what the outcome of an attempt of this box says of the network path and the load.
     pub(crate) fn record_own_outcome(&mut self, now: TimePoint, outcome: SteerOutcome) {
         match outcome {
-            SteerOutcome::NotConnected | SteerOutcome::Broken => self.record_path_failure(now),
+            SteerOutcome::ConnectFailed | SteerOutcome::Incomplete => self.record_path_failure(now),
             SteerOutcome::Good(_) => {
                 self.path_failed_at = None;
                 self.full_at = None;
--- a/crates/decide/src/steer/news.rs
+++ b/crates/decide/src/steer/relay.rs
@@ -18,14 +18,14 @@
 
 /// Which news of which sender were heard.
 #[derive(Debug, Default)]
-pub struct NewsFilter {
+pub struct DuplicateFilter {
     /// The newest number, and a bit for each one below it.
     heard: HashMap<u64, (u64, u64)>,
 }
 
-impl NewsFilter {
+impl DuplicateFilter {
     /// Notes the news `number` of the incarnation `sender`; returns whether they are new.
-    pub fn is_new(&mut self, sender: u64, number: u64) -> bool {
+    pub fn insert(&mut self, sender: u64, number: u64) -> bool {
         if self.heard.len() >= SENDERS && !self.heard.contains_key(&sender) {
             self.heard.clear();
         }
--- a/crates/decide/src/steer/kept.rs
+++ b/crates/decide/src/steer/subset.rs
@@ -32,7 +32,7 @@
 
 /// The targets that a request may go to of those that are kept to; `None` where the data centre has no more
 /// than its requests need, or where each of them has requests waiting.
-pub(crate) fn kept_targets<'p>(
+pub(crate) fn target_subset<'p>(
     now: TimePoint,
     pool: &'p TargetPool,
     request: &SteerRequest<'_>,
--- a/crates/decide/src/steer/trial.rs
+++ b/crates/decide/src/steer/trial.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use crate::names::TargetKey;
-use crate::steer::listeners::heard_boxes;
 use crate::steer::mechanism::{Mechanism, MechanismSet};
 use crate::steer::messages::SteerRequest;
+use crate::steer::peer_subset::reporting_boxes;
 use crate::steer::pool::TargetPool;
 use crate::steer::record::TargetRecord;
 use crate::time::TimePoint;
@@ -98,7 +98,7 @@
 /// don't try a stalled target at once.
 fn trials_per_s(context: &TrialContext<'_>) -> f64 {
     let local = context.local_boxes.max(1);
-    TRIALS_PER_S * heard_boxes(local) as f64 / local as f64
+    TRIALS_PER_S * reporting_boxes(local) as f64 / local as f64
 }
 
 /// A target whose idle time has reached the limit for a trial.
--- a/crates/decide/src/steer/parted.rs
+++ b/crates/decide/src/steer/unlisted.rs
@@ -16,65 +16,65 @@
 
 /// What targets said that are not listed now.
 #[derive(Debug, Default)]
-pub(crate) struct PartedNotices {
-    kept: HashMap<TargetKey, PartedTarget>,
+pub(crate) struct UnlistedNotices {
+    kept: HashMap<TargetKey, UnlistedTarget>,
 }
 
 #[derive(Debug)]
-struct PartedTarget {
+struct UnlistedTarget {
     notices: NoticeState,
     since: TimePoint,
 }
 
-impl PartedNotices {
+impl UnlistedNotices {
     /// Keeps what a target said that is listed no more.
-    pub(crate) fn keep(&mut self, now: TimePoint, key: TargetKey, notices: NoticeState) {
-        if notices.is_silent() {
+    pub(crate) fn store(&mut self, now: TimePoint, key: TargetKey, notices: NoticeState) {
+        if notices.is_empty() {
             return;
         }
         self.make_room(now);
-        self.kept.insert(key, PartedTarget { notices, since: now });
+        self.kept.insert(key, UnlistedTarget { notices, since: now });
     }
 
     /// Takes a notice of a target that is not listed.
-    pub(crate) fn take(
+    pub(crate) fn apply(
         &mut self,
         now: TimePoint,
         key: TargetKey,
         notice: &TargetNotice,
     ) -> NoticeChange {
-        self.change(now, key, |notices| notices.take(now, notice))
+        self.update(now, key, |notices| notices.apply(now, notice))
     }
 
     /// Changes what a target has said that is not listed.
-    pub(crate) fn change<T>(
+    pub(crate) fn update<T>(
         &mut self,
         now: TimePoint,
         key: TargetKey,
         take: impl FnOnce(&mut NoticeState) -> T,
     ) -> T {
-        let mut notices = self.restore(key);
+        let mut notices = self.take(key);
         let change = take(&mut notices);
-        self.keep(now, key, notices);
+        self.store(now, key, notices);
         change
     }
 
     /// What a target said that is listed now.
-    pub(crate) fn restore(&mut self, key: TargetKey) -> NoticeState {
-        self.kept.remove(&key).map(|parted| parted.notices).unwrap_or_default()
+    pub(crate) fn take(&mut self, key: TargetKey) -> NoticeState {
+        self.kept.remove(&key).map(|unlisted| unlisted.notices).unwrap_or_default()
     }
 
     /// Ends rests sooner by `time`, which the clock did not count.
     pub(crate) fn advance_clocks(&mut self, time: Duration) {
-        self.kept.values_mut().for_each(|parted| parted.notices.advance_clocks(time));
+        self.kept.values_mut().for_each(|unlisted| unlisted.notices.advance_clocks(time));
     }
 
     fn make_room(&mut self, now: TimePoint) {
         if self.kept.len() < KEPT {
             return;
         }
-        self.kept.retain(|_, parted| now.since(parted.since) < KEPT_FOR);
-        let oldest = self.kept.iter().min_by_key(|(_, parted)| parted.since);
+        self.kept.retain(|_, unlisted| now.since(unlisted.since) < KEPT_FOR);
+        let oldest = self.kept.iter().min_by_key(|(_, unlisted)| unlisted.since);
         let oldest = oldest.map(|(key, _)| *key).filter(|_| self.kept.len() >= KEPT);
         if let Some(key) = oldest {
             self.kept.remove(&key);
--- a/crates/decide/tests/news.rs
+++ b/crates/decide/tests/duplicate_filter.rs
@@ -1,7 +1,7 @@
 //! News that come by more than one way count once.
 
 use proptest::prelude::*;
-use wingbridge_decide::steer::news::NewsFilter;
+use wingbridge_decide::steer::relay::DuplicateFilter;
 
 struct NewsCase {
     name: &'static str,
@@ -23,10 +23,10 @@
 #[test]
 fn news_count_once() {
     for case in CASES {
-        let mut filter = NewsFilter::default();
-        let new: Vec<bool> = case.numbers.iter().map(|number| filter.is_new(7, *number)).collect();
+        let mut filter = DuplicateFilter::default();
+        let new: Vec<bool> = case.numbers.iter().map(|number| filter.insert(7, *number)).collect();
         assert_eq!(new, case.new, "{}", case.name);
-        assert!(filter.is_new(8, case.numbers[0]), "{}: another sender's", case.name);
+        assert!(filter.insert(8, case.numbers[0]), "{}: another sender's", case.name);
     }
 }
 
@@ -35,15 +35,15 @@
     fn none_counts_twice_and_none_in_order_is_missed(
         news in proptest::collection::vec((0u64..5, 1u64..200), 0..400),
     ) {
-        let mut filter = NewsFilter::default();
+        let mut filter = DuplicateFilter::default();
         let mut counted = std::collections::HashSet::new();
         for (sender, number) in news {
-            if filter.is_new(sender, number) {
+            if filter.insert(sender, number) {
                 prop_assert!(counted.insert((sender, number)), "{} {}", sender, number);
             }
         }
         for number in 300..400 {
-            prop_assert!(filter.is_new(9, number));
+            prop_assert!(filter.insert(9, number));
         }
     }
 }
--- a/crates/decide/tests/limits.rs
+++ b/crates/decide/tests/limits.rs
@@ -10,7 +10,7 @@
 use steering::{at, settled};
 use wingbridge_decide::TargetKey;
 use wingbridge_decide::permits::{FallbackShare, PermitAnswer, PermitCoordinator};
-use wingbridge_decide::steer::{LimitSaid, RequestRate, SteerCore};
+use wingbridge_decide::steer::{LimitUpdate, RequestRate, SteerCore};
 
 /// When the first word of each test comes, in milliseconds.
 const TOLD: u64 = 20_000;
@@ -20,14 +20,14 @@
 }
 
 fn key() -> TargetKey {
-    TargetKey::of_life("speaker", 0)
+    TargetKey::of_incarnation("speaker", 0)
 }
 
 /// Something that a box hears, in milliseconds after the first word.
 #[derive(Debug, Clone, Copy)]
 enum Heard {
     /// An answer to a request that was sent at the first time and came at the second.
-    Answer(u64, u64, LimitSaid),
+    Answer(u64, u64, LimitUpdate),
     /// A peer's word at that time of what it heard so long before.
     Peer(u64, Option<f64>, u64),
 }
@@ -38,25 +38,25 @@
     limit: Option<f64>,
 }
 
-const fn at_rate(millionths: u64) -> LimitSaid {
-    LimitSaid::At(RequestRate::from_millionths(millionths))
+const fn at_rate(millionths: u64) -> LimitUpdate {
+    LimitUpdate::At(RequestRate::from_millionths(millionths))
 }
 
 const WORDS: &[WordCase] = &[
     WordCase { name: "it stays", heard: &[], limit: Some(2.0) },
     WordCase {
         name: "what was sent before does not end it",
-        heard: &[Heard::Answer(0, 300, LimitSaid::None)],
+        heard: &[Heard::Answer(0, 300, LimitUpdate::None)],
         limit: Some(2.0),
     },
     WordCase {
         name: "what was sent afterwards does",
-        heard: &[Heard::Answer(200, 500, LimitSaid::None)],
+        heard: &[Heard::Answer(200, 500, LimitUpdate::None)],
         limit: None,
     },
     WordCase {
         name: "what can't be read changes nothing",
-        heard: &[Heard::Answer(200, 500, LimitSaid::Unclear)],
+        heard: &[Heard::Answer(200, 500, LimitUpdate::Unreadable)],
         limit: Some(2.0),
     },
     WordCase {
@@ -86,7 +86,7 @@
     },
     WordCase {
         name: "an end is not undone by an older word",
-        heard: &[Heard::Answer(200, 500, LimitSaid::None), Heard::Peer(600, Some(2.0), 500)],
+        heard: &[Heard::Answer(200, 500, LimitUpdate::None), Heard::Peer(600, Some(2.0), 500)],
         limit: None,
     },
 ];
@@ -94,11 +94,11 @@
 fn hear(core: &mut SteerCore, heard: Heard) {
     match heard {
         Heard::Answer(sent, came, said) => {
-            core.hear_limit(at(TOLD + came), key(), at(TOLD + sent), said);
+            core.receive_limit(at(TOLD + came), key(), at(TOLD + sent), said);
         }
         Heard::Peer(came, limit, age) => {
             let age = Duration::from_millis(age);
-            core.take_limit(at(TOLD + came), key(), limit.map(rate), age);
+            core.merge_limit(at(TOLD + came), key(), limit.map(rate), age);
         }
     }
 }
@@ -107,7 +107,7 @@
 fn the_word_that_holds_is_the_last_or_the_lowest() {
     for case in WORDS {
         let mut core = settled(&[("speaker", "near"), ("other", "near")], at(TOLD));
-        hear(&mut core, Heard::Answer(0, 100, LimitSaid::At(rate(2.0))));
+        hear(&mut core, Heard::Answer(0, 100, LimitUpdate::At(rate(2.0))));
         case.heard.iter().for_each(|heard| hear(&mut core, *heard));
         assert_eq!(core.limit(at(2 * TOLD), key()), case.limit.map(rate), "{}", case.name);
     }
@@ -116,7 +116,7 @@
 #[test]
 fn a_limit_outlasts_a_listing_without_its_target() {
     let mut core = settled(&[("speaker", "near"), ("other", "near")], at(TOLD));
-    hear(&mut core, Heard::Answer(0, 100, LimitSaid::At(rate(2.0))));
+    hear(&mut core, Heard::Answer(0, 100, LimitUpdate::At(rate(2.0))));
     core.set_targets(at(TOLD + 200), vec![steering::target("other", "near")]);
     assert_eq!(core.limit(at(2 * TOLD), key()), None, "it is not listed");
     let both = ["speaker", "other"].map(|id| steering::target(id, "near"));
--- a/crates/decide/tests/notices.rs
+++ b/crates/decide/tests/notices.rs
@@ -14,16 +14,16 @@
 
 /// When the notice of each test comes, in milliseconds.
 const TOLD: u64 = 20_000;
-const LEAVES: TargetNotice = TargetNotice { leaves: true, rest: None };
+const LEAVES: TargetNotice = TargetNotice { draining: true, backoff: None };
 
 const fn rest(millis: u64) -> TargetNotice {
-    TargetNotice { leaves: false, rest: Some(Duration::from_millis(millis)) }
+    TargetNotice { draining: false, backoff: Some(Duration::from_millis(millis)) }
 }
 
 /// Two targets that have answered well, one of which has just given notice.
 fn told(notice: &TargetNotice) -> SteerCore {
     let mut core = settled(&[("speaker", "near"), ("other", "near")], at(TOLD));
-    core.note_notice(at(TOLD), TargetKey::of_life("speaker", 0), notice);
+    core.record_notice(at(TOLD), TargetKey::of_incarnation("speaker", 0), notice);
     core
 }
 
@@ -59,13 +59,13 @@
 
 /// An attempt that was under way ends well.
 fn answers_well(core: &mut SteerCore) {
-    let mark = core.begin(at(TOLD), TargetKey::of_life("speaker", 0), &ROUTE.into());
+    let mark = core.begin(at(TOLD), TargetKey::of_incarnation("speaker", 0), &ROUTE.into());
     let outcome = SteerOutcome::Good(Duration::from_millis(300));
     core.end(at(TOLD + 300), &mark, &ROUTE.into(), outcome, 400);
 }
 
 fn refuses_again(core: &mut SteerCore) {
-    core.note_notice(at(TOLD + 500), TargetKey::of_life("speaker", 0), &rest(1000));
+    core.record_notice(at(TOLD + 500), TargetKey::of_incarnation("speaker", 0), &rest(1000));
 }
 
 fn is_listed_anew(core: &mut SteerCore) {
@@ -232,7 +232,7 @@
 fn second_attempts_and_retries_pass_over_it_too() {
     for notice in [LEAVES, rest(3_000)] {
         let mut core = told(&notice);
-        let tried = [TargetKey::of_life("other", 0)];
+        let tried = [TargetKey::of_incarnation("other", 0)];
         assert_eq!(sends(&mut core, TOLD + 1_000, true, &tried), 0);
     }
 }
@@ -241,7 +241,7 @@
 fn a_notice_of_a_target_that_is_not_listed_yet_counts_once_it_is() {
     let mut core = core();
     core.set_targets(at(0), vec![target("other", "near")]);
-    core.note_notice(at(TOLD), TargetKey::of_life("speaker", 0), &LEAVES);
+    core.record_notice(at(TOLD), TargetKey::of_incarnation("speaker", 0), &LEAVES);
     core.set_targets(at(TOLD + 10), vec![target("speaker", "near"), target("other", "near")]);
     good(&mut core, at(TOLD + 20), "other", 3);
     assert_eq!(sends(&mut core, TOLD + 4_000, false, &[]), 0);
--- a/crates/decide/tests/listeners.rs
+++ b/crates/decide/tests/peer_subset.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use wingbridge_decide::steer::ledger::RetryBounds;
-use wingbridge_decide::steer::listeners::{LISTENERS, heard_boxes, listeners};
 use wingbridge_decide::steer::mechanism::MechanismSet;
+use wingbridge_decide::steer::peer_subset::{PEER_SUBSET_SIZE, peer_subset, reporting_boxes};
 use wingbridge_decide::steer::{RetryUse, SteerCore, SteerSetup};
 use wingbridge_decide::{Name, TimePoint};
 
@@ -16,8 +16,8 @@
 const FLEETS: &[FleetCase] = &[
     FleetCase { boxes: 1, told: 0 },
     FleetCase { boxes: 36, told: 35 },
-    FleetCase { boxes: 89, told: LISTENERS },
-    FleetCase { boxes: 300, told: LISTENERS },
+    FleetCase { boxes: 89, told: PEER_SUBSET_SIZE },
+    FleetCase { boxes: 300, told: PEER_SUBSET_SIZE },
 ];
 
 fn names(boxes: usize) -> Vec<Name> {
@@ -27,7 +27,7 @@
 /// Whom a box tells, of all others.
 fn told_by(own: &Name, all: &[Name]) -> Vec<Name> {
     let others: Vec<Name> = all.iter().filter(|name| *name != own).cloned().collect();
-    listeners(own, &others, |name| name).into_iter().cloned().collect()
+    peer_subset(own, &others, |name| name).into_iter().cloned().collect()
 }
 
 /// What each box sends and takes in grew with the boxes of its data centre: at 443 boxes in five
@@ -76,7 +76,7 @@
     core.set_boxes(89, 443);
     let now = TimePoint::default() + window;
     let spent = (0..1000).filter(|_| core.spend_retry(now, "orders", RetryUse::Repeat)).count();
-    let part = 630.0 * heard_boxes(89) as f64 / 443.0;
+    let part = 630.0 * reporting_boxes(89) as f64 / 443.0;
     assert!(spent as f64 <= part, "{spent} of {part}");
     assert!(spent as f64 >= part * 0.8, "{spent} of {part}");
 }
--- a/crates/decide/tests/properties.rs
+++ b/crates/decide/tests/properties.rs
@@ -263,17 +263,17 @@
     ) {
         let guarded: Vec<GuardedTarget> = targets.iter().enumerate().map(|(key, (slots, counted, stamp))| {
             let wanted = stamp.map(|stamp| EjectionRank { source: 1, stamp, key: key as u64 });
-            GuardedTarget { slots: *slots, counted: *counted, wanted }
+            GuardedTarget { slots: *slots, in_service: *counted, ejection: wanted }
         }).collect();
         let kept_out = guard_floor(&guarded, floor);
         let slots = |keep: &dyn Fn(usize) -> bool| -> u32 {
-            let counted = guarded.iter().enumerate().filter(|(_, target)| target.counted);
+            let counted = guarded.iter().enumerate().filter(|(_, target)| target.in_service);
             counted.filter(|(index, _)| keep(*index)).map(|(_, target)| target.slots).sum()
         };
         let before = slots(&|_| true);
         let after = slots(&|index| !kept_out[index]);
         prop_assert!(after >= floor.min(before));
-        prop_assert!(guarded.iter().zip(&kept_out).all(|(target, out)| !out || target.wanted.is_some()));
+        prop_assert!(guarded.iter().zip(&kept_out).all(|(target, out)| !out || target.ejection.is_some()));
     }
 }
 
--- a/crates/decide/tests/stalls.rs
+++ b/crates/decide/tests/stalls.rs
@@ -99,7 +99,7 @@
         let start = at(21_000 + round * 500);
         let mark = core.begin(start, TargetKey::of("a"), &short);
         assert!(!core.record_overdue(start + USUAL * 4, &mark).stalled);
-        let news = core.end(start + USUAL * 4, &mark, &short, SteerOutcome::OutOfTime, 0);
+        let news = core.end(start + USUAL * 4, &mark, &short, SteerOutcome::DeadlineExceeded, 0);
         assert!(!news.stalled && news.change.is_none(), "{news:?}");
     }
     let risk = core.risk(at(24_000), TargetKey::of("a")).expect("known");
--- a/crates/decide/tests/steer.rs
+++ b/crates/decide/tests/steer.rs
@@ -9,11 +9,11 @@
     PICKS, ROUTE, SERVICE, WINDOW, at, bad, bounds, core, good, request, settled, shares, target,
 };
 use wingbridge_decide::TargetKey;
-use wingbridge_decide::steer::ledger::{RetryBounds, RetryLedger, RetryTally};
+use wingbridge_decide::steer::ledger::{RetryBounds, RetryCounts, RetryLedger};
 use wingbridge_decide::steer::record::SteerTarget;
 use wingbridge_decide::steer::split::WeightedSplit;
 use wingbridge_decide::steer::{
-    LoadReport, MIN_SUSPECT_RISK, NoPick, PeerSample, RetryUse, SteerCore, SteerOutcome,
+    LoadReport, MIN_SUSPECT_RISK, PeerSample, PickError, RetryUse, SteerCore, SteerOutcome,
     SteerRequest,
 };
 
@@ -122,9 +122,9 @@
     let now = at(20_000);
     let mut core = settled(&[("a", "near")], now);
     core.record_load(now, TargetKey::of("a"), LoadReport { held: 60, slots: 3 });
-    assert_eq!(core.pick(now, &request(false, &[])), Err(NoPick::Overloaded));
+    assert_eq!(core.pick(now, &request(false, &[])), Err(PickError::Overloaded));
     let tried = [TargetKey::of("a")];
-    assert_eq!(core.pick(now, &request(false, &tried)), Err(NoPick::NoTarget));
+    assert_eq!(core.pick(now, &request(false, &tried)), Err(PickError::NoTarget));
 }
 
 struct CrowdCase {
@@ -152,8 +152,13 @@
         let mut core = settled(&[("a", "near")], now);
         core.record_load(now, TargetKey::of("a"), LoadReport { held: case.held, slots: 3 });
         let left = Duration::from_millis(case.left);
-        let picked = core.pick(now, &SteerRequest { left, ..request(false, &[]) });
-        assert_eq!(picked == Err(NoPick::Saturated), case.held_back, "{}: {picked:?}", case.name);
+        let picked = core.pick(now, &SteerRequest { remaining: left, ..request(false, &[]) });
+        assert_eq!(
+            picked == Err(PickError::Saturated),
+            case.held_back,
+            "{}: {picked:?}",
+            case.name
+        );
         assert!(case.held_back || picked.is_ok(), "{}: {picked:?}", case.name);
     }
 }
@@ -163,7 +168,7 @@
     let now = at(20_000);
     let mut core = settled(&[("a", "near"), ("b", "near")], now);
     let mark = core.begin(now, TargetKey::of("a"), &ROUTE.into());
-    core.end(now, &mark, &ROUTE.into(), SteerOutcome::NotConnected, 0);
+    core.end(now, &mark, &ROUTE.into(), SteerOutcome::ConnectFailed, 0);
     let counts = shares(&mut core, now, &["a", "b"], false);
     assert_eq!(counts[0], 0, "{counts:?}");
     let later = at(23_000);
@@ -295,14 +300,14 @@
             self.lives += 1;
         }
         let own = &mut self.boxes[step.index];
-        own.ledger.note_request(now);
+        own.ledger.record_request(now);
         self.events.push((self.now, false));
         let settled = self.now - own.started >= WINDOW.as_millis() as u64 || own.started == 0;
         let slack = if settled { bounds().slack } else { 0.0 };
         let bounds = RetryBounds { slack, ..bounds() };
         let near = if self.told { Self::BOXES } else { 1 };
         if step.wants_retry && own.ledger.allows(now, &bounds, near, Self::BOXES) {
-            own.ledger.note_retry(now);
+            own.ledger.record_retry(now);
             self.events.push((self.now, true));
         }
         if self.told {
@@ -312,11 +317,11 @@
 
     fn tell(&mut self, step: &FleetStep) {
         let now = at(self.now);
-        let tally = self.boxes[step.index].ledger.own_tally(now, WINDOW);
+        let tally = self.boxes[step.index].ledger.own_counts(now, WINDOW);
         let incarnation = self.boxes[step.index].incarnation;
         for (other, peer) in self.boxes.iter_mut().enumerate() {
             if other != step.index && step.lost & (1 << other) == 0 {
-                peer.ledger.note_told(now, incarnation, tally);
+                peer.ledger.record_peer(now, incarnation, tally);
             }
         }
     }
@@ -332,12 +337,12 @@
 /// they had earned before: BUDGET broke (Dakar scale-1, seed 202).
 #[test]
 fn a_box_that_finds_its_peers_late_knows_what_they_have_spent() {
-    let spent = RetryTally { requests: 100, retries: 20, silent_retries: 0 };
+    let spent = RetryCounts { requests: 100, retries: 20, unresponsive_retries: 0 };
     let mut late = RetryLedger::default();
     let no_slack = RetryBounds { slack: 0.0, ..bounds() };
-    late.note_told(at(0), 1, spent);
+    late.record_peer(at(0), 1, spent);
     assert!(!late.allows(at(1), &no_slack, 2, 40), "all is spent");
-    late.note_told(at(2), 1, RetryTally { requests: 200, ..spent });
+    late.record_peer(at(2), 1, RetryCounts { requests: 200, ..spent });
     assert!(late.allows(at(3), &no_slack, 2, 40));
 }
 
@@ -348,25 +353,29 @@
     core.record_request(at(10), "another");
     assert_eq!(core.unreported_retry_counts(at(20)).len(), 2);
     core.record_request(at(30), SERVICE);
-    let tally = RetryTally { requests: 2, ..RetryTally::default() };
+    let tally = RetryCounts { requests: 2, ..RetryCounts::default() };
     assert_eq!(core.unreported_retry_counts(at(40)), [(SERVICE.into(), tally)]);
     assert_eq!(core.unreported_retry_counts(at(50)), []);
 }
 
 #[test]
 fn what_silent_boxes_spent_is_counted_and_earns_nothing() {
-    let spent = RetryTally { requests: 100, retries: 10, silent_retries: 0 };
+    let spent = RetryCounts { requests: 100, retries: 10, unresponsive_retries: 0 };
     let mut ledger = RetryLedger::default();
-    ledger.note_told(at(0), 1, spent);
-    let seen = ledger.own_tally(at(3000), WINDOW);
-    assert_eq!(seen, RetryTally { requests: 0, retries: 0, silent_retries: 10 });
+    ledger.record_peer(at(0), 1, spent);
+    let seen = ledger.own_counts(at(3000), WINDOW);
+    assert_eq!(seen, RetryCounts { requests: 0, retries: 0, unresponsive_retries: 10 });
     let no_slack = RetryBounds { slack: 0.0, ..bounds() };
     assert!(!ledger.allows(at(3000), &no_slack, 2, 40), "its requests may be used elsewhere");
     // Another box is told of them, also if it never heard them.
     let mut other = RetryLedger::default();
-    other.note_told(at(3000), 2, RetryTally { requests: 60, retries: 0, silent_retries: 0 });
+    other.record_peer(
+        at(3000),
+        2,
+        RetryCounts { requests: 60, retries: 0, unresponsive_retries: 0 },
+    );
     assert!(other.allows(at(3001), &no_slack, 3, 40));
-    other.note_told(at(3002), 3, RetryTally { requests: 0, ..seen });
+    other.record_peer(at(3002), 3, RetryCounts { requests: 0, ..seen });
     assert!(!other.allows(at(3003), &no_slack, 3, 40));
 }
 
--- a/crates/decide/tests/steering/mod.rs
+++ b/crates/decide/tests/steering/mod.rs
@@ -66,7 +66,7 @@
         large: false,
         body_bytes: 0,
         goal: Duration::from_secs(1),
-        left: Duration::from_secs(3),
+        remaining: Duration::from_secs(3),
         tried,
         homes: HomeRegions::Any,
     }
@@ -103,7 +103,8 @@
 /// An attempt of a request on [`ROUTE`] at `id`, from `start` to its end at `now`.
 pub fn attempt(core: &mut SteerCore, start: TimePoint, now: TimePoint, id: &str, good: bool) {
     let mark = core.begin(start, TargetKey::of(id), &ROUTE.into());
-    let outcome = if good { SteerOutcome::Good(now.since(start)) } else { SteerOutcome::OutOfTime };
+    let outcome =
+        if good { SteerOutcome::Good(now.since(start)) } else { SteerOutcome::DeadlineExceeded };
     core.end(now, &mark, &ROUTE.into(), outcome, 400);
 }
 
--- a/crates/decide/tests/target_keys.rs
+++ b/crates/decide/tests/target_keys.rs
@@ -16,7 +16,7 @@
     for born_ms in 0..64 {
         for number in 0..64 {
             let id = format!("t-{number}");
-            let key = TargetKey::of_life(&id, born_ms);
+            let key = TargetKey::of_incarnation(&id, born_ms);
             if let Some(other) = known.insert(key, (id.clone(), born_ms)) {
                 panic!("{id} of {born_ms} has the key of {other:?}");
             }
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_life_whose_start_is_not_known_has_the_key_of_its_name() {
-    assert_eq!(TargetKey::of_life("t-3", 0), TargetKey::of("t-3"));
+    assert_eq!(TargetKey::of_incarnation("t-3", 0), TargetKey::of("t-3"));
 }
 
 proptest! {
@@ -36,7 +36,7 @@
         second in ("[a-z0-9-]{1,20}", any::<u64>()),
     ) {
         prop_assume!(first != second);
-        let key = |life: &(String, u64)| TargetKey::of_life(&life.0, life.1);
+        let key = |life: &(String, u64)| TargetKey::of_incarnation(&life.0, life.1);
         prop_assert_ne!(key(&first), key(&second));
     }
 }
--- a/crates/decide/tests/kept_targets.rs
+++ b/crates/decide/tests/target_subset.rs
@@ -122,7 +122,7 @@
     let mut targets: Vec<_> = ids(1_000).iter().map(|id| target(id, "near")).collect();
     targets.push(target("joined", "near"));
     core.set_targets(at(NOW), targets);
-    let asked = SteerRequest { left: Duration::from_secs(3), ..request(false, &[]) };
+    let asked = SteerRequest { remaining: Duration::from_secs(3), ..request(false, &[]) };
     let mut picks = (0..200).map(|_| core.pick(at(NOW + 2_000), &asked).expect("a target"));
     assert!(picks.any(|pick| *pick.id == *"joined"), "it was left alone");
 }
--- a/crates/gateway/src/gossip/mod.rs
+++ b/crates/gateway/src/gossip/mod.rs
@@ -12,7 +12,7 @@
 use async_std::net::UdpSocket;
 use async_std::task;
 use prost::Message;
-use wingbridge_decide::steer::news::NewsFilter;
+use wingbridge_decide::steer::relay::DuplicateFilter;
 use wingbridge_wire::gossip::{Datagram, DatagramBody, TokenMessage};
 use wingbridge_wire::limits::PermitMessage;
 
@@ -34,7 +34,7 @@
     fetching: async_channel::Sender<IpAddr>,
     /// News for other data centres so far.
     news_told: AtomicU64,
-    news_heard: Mutex<NewsFilter>,
+    news_heard: Mutex<DuplicateFilter>,
 }
 
 impl GossipDuty {
--- a/crates/gateway/src/gossip/telling.rs
+++ b/crates/gateway/src/gossip/telling.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 use async_channel::Receiver;
-use wingbridge_decide::steer::ledger::RetryTally;
+use wingbridge_decide::steer::ledger::RetryCounts;
 use wingbridge_decide::steer::mechanism::Mechanism;
-use wingbridge_decide::steer::news::RELAYS;
+use wingbridge_decide::steer::relay::RELAYS;
 use wingbridge_decide::steer::{OpenAge, PeerSample};
 use wingbridge_decide::{TargetKey, TimePoint};
 use wingbridge_wire::gossip::{
@@ -59,18 +59,18 @@
             pending.iter().map(|seen| with_open(&seen.sighting)).collect()
         };
         let by_relays = self.context.settings.mechanisms.has(Mechanism::UpdateRelays);
-        let (listeners, others, relays) = {
+        let (full_report_peers, others, relays) = {
             let mut peers = self.context.peers();
-            let (listeners, mut others) = peers.listeners();
+            let (full_report_peers, mut others) = peers.full_report_peers();
             let relays = if by_relays { peers.some_of_each_far(RELAYS) } else { Vec::new() };
             if !by_relays {
                 others.extend(peers.far());
             }
-            (listeners, others, relays)
+            (full_report_peers, others, relays)
         };
-        let tallies = self.unreported_retry_counts();
-        for told in in_parts(&seen, tallies, &crashes) {
-            self.send_sightings(&listeners, told).await;
+        let retry_counts = self.unreported_retry_counts();
+        for told in in_parts(&seen, retry_counts, &crashes) {
+            self.send_sightings(&full_report_peers, told).await;
         }
         let news = pending.iter().filter(|seen| seen.is_news).map(|seen| seen.sighting.clone());
         let news: Vec<PassiveSample> = news.collect();
@@ -95,7 +95,7 @@
         let is_own = mark.origin_incarnation == 0;
         let origin = if is_own { incarnation } else { mark.origin_incarnation };
         let origin_id = if is_own { box_id } else { mark.origin_id.as_str() };
-        if origin == self.incarnation || !lock(&self.news_heard).is_new(origin, mark.number) {
+        if origin == self.incarnation || !lock(&self.news_heard).insert(origin, mark.number) {
             return;
         }
         self.take_sightings(origin, origin_id, &told);
@@ -115,13 +115,13 @@
     fn unreported_retry_counts(&self) -> Vec<ServiceCounts> {
         let now = self.context.now();
         let untold = self.context.core().unreported_retry_counts(now).into_iter();
-        let tally = |(service, tally): (wingbridge_decide::Name, RetryTally)| ServiceCounts {
+        let counts = |(service, counts): (wingbridge_decide::Name, RetryCounts)| ServiceCounts {
             service: service.to_string(),
-            requests: tally.requests,
-            retries: tally.retries,
-            unresponsive_retries: tally.silent_retries,
+            requests: counts.requests,
+            retries: counts.retries,
+            unresponsive_retries: counts.unresponsive_retries,
         };
-        untold.map(tally).collect()
+        untold.map(counts).collect()
     }
 
     fn take_sightings(&self, peer: u64, box_id: &str, sightings: &PassiveSamples) {
@@ -150,12 +150,12 @@
             note_suspicion(change, SeenBy::Peer);
         }
         for told in &sightings.service_counts {
-            let tally = RetryTally {
+            let counts = RetryCounts {
                 requests: told.requests,
                 retries: told.retries,
-                silent_retries: told.unresponsive_retries,
+                unresponsive_retries: told.unresponsive_retries,
             };
-            core.merge_retry_counts(now, peer, &told.service, tally);
+            core.merge_retry_counts(now, peer, &told.service, counts);
         }
     }
 
@@ -167,7 +167,7 @@
 /// Divides what is told into datagrams.
 fn in_parts(
     targets: &[PassiveSample],
-    mut tallies: Vec<ServiceCounts>,
+    mut retry_counts: Vec<ServiceCounts>,
     crashes: &[CrashRecord],
 ) -> Vec<PassiveSamples> {
     let mut targets = targets.chunks(SIGHTINGS);
@@ -175,12 +175,12 @@
     let mut parts = Vec::new();
     loop {
         let (seen, ended) = (targets.next(), crashes.next());
-        if seen.is_none() && ended.is_none() && tallies.is_empty() {
+        if seen.is_none() && ended.is_none() && retry_counts.is_empty() {
             return parts;
         }
         parts.push(PassiveSamples {
             targets: seen.unwrap_or_default().to_vec(),
-            service_counts: std::mem::take(&mut tallies),
+            service_counts: std::mem::take(&mut retry_counts),
             update_id: None,
             crashes: ended.unwrap_or_default().to_vec(),
         });
--- a/crates/gateway/src/limit_news.rs
+++ b/crates/gateway/src/limit_news.rs
@@ -4,22 +4,22 @@
 
 use wingbridge_decide::TargetKey;
 use wingbridge_decide::TimePoint;
-use wingbridge_decide::steer::{LimitChange, LimitWord, RequestRate};
+use wingbridge_decide::steer::{LimitChange, LimitReport, RequestRate};
 use wingbridge_wire::limits::TargetLimit;
 
 use crate::context::{BoxContext, millis};
 
 /// What is known of a target's limit, for a message; `None` if it never named one.
 pub(crate) fn limit_of(context: &BoxContext, key: TargetKey) -> Option<TargetLimit> {
-    let word = context.core().limit_word(key)?;
+    let word = context.core().limit_report(key)?;
     Some(encode_limit(context.now(), key, &word))
 }
 
 /// Limits that are in force, the last ones heard, `most` at most: what boxes are told that may have
 /// missed them.
 pub(crate) fn limits_retold(context: &BoxContext, most: usize) -> Vec<TargetLimit> {
-    let mut words: Vec<(TargetKey, LimitWord)> = context.core().limited_targets().collect();
-    words.sort_by_key(|(_, word)| std::cmp::Reverse(word.said));
+    let mut words: Vec<(TargetKey, LimitReport)> = context.core().limited_targets().collect();
+    words.sort_by_key(|(_, word)| std::cmp::Reverse(word.received_at));
     words.truncate(most);
     let now = context.now();
     words.iter().map(|(key, word)| encode_limit(now, *key, word)).collect()
@@ -32,7 +32,7 @@
     let age = Duration::from_millis(told.age_ms);
     let now = context.now();
     let mut core = context.core();
-    let Some(change) = core.take_limit(now, key, rate, age) else {
+    let Some(change) = core.merge_limit(now, key, rate, age) else {
         return;
     };
     let name =
@@ -44,16 +44,16 @@
 /// Logs a limit that is new to this box; `by` is who told: "own" for the target's answer to it.
 pub(crate) fn log_limit(target: &str, change: LimitChange, by: &str) {
     match change {
-        LimitChange::Named(rate) => log::info!(target, per_second:% = rate, by; "target-limited"),
-        LimitChange::Ended => log::info!(target, by; "target-unlimited"),
+        LimitChange::Set(rate) => log::info!(target, per_second:% = rate, by; "target-limited"),
+        LimitChange::Cleared => log::info!(target, by; "target-unlimited"),
     }
 }
 
-fn encode_limit(now: TimePoint, key: TargetKey, word: &LimitWord) -> TargetLimit {
+fn encode_limit(now: TimePoint, key: TargetKey, word: &LimitReport) -> TargetLimit {
     TargetLimit {
         target: key.0,
         limited: word.rate.is_some(),
         millionths: word.rate.map_or(0, RequestRate::millionths),
-        age_ms: millis(now.since(word.said)),
+        age_ms: millis(now.since(word.received_at)),
     }
 }
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -10,7 +10,7 @@
 use async_std::net::TcpStream;
 use futures::FutureExt;
 use wingbridge_decide::steer::{
-    LeftOut, LimitSaid, NoticeBar, NoticeChange, RequestRate, SteerPick, TargetNotice,
+    ExcludedTargets, Ineligibility, LimitUpdate, NoticeChange, RequestRate, SteerPick, TargetNotice,
 };
 use wingbridge_decide::{TargetKey, TimePoint};
 use wingbridge_http::raw::RawResponseHead;
@@ -91,8 +91,8 @@
         let notice = read_notice(start, names);
         let now = self.context.now();
         let mut core = self.context.core();
-        let change = core.note_notice(now, self.key, &notice);
-        let limit = core.hear_limit(now, self.key, self.asked, read_limit(start, names));
+        let change = core.record_notice(now, self.key, &notice);
+        let limit = core.receive_limit(now, self.key, self.asked, read_limit(start, names));
         drop(core);
         self.tell(start.status, &change);
         if let Some(limit) = limit {
@@ -109,12 +109,12 @@
         let (bar, limit, is_evacuated) = {
             let core = self.context.core();
             let key = self.key;
-            (core.notice_bar(now, key), core.limit(now, key), core.is_evacuated(key))
+            (core.ineligibility(now, key), core.limit(now, key), core.is_evacuated(key))
         };
         let (notice, since) = match bar {
             _ if is_evacuated => ("evacuated", Duration::ZERO),
-            Some(NoticeBar::Leaving(since)) => ("leaves", since),
-            Some(NoticeBar::Resting { since, .. }) => ("rests", since),
+            Some(Ineligibility::Draining(since)) => ("leaves", since),
+            Some(Ineligibility::BackingOff { since, .. }) => ("rests", since),
             None => match limit {
                 None => return true,
                 // One for a higher limit was for more than the target takes now.
@@ -146,11 +146,11 @@
     /// Tells of what is new: peers of a target that leaves, and the log of both.
     fn tell(&self, status: u16, change: &NoticeChange) {
         let (target, request) = (self.target, self.request_id());
-        if change.leaves {
+        if change.draining {
             log::info!(target, request, status, by = "own"; "target-leaves");
             self.context.sightings.note_leaving(self.key);
         }
-        if let Some(rest) = change.rest {
+        if let Some(rest) = change.backoff {
             log::info!(target, request, status, rest_ms = millis(rest); "target-rests");
         }
     }
@@ -164,7 +164,7 @@
 pub(crate) fn take_leaving(context: &BoxContext, key: TargetKey, peer: &str) {
     let now = context.now();
     let mut core = context.core();
-    if !core.note_leaving(now, key) {
+    if !core.record_draining(now, key) {
         return;
     }
     let name =
@@ -176,7 +176,8 @@
 /// Sets the gauges of targets that want nothing now.
 pub(crate) fn show_left_out(context: &BoxContext) {
     let core = context.core();
-    let LeftOut { leaving, resting, evacuated, .. } = core.all_left_out(context.now());
+    let ExcludedTargets { draining: leaving, backing_off: resting, evacuated, .. } =
+        core.all_excluded(context.now());
     let limited = core.limited_targets().count();
     drop(core);
     metrics::gauge!("wingbridge_targets_limited").set(limited as f64);
@@ -198,17 +199,17 @@
     let mut leaving = start.headers.texts(&names.leaving);
     let rests = matches!(start.status, 429 | 503);
     let rest = if rests { read_rest(start, names, SystemTime::now()) } else { None };
-    TargetNotice { leaves: leaving.any(|text| text == LEAVES), rest }
+    TargetNotice { draining: leaving.any(|text| text == LEAVES), backoff: rest }
 }
 
 /// What an answer says of its target's limit: the lowest one of those that can be read.
-fn read_limit(start: &RawResponseHead, names: &HeaderNames) -> LimitSaid {
+fn read_limit(start: &RawResponseHead, names: &HeaderNames) -> LimitUpdate {
     let mut texts = start.headers.texts(&names.limit).peekable();
     if texts.peek().is_none() {
-        return LimitSaid::None;
+        return LimitUpdate::None;
     }
     let rate = |text: &str| RequestRate::new(read_decimal(text)?);
-    texts.filter_map(rate).min().map_or(LimitSaid::Unclear, LimitSaid::At)
+    texts.filter_map(rate).min().map_or(LimitUpdate::Unreadable, LimitUpdate::At)
 }
 
 /// The longest time for which an answer asks to be left alone, of those that can be read: seconds,
--- a/crates/gateway/src/open_attempt.rs
+++ b/crates/gateway/src/open_attempt.rs
@@ -158,7 +158,7 @@
         if !self.ended {
             // Its caller hung up, or another attempt answered: its target may end under it unseen.
             self.context.crashes.note_unseen(self.fingerprint, self.pick.key);
-            self.end(SteerOutcome::Dropped, None, 0);
+            self.end(SteerOutcome::Cancelled, None, 0);
         }
     }
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -12,8 +12,8 @@
 use rand::rngs::SmallRng;
 use rand::seq::IteratorRandom;
 use wingbridge_decide::TargetKey;
-use wingbridge_decide::names::{rendezvous_weight, rendezvous_weight_of, stable_hash};
-use wingbridge_decide::steer::listeners::listeners;
+use wingbridge_decide::names::{rendezvous_weight, rendezvous_weight_for_hash, stable_hash};
+use wingbridge_decide::steer::peer_subset::peer_subset;
 use wingbridge_wire::gossip::PeerRecord;
 
 use crate::context::millis;
@@ -167,9 +167,9 @@
     }
 
     /// Boxes of the own data centre that are told all that this one sees, and the others.
-    pub(crate) fn listeners(&self) -> (Vec<IpAddr>, Vec<IpAddr>) {
+    pub(crate) fn full_report_peers(&self) -> (Vec<IpAddr>, Vec<IpAddr>) {
         let near: Vec<&PeerEntry> = self.near_peers().collect();
-        let told = listeners(&self.own_id, &near, |peer| peer.box_id.as_str());
+        let told = peer_subset(&self.own_id, &near, |peer| peer.box_id.as_str());
         let told: Vec<IpAddr> = told.iter().map(|peer| peer.host).collect();
         let others = near.iter().map(|peer| peer.host).filter(|host| !told.contains(host));
         let others = others.collect();
@@ -231,7 +231,7 @@
     pub(crate) fn keepers(&self, customer: &str) -> Keepers {
         let subject = stable_hash(customer);
         let weight = |link_mbps: u32, box_id: &str| {
-            (link_mbps.checked_ilog2(), rendezvous_weight_of(subject, box_id))
+            (link_mbps.checked_ilog2(), rendezvous_weight_for_hash(subject, box_id))
         };
         let own = (weight(self.own_link_mbps, &self.own_id), KeeperSeat::Own);
         let mut first = own;
@@ -251,7 +251,7 @@
     /// by, and of any other only where this box knows none there. Links count as for customers' credit.
     pub(crate) fn permit_keeper(&self, data_centre: &str, target: TargetKey) -> KeeperSeat {
         let weight = |centre: &str, link_mbps: u32, box_id: &str| {
-            let weight = rendezvous_weight_of(target.0, box_id);
+            let weight = rendezvous_weight_for_hash(target.0, box_id);
             (centre == data_centre, link_mbps.checked_ilog2(), weight)
         };
         let own = weight(&self.own_centre, self.own_link_mbps, &self.own_id);
--- a/crates/gateway/src/permit_desk.rs
+++ b/crates/gateway/src/permit_desk.rs
@@ -134,7 +134,7 @@
                     "permit-denied"
                 );
                 metrics::counter!("wingbridge_permits_denied", "by" => by).increment(1);
-                context.core().note_used_up(pick.key, context.now() + wait);
+                context.core().record_no_permit_until(pick.key, context.now() + wait);
                 Err(NoPermit)
             }
         }
@@ -238,7 +238,7 @@
         if let Some(millionths) = ask.cold_plus_one.checked_sub(1) {
             // The listing by which the asker knows it may be on its way here.
             let rate = RequestRate::from_millionths(millionths);
-            context.core().note_cold(context.now(), key, rate);
+            context.core().record_cold(context.now(), key, rate);
         }
         let (limit, number) = (limit_of(context, key), ask.number);
         let passed = |keeper: String| PermitReply {
--- a/crates/gateway/src/request_log.rs
+++ b/crates/gateway/src/request_log.rs
@@ -4,7 +4,7 @@
 
 use wingbridge_decide::Fingerprint;
 use wingbridge_decide::crashes::CrashVerdict;
-use wingbridge_decide::steer::{LeftOut, SteerPick};
+use wingbridge_decide::steer::{ExcludedTargets, SteerPick};
 
 use crate::answers::CallerAnswer;
 use crate::context::{BoxContext, millis};
@@ -82,9 +82,15 @@
     }
 
     /// Notes which targets could not be chosen.
-    pub(crate) fn note_left_out(&mut self, out: &LeftOut) {
-        let LeftOut { leaving, resting, replaced, limited, evacuated } = out;
-        if *out != LeftOut::default() {
+    pub(crate) fn note_left_out(&mut self, out: &ExcludedTargets) {
+        let ExcludedTargets {
+            draining: leaving,
+            backing_off: resting,
+            replaced,
+            limited,
+            evacuated,
+        } = out;
+        if *out != ExcludedTargets::default() {
             self.left_out = format!(
                 "leaving {leaving}, resting {resting}, replaced {replaced}, limited {limited}, evacuated {evacuated}"
             );
--- a/crates/gateway/src/requests/mod.rs
+++ b/crates/gateway/src/requests/mod.rs
@@ -11,7 +11,7 @@
 use wingbridge_decide::TargetKey;
 use wingbridge_decide::crashes::{CrashVerdict, REPEATED_BELOW};
 use wingbridge_decide::steer::{
-    HomeRegions, LoadReport, NoPick, RetryUse, SteerOutcome, SteerPick, SteerRequest,
+    HomeRegions, LoadReport, PickError, RetryUse, SteerOutcome, SteerPick, SteerRequest,
 };
 
 use crate::answers::CallerAnswer;
@@ -132,18 +132,20 @@
             }
             let pick = match self.pick(left) {
                 Ok(pick) => pick,
-                Err(NoPick::NoTarget) => return self.give_up("no target takes it"),
-                Err(NoPick::Resting(left)) => return self.give_up_until(left),
-                Err(NoPick::Saturated) if self.context.stopping.is_stopping() => {
+                Err(PickError::NoTarget) => return self.give_up("no target takes it"),
+                Err(PickError::BackingOff(left)) => return self.give_up_until(left),
+                Err(PickError::Saturated) if self.context.stopping.is_stopping() => {
                     // Held on, it could be cut by the end of the process.
                     return self.give_up("this box ends and every target has a queue");
                 }
-                Err(NoPick::Saturated) => {
+                Err(PickError::Saturated) => {
                     let spread = 0.5 + rand::random::<f64>();
                     async_std::task::sleep(HOLD_STEP.mul_f64(spread)).await;
                     continue;
                 }
-                Err(NoPick::Overloaded) => return self.give_up("no target could answer in time"),
+                Err(PickError::Overloaded) => {
+                    return self.give_up("no target could answer in time");
+                }
             };
             let permit = match self.ask_permit(&pick).await {
                 Ok(permit) => permit,
@@ -157,7 +159,7 @@
         }
     }
 
-    fn pick(&mut self, left: Duration) -> Result<SteerPick, NoPick> {
+    fn pick(&mut self, left: Duration) -> Result<SteerPick, PickError> {
         let repeatable = self.plan.policy.repeatable && self.runs + 1 < self.plan.policy.attempts;
         let request = SteerRequest {
             service: &self.plan.service,
@@ -166,14 +168,14 @@
             large: self.plan.route.kind == RouteKind::Download,
             body_bytes: self.outgoing.body.len(),
             goal: self.plan.route.goal,
-            left,
+            remaining: left,
             tried: &self.tried,
             homes: home_regions(&self.plan),
         };
         let now = self.context.now();
         let mut core = self.context.core();
         let pick = core.pick(now, &request);
-        let out = core.left_out(now, &self.plan.service);
+        let out = core.excluded(now, &self.plan.service);
         drop(core);
         self.trace.note_left_out(&out);
         pick
@@ -275,7 +277,7 @@
             // Time is over and the target still works: whether it will run to its end is unknown.
             self.note_sent();
             self.context.crashes.note_unseen(self.outgoing.fingerprint, open.pick.key);
-            open.end(SteerOutcome::OutOfTime, None, 0);
+            open.end(SteerOutcome::DeadlineExceeded, None, 0);
             return self.go_on("the time is over and a target was still at work");
         };
         match end {
@@ -295,25 +297,25 @@
                 self.go_on("another instance has the address")
             }
             AttemptEnd::Withheld => {
-                open.end(SteerOutcome::Dropped, None, 0);
+                open.end(SteerOutcome::Cancelled, None, 0);
                 self.go_on("it has said meanwhile that it wants nothing")
             }
             AttemptEnd::NotConnected(why) => {
                 if why == CONNECTION_REFUSED {
                     self.context.crashes.note_gone(open.pick.key);
                 }
-                open.end(SteerOutcome::NotConnected, None, 0);
+                open.end(SteerOutcome::ConnectFailed, None, 0);
                 self.go_on(why)
             }
             AttemptEnd::Broken(reason) => {
                 self.note_sent();
                 self.context.crashes.note_unseen(self.outgoing.fingerprint, open.pick.key);
-                open.end(SteerOutcome::Broken, None, 0);
+                open.end(SteerOutcome::Incomplete, None, 0);
                 self.go_on(&reason)
             }
             AttemptEnd::CallerLeft => {
                 self.note_sent();
-                open.end(SteerOutcome::Dropped, None, 0);
+                open.end(SteerOutcome::Cancelled, None, 0);
                 self.go_on("its caller left before all of it had come")
             }
             AttemptEnd::TargetEnded(reason) => {
@@ -321,7 +323,7 @@
                 log_ended(&open.pick.id, self.outgoing.fingerprint);
                 // Before its end is told, so that both go in one datagram.
                 self.context.crashes.note_ended(self.outgoing.fingerprint, open.pick.key);
-                open.end(SteerOutcome::Broken, None, 0);
+                open.end(SteerOutcome::Incomplete, None, 0);
                 self.go_on(&format!("{reason}, and the target has ended"))
             }
         }
@@ -399,7 +401,7 @@
         }
         let (context, service) = (&self.context, &self.plan.service);
         let homes = home_regions(&self.plan);
-        if !context.core().has_choice(context.now(), service, &self.tried, homes) {
+        if !context.core().has_eligible_target(context.now(), service, &self.tried, homes) {
             return Some("there is no other target");
         }
         let spent = context.core().spend_retry(context.now(), service, RetryUse::Repeat);
--- a/crates/gateway/src/sightings.rs
+++ b/crates/gateway/src/sightings.rs
@@ -68,7 +68,7 @@
                 seen.good = 1;
                 seen.latency_permille = ended.latency_ratio.map_or(0, as_permille);
             }
-            SteerOutcome::Failed | SteerOutcome::Broken => seen.bad = 1,
+            SteerOutcome::Failed | SteerOutcome::Incomplete => seen.bad = 1,
             SteerOutcome::WrongTarget => seen.replaced = true,
             _ => {}
         }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -52,7 +52,7 @@
 
     /// The key of this life of it between boxes.
     pub(crate) fn key(&self) -> TargetKey {
-        TargetKey::of_life(&self.id, self.born_ms)
+        TargetKey::of_incarnation(&self.id, self.born_ms)
     }
 }
 
--- a/crates/gateway/tests/news.rs
+++ b/crates/gateway/tests/news.rs
@@ -176,7 +176,7 @@
 }
 
 fn key_of(target: &TargetEntry) -> TargetKey {
-    TargetKey::of_life(&target.id, target.born_ms)
+    TargetKey::of_incarnation(&target.id, target.born_ms)
 }
 
 /// A listing and a configuration grow old apart, each by what was heard of it.
