--- a/crates/decide/src/detector/hypotheses.rs
+++ b/crates/decide/src/detector/hypotheses.rs
@@ -1,23 +1,27 @@
-//! The ways to be sick that are tested for, and what one outcome says of each.
+//! The failure hypotheses that are tested for each target, and the log-likelihood ratio that one outcome
+//! contributes to each of them.
 
 use crate::messages::VerdictCause;
 
+/// Number of [`FailureMode`]s.
 pub(super) const FAILURE_MODES: usize = 4;
 
-/// What a bad outcome is, from the plain to the subtle.
+/// The ways in which an outcome can be bad, from the most to the least obvious. The discriminants index
+/// arrays of length [`FAILURE_MODES`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum FailureMode {
-    /// Failed.
+    /// The attempt failed.
     Error = 0,
-    /// Open for too long.
+    /// The attempt is or was open for longer than the overdue threshold.
     Overdue = 1,
-    /// Slower than nine in ten of the siblings' answers.
+    /// The answer was slower than 90 % of the service's answers.
     Slow = 2,
-    /// Slower than twice that.
+    /// The answer took more than twice the threshold of [`FailureMode::Slow`].
     VerySlow = 3,
 }
 
 impl FailureMode {
+    /// Returns the cause that a verdict based on this mode states.
     pub(super) fn cause(self) -> VerdictCause {
         match self {
             FailureMode::Error => VerdictCause::Errors,
@@ -27,19 +31,23 @@
     }
 }
 
-/// One way to be sick.
+/// The hypothesis that a target fails in a given mode at a given rate.
 pub(super) struct Hypothesis {
+    /// Mode of the outcomes that count as bad.
     pub(super) mode: FailureMode,
-    /// Rate of bad outcomes if it is so.
+    /// Rate of bad outcomes if the hypothesis is true.
     pub(super) rate: f32,
-    /// The least factor between that rate and the baseline one.
+    /// Minimum ratio of that rate to the baseline rate. Where the baseline is high, the rate is raised to
+    /// this multiple of it.
     pub(super) factor: f32,
-    /// What of the threshold one window can add. Queues pass, so slowness must last.
+    /// Maximum share of the threshold that one window can add to the sum. It is lowest for slowness, which
+    /// has to persist, because queues that build up briefly also slow answers.
     pub(super) window_share: f32,
-    /// What other data centres add for each unit that this one saw itself.
+    /// Maximum evidence counted from other data centres, as a multiple of the local sum.
     pub(super) remote_factor: f32,
 }
 
+/// All hypotheses that are tested, for each target and data centre.
 pub(super) const HYPOTHESES: [Hypothesis; 6] = [
     Hypothesis {
         mode: FailureMode::Error,
@@ -62,7 +70,7 @@
         window_share: 0.25,
         remote_factor: 6.0,
     },
-    // A target that stalls answers nothing at all, so one answer speaks loudly against it.
+    // A stalled target answers nothing at all, so a single answer is strong evidence against a stall.
     Hypothesis {
         mode: FailureMode::Overdue,
         rate: 0.999,
@@ -86,23 +94,27 @@
     },
 ];
 
-/// The least baseline rate of bad outcomes, for each mode.
+/// Minimum baseline rate of bad outcomes, by failure mode.
 pub(super) const MIN_BASELINE_RATE: [f32; FAILURE_MODES] = [0.001, 0.002, 0.1, 0.02];
-/// The dispersion that is assumed at first, for each mode: errors come alone more
-/// often than what queues bring about.
+/// Dispersion that is assumed until enough has been measured, by failure mode. It is lower for errors, which
+/// cluster less than the delays that queues cause.
 pub(super) const ASSUMED_DISPERSION: [f32; FAILURE_MODES] = [1.0, 2.0, 2.0, 2.0];
-/// The highest rate that a hypothesis can be raised to.
+/// Maximum rate that a hypothesis can be raised to; above it, the hypothesis is not tested.
 pub(super) const MAX_FAILURE_RATE: f32 = 0.9995;
 
-/// What one outcome adds to the sum of a hypothesis.
+/// The log-likelihood ratios that one outcome adds to the sum of a hypothesis, divided by the dispersion
+/// factor.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LogLikelihoodRatios {
+    /// Summand for a bad outcome; positive.
     pub(super) bad: f32,
+    /// Summand for a good outcome; negative.
     pub(super) good: f32,
 }
 
 impl LogLikelihoodRatios {
-    /// `None` where the siblings are so bad that the hypothesis says nothing.
+    /// Returns the ratios of `hypothesis` against the `baseline` rates. `None` if the siblings' rate of bad
+    /// outcomes is so high that the hypothesis can't be told apart from it.
     pub(super) fn of(
         hypothesis: &Hypothesis,
         baseline: &[f32; FAILURE_MODES],
--- a/crates/decide/src/detector/mod.rs
+++ b/crates/decide/src/detector/mod.rs
@@ -1,20 +1,19 @@
-//! The sequential test that convicts targets, over the evidence of many boxes.
+//! Outlier detection: a sequential test that convicts failing targets by the evidence of many boxes.
 //!
-//! For each target and data centre a cumulative sum of log-likelihood ratios is
-//! kept for a few hypotheses ("a quarter of its answers are errors"). Bad
-//! outcomes raise it, good ones lower it, and it never falls below zero. The rate
-//! of bad outcomes that is held to be baseline is what the target's siblings show in
-//! the same moments, so a service that fails or slows as a whole convicts nobody.
+//! For each target and data centre, the detector keeps a cumulative sum (CUSUM) of log-likelihood ratios for
+//! each of a few hypotheses, such as "a quarter of its answers are errors". Bad outcomes raise the sum, good
+//! ones lower it, and it never falls below zero. The baseline rate of bad outcomes is the rate of the target's
+//! siblings over the same period, so no target is convicted when a service fails or slows as a whole.
 //!
-//! Bad outcomes come in bursts (a queue, a pause), so a ratio that took them for
-//! independent would convict on one burst. How much they cluster is measured on the
-//! siblings as well ([`crate::dispersion`]), and the ratios are divided by it.
+//! Bad outcomes come in bursts (a queue, a pause), so ratios that treat them as independent would convict a
+//! target on a single burst. The degree of clustering is measured on the siblings as well
+//! ([`crate::dispersion`]), and the ratios are divided by it.
 //!
-//! Bounds that the pooled evidence has:
-//! - one box adds at most [`SOURCE_SHARE`] of the threshold, so a sick box convicts nobody;
-//! - one window adds at most a part of it, so one short pause convicts nobody;
-//! - other data centres add at most a few times what this one saw itself, so
-//!   a cut between one data centre and a target costs that path and not the target.
+//! Pooled evidence is bounded:
+//! - one box adds at most [`MAX_SOURCE_SHARE`] of the threshold, so a failing box alone convicts no target;
+//! - one window adds at most a part of the threshold, so a single short pause convicts no target;
+//! - other data centres add at most a few times what the local one observed, so a partition between one data
+//!   centre and a target affects that path only and not the target as a whole.
 
 mod counts;
 mod hypotheses;
@@ -32,29 +31,32 @@
 use crate::setup::ServiceSetup;
 use crate::time::TimePoint;
 
-/// How long evidence is gathered before it is weighed.
+/// Time for which evidence is collected before it is evaluated.
 pub const DETECTION_WINDOW: Duration = Duration::from_millis(50);
-/// What of the threshold one box can add in a pool of several.
-const SOURCE_SHARE: f32 = 0.55;
+/// Maximum share of the threshold that one box can add to a sum if several boxes contribute.
+const MAX_SOURCE_SHARE: f32 = 0.55;
 
-/// Judges targets by the evidence handed to it.
+/// Finds failing targets from the evidence of one or more boxes.
 #[derive(Debug)]
 pub struct OutlierDetector {
     own_data_centre: Name,
     pooled: bool,
     services: HashMap<Name, MonitoredService>,
+    /// Services with evidence that has not been evaluated.
     dirty: Vec<Name>,
+    /// Numbers of the boxes that have sent evidence.
     sources: HashMap<EvidenceSource, u32>,
+    /// All data centres that have sent evidence; the local one comes first.
     data_centres: Vec<Name>,
 }
 
 impl OutlierDetector {
-    /// The judge of an agent, over the evidence of many boxes.
+    /// Creates the detector of an agent, which evaluates the evidence of many boxes.
     pub fn pooled(own_data_centre: &str) -> OutlierDetector {
         OutlierDetector::new(own_data_centre, true)
     }
 
-    /// The judge within a box, over its own evidence alone.
+    /// Creates the detector within a box, which evaluates the evidence of this box only.
     pub fn local(own_data_centre: &str) -> OutlierDetector {
         OutlierDetector::new(own_data_centre, false)
     }
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Judges `setup`'s service from now on. What is known of targets that stay is kept.
+    /// Adds the service of `setup`, or changes it. Targets that remain keep their state.
     pub fn configure(&mut self, setup: &ServiceSetup) {
         let service = self
             .services
@@ -79,12 +81,12 @@
         service.configure(setup);
     }
 
-    /// Judges `service` no more.
+    /// Removes `service` and the state of its targets.
     pub fn remove(&mut self, service: &str) {
         self.services.remove(service);
     }
 
-    /// Forgets what is held against a target: another one answers at its address.
+    /// Discards the state of `target`, because a new instance answers at its address.
     pub fn reset_target(&mut self, service: &str, target: TargetKey) {
         let Some(service) = self.services.get_mut(service) else {
             return;
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Takes what `source` saw.
+    /// Adds a batch of evidence from the box `source`. Unknown services and targets are ignored.
     pub fn add_batch(&mut self, now: TimePoint, source: &EvidenceSource, batch: &EvidenceBatch) {
         let source = self.source_ref(source);
         let Some(service) = self.services.get_mut(&batch.service) else {
@@ -104,18 +106,18 @@
             service.dirty = true;
             self.dirty.push(batch.service.clone());
         }
-        for seen in &batch.targets {
-            let Some(&index) = service.index.get(&seen.target) else {
+        for samples in &batch.targets {
+            let Some(&index) = service.index.get(&samples.target) else {
                 continue;
             };
-            service.targets[index].record_load(now, seen.load);
-            for sample in &seen.samples {
+            service.targets[index].record_load(now, samples.load);
+            for sample in &samples.samples {
                 service.add_sample(now, index, source, sample);
             }
         }
     }
 
-    /// Weighs what came since the last window.
+    /// Evaluates the evidence added since the last call and returns the new verdicts.
     pub fn tick(&mut self, now: TimePoint) -> Vec<Verdict> {
         let mut verdicts = Vec::new();
         let context = WindowContext { now, pooled: self.pooled, sources: self.sources.len() };
@@ -128,19 +130,19 @@
         verdicts
     }
 
-    /// The verdicts in force, for a box that is new.
+    /// Returns the convictions in force, for a box that has just connected.
     pub fn verdicts_in_force(&self) -> Vec<Verdict> {
         let services = self.services.values();
         services.flat_map(MonitoredService::verdicts_in_force).collect()
     }
 
-    /// How long an attempt of `service` may be open before it counts as overdue.
-    /// `None` while too little is known.
+    /// Returns the time after which an open attempt of `service` counts as overdue. `None` until enough
+    /// latencies are recorded.
     pub fn overdue_after(&self, service: &str) -> Option<Duration> {
         self.services.get(service)?.overdue_after()
     }
 
-    /// The median time of an answer of `service`. `None` while too little is known.
+    /// Returns the median latency of `service`. `None` until enough latencies are recorded.
     pub fn typical_time(&self, service: &str) -> Option<Duration> {
         self.services.get(service)?.typical_time()
     }
@@ -158,16 +160,17 @@
     }
 }
 
-/// What is the same for all services in one window.
+/// Inputs of an evaluation that are the same for all services.
 struct WindowContext {
     now: TimePoint,
     pooled: bool,
+    /// Number of boxes that have sent evidence.
     sources: usize,
 }
 
 impl WindowContext {
-    /// The most that one source can add to a sum.
+    /// Returns the maximum that one box can add to a sum.
     fn max_source_contribution(&self, threshold: f32) -> f32 {
-        if self.pooled && self.sources > 1 { threshold * SOURCE_SHARE } else { f32::INFINITY }
+        if self.pooled && self.sources > 1 { threshold * MAX_SOURCE_SHARE } else { f32::INFINITY }
     }
 }
--- a/crates/decide/src/detector/target.rs
+++ b/crates/decide/src/detector/target.rs
@@ -1,4 +1,4 @@
-//! One target before its judge: sums for each data centre, trial and conviction.
+//! The detector's state of one target: sums of evidence by data centre, conviction and trial.
 
 use std::time::Duration;
 
@@ -10,36 +10,41 @@
 use crate::names::TargetKey;
 use crate::time::TimePoint;
 
-/// What other data centres saw counts for so long; they stop asking once they eject.
-const REMOTE_FRESH: Duration = Duration::from_secs(2);
-/// Errors that they saw count for longer, and less: a fault that shows seldom is found
-/// by one centre seconds before the next, and must not be ejected in turns.
-const ERRORS_COUNT: Duration = Duration::from_secs(10);
-const STALE_FACTOR: f32 = 3.0;
-/// A data centre that saw nothing of a target for so long relies on the others.
-const OWN_SILENCE: Duration = Duration::from_secs(5);
-/// Attempts that acquit a target on trial if none was bad.
-const ACQUIT_CLEAN: f32 = 10.0;
-/// How long the rates of siblings are remembered, for what goes on just now.
+/// Maximum age of evidence from other data centres. It is short because a data centre sends no more requests to a
+/// target, and so no evidence, once it has ejected the target.
+const MAX_REMOTE_AGE: Duration = Duration::from_secs(2);
+/// Maximum age of errors observed by other data centres. It is longer than [`MAX_REMOTE_AGE`], with a lower weight
+/// ([`MAX_STALE_FACTOR`]), because one data centre can find a rare fault seconds before the next, and the data
+/// centres should not eject the target one after the other.
+const MAX_REMOTE_ERROR_AGE: Duration = Duration::from_secs(10);
+/// Maximum `remote_factor` of a hypothesis for evidence that is older than [`MAX_REMOTE_AGE`].
+const MAX_STALE_FACTOR: f32 = 3.0;
+/// Time without local evidence about a target after which the evidence of other data centres counts without the
+/// bound by the local sum.
+const MAX_LOCAL_AGE: Duration = Duration::from_secs(5);
+/// Minimum number of attempts that acquit a target on trial if none was bad.
+const MIN_CLEAN_ATTEMPTS: f32 = 10.0;
+/// Half-life of the counts for the current rates of siblings.
 const RECENT_HALF_LIFE: Duration = Duration::from_secs(2);
-/// How long they are remembered for what is baseline.
+/// Half-life of the counts for the long-term rates of siblings.
 const LONG_HALF_LIFE: Duration = Duration::from_secs(60);
 
+/// A box that sends evidence, by number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct SourceRef {
     pub(super) number: u32,
-    /// Index of the data centre; 0 is this judge's own.
+    /// Index of the data centre; 0 is the detector's own.
     pub(super) data_centre: usize,
 }
 
-/// What other data centres hold against a target.
+/// Evidence of other data centres against a target, for one hypothesis.
 struct RemoteSum {
     sum: f32,
-    /// Whether all of it was seen just now.
+    /// Whether all of it is at most [`MAX_REMOTE_AGE`] old.
     fresh: bool,
 }
 
-/// What a target is found to be.
+/// The hypothesis with the highest score for a target.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Finding {
     pub(super) score: f32,
@@ -47,44 +52,52 @@
     pub(super) mode: FailureMode,
 }
 
+/// A target and the evidence about it.
 #[derive(Debug)]
 pub(super) struct MonitoredTarget {
     pub(super) key: TargetKey,
+    /// Outcomes of the current window, by box.
     pub(super) windows: Vec<SourceWindow>,
     pub(super) recent: DecayingCounts,
     pub(super) long: DecayingCounts,
+    /// Outcomes of the span in which dispersion is being measured.
     pub(super) span: OutcomeCounts,
-    pub(super) pools: Vec<DataCentreSums>,
-    /// When its last good answer to this data centre came to notice.
+    pub(super) sums_by_data_centre: Vec<DataCentreSums>,
+    /// Time when the last good answer to a box of this data centre was recorded.
     pub(super) last_good: TimePoint,
     pub(super) load: f32,
     pub(super) load_at: TimePoint,
+    /// The conviction in force, until an acquittal.
     pub(super) conviction: Option<Conviction>,
     pub(super) flaps: FlapCount,
+    /// Outcomes of the trial, which begins when the back-off ends.
     pub(super) trial: OutcomeCounts,
 }
 
+/// A conviction in force.
 #[derive(Debug)]
 pub(super) struct Conviction {
     pub(super) since: TimePoint,
+    /// End of the back-off; earlier samples are ignored.
     pub(super) trial_from: TimePoint,
     pub(super) finding: Finding,
 }
 
-/// What one source saw in this window.
+/// Outcomes that one box observed in the current window.
 #[derive(Debug)]
 pub(super) struct SourceWindow {
     pub(super) source: SourceRef,
     pub(super) counts: OutcomeCounts,
 }
 
-/// The sums over the evidence of one data centre.
+/// The cumulative sums over the evidence of one data centre, by hypothesis.
 #[derive(Debug)]
 pub(super) struct DataCentreSums {
     pub(super) data_centre: usize,
     pub(super) sums: [f32; HYPOTHESES.len()],
-    /// What each source has added since the sum was last zero.
+    /// Contribution of each box, by its number, since the sum was last zero.
     pub(super) shares: Vec<(u32, [f32; HYPOTHESES.len()])>,
+    /// Time of the last evidence.
     pub(super) last_seen: TimePoint,
 }
 
@@ -96,7 +109,7 @@
             recent: DecayingCounts::new(RECENT_HALF_LIFE),
             long: DecayingCounts::new(LONG_HALF_LIFE),
             span: OutcomeCounts::default(),
-            pools: Vec::new(),
+            sums_by_data_centre: Vec::new(),
             last_good: TimePoint::default(),
             load: 0.0,
             load_at: TimePoint::default(),
@@ -106,6 +119,7 @@
         }
     }
 
+    /// Records a reported load; 0 stands for none.
     pub(super) fn record_load(&mut self, now: TimePoint, load: f32) {
         if load > 0.0 {
             self.load = load;
@@ -113,6 +127,7 @@
         }
     }
 
+    /// Returns the outcomes of `source` in the current window, added if missing.
     pub(super) fn window_for(&mut self, source: SourceRef) -> &mut SourceWindow {
         let known = self.windows.iter().position(|window| window.source == source);
         let index = known.unwrap_or_else(|| {
@@ -122,6 +137,7 @@
         &mut self.windows[index]
     }
 
+    /// Returns the outcomes of all boxes in the current window.
     pub(super) fn window_total(&self) -> OutcomeCounts {
         let mut total = OutcomeCounts::default();
         for window in &self.windows {
@@ -130,6 +146,8 @@
         total
     }
 
+    /// Adds the window's outcomes to the sums, within the bounds for one box and for one window, and clears the
+    /// window.
     pub(super) fn update_sums(
         &mut self,
         context: &WindowContext,
@@ -137,49 +155,51 @@
         baseline: &[f32; FAILURE_MODES],
         factors: &[f32; FAILURE_MODES],
     ) {
-        let steps: [Option<LogLikelihoodRatios>; HYPOTHESES.len()] =
+        let ratios: [Option<LogLikelihoodRatios>; HYPOTHESES.len()] =
             std::array::from_fn(|number| {
                 LogLikelihoodRatios::of(&HYPOTHESES[number], baseline, factors)
             });
         let before: Vec<(usize, [f32; HYPOTHESES.len()])> =
-            self.pools.iter().map(|pool| (pool.data_centre, pool.sums)).collect();
+            self.sums_by_data_centre.iter().map(|entry| (entry.data_centre, entry.sums)).collect();
         let max_contribution = context.max_source_contribution(threshold);
         for window in std::mem::take(&mut self.windows) {
             if self.conviction.is_some() {
                 self.trial.add(&window.counts);
             }
-            let pool = sums_of(&mut self.pools, window.source.data_centre);
-            pool.last_seen = context.now;
-            pool.add(window.source.number, &window.counts, &steps, max_contribution);
+            let entry = sums_of(&mut self.sums_by_data_centre, window.source.data_centre);
+            entry.last_seen = context.now;
+            entry.add(window.source.number, &window.counts, &ratios, max_contribution);
         }
-        for pool in &mut self.pools {
-            let earlier = before.iter().find(|(centre, _)| *centre == pool.data_centre);
+        for entry in &mut self.sums_by_data_centre {
+            let earlier = before.iter().find(|(centre, _)| *centre == entry.data_centre);
             let earlier = earlier.map_or([0.0; HYPOTHESES.len()], |(_, sums)| *sums);
             for (number, hypothesis) in HYPOTHESES.iter().enumerate() {
-                let most = earlier[number] + threshold * hypothesis.window_share;
-                pool.sums[number] = pool.sums[number].min(most);
+                let max_sum = earlier[number] + threshold * hypothesis.window_share;
+                entry.sums[number] = entry.sums[number].min(max_sum);
             }
         }
     }
 
-    /// The highest sum that counts for this judge's data centre, and for whom.
+    /// Returns the hypothesis with the highest score from the detector's data centre, and the scope to which it
+    /// applies.
     pub(super) fn score(&self, now: TimePoint, threshold: f32) -> Finding {
-        let own = self.pools.iter().find(|pool| pool.data_centre == 0);
-        let silent = own.is_none_or(|pool| now.since(pool.last_seen) > OWN_SILENCE);
+        let local = self.sums_by_data_centre.iter().find(|entry| entry.data_centre == 0);
+        let no_local_evidence =
+            local.is_none_or(|entry| now.since(entry.last_seen) > MAX_LOCAL_AGE);
         let mut best =
             Finding { score: 0.0, scope: VerdictScope::Target, mode: FailureMode::Error };
         for (number, hypothesis) in HYPOTHESES.iter().enumerate() {
-            let own_sum = own.map_or(0.0, |pool| pool.sums[number]);
+            let local_sum = local.map_or(0.0, |entry| entry.sums[number]);
             let remote = self.remote_sum(now, number, threshold);
             let factor = match remote.fresh {
                 true => hypothesis.remote_factor,
-                false => hypothesis.remote_factor.min(STALE_FACTOR),
+                false => hypothesis.remote_factor.min(MAX_STALE_FACTOR),
             };
             let remote = remote.sum;
-            let most = if silent { f32::INFINITY } else { own_sum * factor };
-            let score = own_sum + remote.min(most);
+            let max_remote = if no_local_evidence { f32::INFINITY } else { local_sum * factor };
+            let score = local_sum + remote.min(max_remote);
             if score > best.score {
-                let shared = self.pools.len() == 1 || remote >= own_sum / 4.0;
+                let shared = self.sums_by_data_centre.len() == 1 || remote >= local_sum / 4.0;
                 let scope = if shared { VerdictScope::Target } else { VerdictScope::DataCentre };
                 best = Finding { score, scope, mode: hypothesis.mode };
             }
@@ -187,23 +207,24 @@
         best
     }
 
-    /// What other data centres hold against the target by one hypothesis.
+    /// Returns the evidence of other data centres for the hypothesis `number`.
     fn remote_sum(&self, now: TimePoint, number: usize, threshold: f32) -> RemoteSum {
-        let counts = match HYPOTHESES[number].mode {
-            FailureMode::Error => ERRORS_COUNT,
-            _ => REMOTE_FRESH,
+        let max_age = match HYPOTHESES[number].mode {
+            FailureMode::Error => MAX_REMOTE_ERROR_AGE,
+            _ => MAX_REMOTE_AGE,
         };
         let mut remote = RemoteSum { sum: 0.0, fresh: true };
-        for pool in self.pools.iter().filter(|pool| pool.data_centre != 0) {
-            let age = now.since(pool.last_seen);
-            if age <= counts && pool.sums[number] > 0.0 {
-                remote.sum += pool.sums[number].min(threshold);
-                remote.fresh &= age <= REMOTE_FRESH;
+        for entry in self.sums_by_data_centre.iter().filter(|entry| entry.data_centre != 0) {
+            let age = now.since(entry.last_seen);
+            if age <= max_age && entry.sums[number] > 0.0 {
+                remote.sum += entry.sums[number].min(threshold);
+                remote.fresh &= age <= MAX_REMOTE_AGE;
             }
         }
         remote
     }
 
+    /// Records a conviction and clears the evidence that led to it.
     pub(super) fn convict(
         &mut self,
         now: TimePoint,
@@ -214,47 +235,54 @@
         self.flaps.record(now, 0);
         let wait = self.flaps.backoff(backoff, backoff_max);
         self.conviction = Some(Conviction { since: now, trial_from: now + wait, finding });
-        self.pools.clear();
+        self.sums_by_data_centre.clear();
         self.trial = OutcomeCounts::default();
         self.recent = DecayingCounts::new(RECENT_HALF_LIFE);
         self.long = DecayingCounts::new(LONG_HALF_LIFE);
     }
 
+    /// Returns whether the outcomes of the trial suffice for an acquittal: a few attempts that are all
+    /// good, or four times as many at no more than the baseline rates plus 2 percentage points.
     pub(super) fn trial_succeeded(&self, baseline: &[f32; FAILURE_MODES]) -> bool {
-        const JUDGED: [FailureMode; 3] =
+        const TESTED: [FailureMode; 3] =
             [FailureMode::Error, FailureMode::Overdue, FailureMode::VerySlow];
         let OutcomeCounts { count, bad } = &self.trial;
-        let seen = count[FailureMode::Error as usize].max(count[FailureMode::Overdue as usize]);
+        let attempts = count[FailureMode::Error as usize].max(count[FailureMode::Overdue as usize]);
         let clean = bad[FailureMode::Error as usize] + bad[FailureMode::Overdue as usize] < 0.5
             && bad[FailureMode::VerySlow as usize] < 2.5;
-        let fair = JUDGED.iter().all(|mode| {
+        let fair = TESTED.iter().all(|mode| {
             let mode = *mode as usize;
             bad[mode] <= count[mode] * (baseline[mode] + 0.02)
         });
-        (seen >= ACQUIT_CLEAN && clean) || (seen >= 4.0 * ACQUIT_CLEAN && fair)
+        (attempts >= MIN_CLEAN_ATTEMPTS && clean) || (attempts >= 4.0 * MIN_CLEAN_ATTEMPTS && fair)
     }
 }
 
-pub(super) fn sums_of(pools: &mut Vec<DataCentreSums>, data_centre: usize) -> &mut DataCentreSums {
-    let known = pools.iter().position(|pool| pool.data_centre == data_centre);
+/// Returns the sums of `data_centre`, added if missing.
+pub(super) fn sums_of(
+    sums_by_data_centre: &mut Vec<DataCentreSums>,
+    data_centre: usize,
+) -> &mut DataCentreSums {
+    let known = sums_by_data_centre.iter().position(|entry| entry.data_centre == data_centre);
     let index = known.unwrap_or_else(|| {
-        pools.push(DataCentreSums {
+        sums_by_data_centre.push(DataCentreSums {
             data_centre,
             sums: [0.0; HYPOTHESES.len()],
             shares: Vec::new(),
             last_seen: TimePoint::default(),
         });
-        pools.len() - 1
+        sums_by_data_centre.len() - 1
     });
-    &mut pools[index]
+    &mut sums_by_data_centre[index]
 }
 
 impl DataCentreSums {
+    /// Adds the outcomes of the box `source`, whose contribution to each sum is bounded by `max_contribution`.
     pub(super) fn add(
         &mut self,
         source: u32,
         counts: &OutcomeCounts,
-        steps: &[Option<LogLikelihoodRatios>; HYPOTHESES.len()],
+        ratios: &[Option<LogLikelihoodRatios>; HYPOTHESES.len()],
         max_contribution: f32,
     ) {
         let known = self.shares.iter().position(|(number, _)| *number == source);
@@ -262,14 +290,14 @@
             self.shares.push((source, [0.0; HYPOTHESES.len()]));
             self.shares.len() - 1
         });
-        for (number, step) in steps.iter().enumerate() {
-            let Some(step) = step else {
+        for (number, ratio) in ratios.iter().enumerate() {
+            let Some(ratio) = ratio else {
                 self.sums[number] = 0.0;
                 continue;
             };
             let mode = HYPOTHESES[number].mode as usize;
             let bad = counts.bad[mode];
-            let change = bad * step.bad + (counts.count[mode] - bad) * step.good;
+            let change = bad * ratio.bad + (counts.count[mode] - bad) * ratio.good;
             let share = &mut self.shares[index].1[number];
             let allowed = change.min(max_contribution - *share);
             *share = (*share + allowed).max(0.0);
@@ -278,7 +306,8 @@
         self.reset_spent_shares();
     }
 
-    /// Once a sum is back at zero, what was added to it no longer counts against a max_contribution.
+    /// Resets the boxes' contributions to the sums that are back at zero, so that they no longer count towards the
+    /// maximum.
     pub(super) fn reset_spent_shares(&mut self) {
         for number in 0..HYPOTHESES.len() {
             if self.sums[number] == 0.0 {
