--- a/crates/decide/src/detector/service.rs
+++ b/crates/decide/src/detector/service.rs
@@ -171,8 +171,8 @@
             SampleKind::Good => [Some(false), Some(false), slow, very_slow],
             SampleKind::Error => [Some(true), None, None, None],
             SampleKind::Overdue => [None, Some(true), Some(true), Some(true)],
-            // The attempt was already counted as overdue and as slow. Its answer is evidence against a stall
-            // only.
+            // The attempt was already counted as overdue and as slow. Its answer only shows
+            // that it neither failed nor stalled.
             SampleKind::Late => [Some(false), Some(false), None, None],
         }
     }
