--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -1,25 +1,28 @@
-//! The retry budget: retries are balance by requests, so no outage makes a storm.
+//! The retry budget of a service: each request earns a share of a retry, so an outage can't cause a retry storm.
 
-/// Retries balance and not yet spent.
+/// The retries that a service may make, as a balance of earned and spent ones.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
+    /// Retries that each request earns.
     share: f64,
+    /// Maximum balance.
     burst: f64,
     balance: f64,
 }
 
 impl RetryBudget {
-    /// A budget where each request earns `share` of a retry, and at most `burst` are kept.
+    /// Creates a budget in which each request earns `share` of a retry, up to a balance of `burst`. It starts with
+    /// `burst`.
     pub fn new(share: f64, burst: f64) -> RetryBudget {
         RetryBudget { share, burst, balance: burst }
     }
 
-    /// A request came.
+    /// Adds the share of one request.
     pub fn earn(&mut self) {
         self.balance = (self.balance + self.share).min(self.burst);
     }
 
-    /// Takes one retry, if one is there.
+    /// Spends one retry. Returns false if the balance is less than one.
     pub fn spend(&mut self) -> bool {
         if self.balance < 1.0 {
             return false;
@@ -28,7 +31,7 @@
         true
     }
 
-    /// Returns a retry that was taken and not made.
+    /// Returns a retry that was spent and not made.
     pub fn refund(&mut self) {
         self.balance = (self.balance + 1.0).min(self.burst);
     }
--- a/crates/decide/src/core/evidence.rs
+++ b/crates/decide/src/core/evidence.rs
@@ -1,4 +1,4 @@
-//! What outcomes say of targets, gathered and sent.
+//! Turns the outcomes of attempts into evidence about targets, and sends it in batches.
 
 use crate::core::health::change_health;
 use crate::core::{BoxCore, REPORT_INTERVAL, locate};
@@ -12,15 +12,18 @@
 use crate::sketch::LatencyBucket;
 use crate::time::TimePoint;
 
-/// Evidence of one service that waits to be sent.
+/// Evidence about one service that has not been sent.
 #[derive(Debug, Default)]
 pub(super) struct PendingBatch {
     targets: Vec<TargetSamples>,
+    /// Time of the first sample.
     since: TimePoint,
+    /// Whether it contains a bad outcome and is sent with the next window.
     urgent: bool,
 }
 
 impl BoxCore {
+    /// Records what a target reported about itself with an answer: its load, its state and its incarnation.
     pub(super) fn record_report(
         &mut self,
         now: TimePoint,
@@ -39,19 +42,20 @@
                 health.replace(now);
                 true
             });
-            service.rebuild();
+            service.update_eligible();
         } else if report.state == ReportedState::Cold {
             change_health(service, index, "it says it is cold", commands, |health| {
                 health.mark_cold(chart, now)
             });
-            service.rebuild();
+            service.update_eligible();
         }
         if is_draining(report) {
             self.mark_draining(now, name, key, true, commands);
         }
     }
 
-    /// Turns an outcome into evidence.
+    /// Adds the evidence that follows from the outcome of an attempt. A target that sheds load or drains is not
+    /// failing, so its refusals are no evidence.
     pub(super) fn record_outcome(
         &mut self,
         now: TimePoint,
@@ -72,6 +76,7 @@
         self.add_evidence(now, service, open, kind, commands);
     }
 
+    /// Adds a sample to the batch of the service, and records it as a trial result if the target is on trial.
     pub(super) fn add_evidence(
         &mut self,
         now: TimePoint,
@@ -103,11 +108,13 @@
         }
     }
 
+    /// Sends the batches that are due, and adds them to the local detector.
     pub(super) fn send_reports(&mut self, now: TimePoint, commands: &mut Vec<BoxCommand>) {
-        let due = |batch: &PendingBatch| batch.urgent || now.since(batch.since) >= REPORT_INTERVAL;
-        let ready = self.batches.iter().filter(|(_, batch)| due(batch));
-        let ready: Vec<Name> = ready.map(|(name, _)| name.clone()).collect();
-        for service in ready {
+        let is_due =
+            |batch: &PendingBatch| batch.urgent || now.since(batch.since) >= REPORT_INTERVAL;
+        let due = self.batches.iter().filter(|(_, batch)| is_due(batch));
+        let due: Vec<Name> = due.map(|(name, _)| name.clone()).collect();
+        for service in due {
             if let Some(batch) = self.batches.remove(&service) {
                 let batch = EvidenceBatch { service, targets: batch.targets };
                 self.local_detector.add_batch(now, &self.source, &batch);
@@ -118,6 +125,7 @@
 }
 
 impl PendingBatch {
+    /// Adds one sample. `load` is the target's recently reported load, 0 if there is none.
     fn add(
         &mut self,
         now: TimePoint,
@@ -135,14 +143,14 @@
             self.targets.push(TargetSamples::new(target));
             self.targets.len() - 1
         });
-        let seen = &mut self.targets[index];
-        seen.load = seen.load.max(load);
-        seen.add(kind, bucket);
+        let samples = &mut self.targets[index];
+        samples.load = samples.load.max(load);
+        samples.add(kind, bucket);
     }
 }
 
-/// What an outcome says of a target's health. Draining is no sickness, and neither is
-/// the slowness of a cold start: what it answers says only that it answers.
+/// Returns the kind of evidence that an outcome gives about a target, if any. Draining is not a failure. Neither is
+/// a slow answer after a cold start, so an answer of a warming target only shows that the target answers.
 fn evidence_kind(health: &TargetHealth, kind: SampleKind) -> Option<SampleKind> {
     match (health.state(), kind) {
         (HealthState::Draining, _) => None,
--- a/crates/decide/src/core/health.rs
+++ b/crates/decide/src/core/health.rs
@@ -1,4 +1,5 @@
-//! Who is in service: verdicts, overrides by hand, leaving targets, and the chart's time.
+//! Decides which targets are in service, by verdicts, manual overrides, draining targets and the timed transitions of
+//! the health chart.
 
 use crate::core::{BoxCore, PROBE_INTERVAL, locate};
 use crate::floor::EjectionRank;
@@ -12,6 +13,7 @@
 use crate::time::TimePoint;
 
 impl BoxCore {
+    /// Replaces the manual overrides of a service.
     pub(super) fn set_overrides(
         &mut self,
         now: TimePoint,
@@ -33,9 +35,11 @@
                 change_health(service, index, "drained by hand", commands, changed);
             }
         }
-        service.rebuild();
+        service.update_eligible();
     }
 
+    /// Marks a target as draining. If the target itself reported that (`reported_by_target`), the other boxes are
+    /// informed.
     pub(super) fn mark_draining(
         &mut self,
         now: TimePoint,
@@ -56,12 +60,13 @@
             return;
         }
         service.target_mut(index).probed_at = now;
-        service.rebuild();
+        service.update_eligible();
         if reported_by_target {
             commands.push(BoxCommand::AnnounceDraining { service: name.into(), target: key });
         }
     }
 
+    /// Handles the result of a probe of a draining target. `state` is `None` if the probe was not answered.
     pub(super) fn finish_probe(
         &mut self,
         now: TimePoint,
@@ -81,9 +86,10 @@
         change_health(service, index, "it says it is back", commands, |health| {
             health.restore(chart, now)
         });
-        service.rebuild();
+        service.update_eligible();
     }
 
+    /// Applies a verdict of a pooled detector.
     pub(super) fn apply_verdict(
         &mut self,
         now: TimePoint,
@@ -102,6 +108,7 @@
         }
     }
 
+    /// Ejects a target. `flaps` is the detector's count of recent ejections, 0 without a detector.
     #[expect(clippy::too_many_arguments, reason = "one private step, called from three places")]
     pub(super) fn convict(
         &mut self,
@@ -121,9 +128,10 @@
         change_health(service, index, reason, commands, |health| {
             health.convict(chart, now, ejection, flaps, &limits)
         });
-        service.rebuild();
+        service.update_eligible();
     }
 
+    /// Starts to warm up an ejected target after an acquittal by a pooled detector.
     pub(super) fn acquit(
         &mut self,
         now: TimePoint,
@@ -136,16 +144,17 @@
         };
         let scope = service.target(index).health.ejection().map(|ejection| ejection.scope);
         if scope == Some(VerdictScope::Path) {
-            // Others reach it; whether this box does, its own trial shows.
+            // Other boxes reach the target. Only the trial of this box shows whether its own path works again.
             return;
         }
         let chart = &self.chart;
         change_health(service, index, "a judge saw its trial go well", commands, |health| {
             health.acquit(chart, now)
         });
-        service.rebuild();
+        service.update_eligible();
     }
 
+    /// Applies the transitions that depend on time, and probes draining targets.
     pub(super) fn advance_health(&mut self, now: TimePoint, commands: &mut Vec<BoxCommand>) {
         let chart = &self.chart;
         for service in self.services.values_mut() {
@@ -165,11 +174,12 @@
                 }
             }
             if changed {
-                service.rebuild();
+                service.update_eligible();
             }
         }
     }
 
+    /// Applies the convictions of the local detector, which concern the path from this box only.
     pub(super) fn run_local_detector(&mut self, now: TimePoint, commands: &mut Vec<BoxCommand>) {
         for verdict in self.local_detector.tick(now) {
             if verdict.kind == VerdictKind::Acquitted {
@@ -184,7 +194,8 @@
     }
 }
 
-/// Changes a target's health and notes the change if there was one.
+/// Applies `change` to a target's health and, if the state changed, adds a [`BoxCommand::HealthChanged`]. Returns
+/// whether it did.
 pub(super) fn change_health(
     service: &mut ServiceState,
     index: usize,
@@ -210,6 +221,8 @@
     changed && from != to
 }
 
+/// Probes a draining target if a probe is due. A target that is drained by a manual override is not probed, since it
+/// stays drained until the override is removed.
 fn probe_draining(
     service: &mut ServiceState,
     index: usize,
--- a/crates/decide/src/core/mod.rs
+++ b/crates/decide/src/core/mod.rs
@@ -1,7 +1,7 @@
-//! The core of a box: events in, commands out.
+//! The decision core of a box: a state machine that takes events and returns commands.
 //!
-//! Requests and their attempts are in [`requests`]; who is in service is in [`health`],
-//! what outcomes say in [`evidence`].
+//! [`requests`] handles requests and their attempts, [`health`] decides which targets are in service, and
+//! [`evidence`] turns the outcomes of attempts into evidence about the targets.
 
 mod evidence;
 mod health;
@@ -25,33 +25,37 @@
 use crate::setup::ServiceSetup;
 use crate::time::TimePoint;
 
-/// How long good news waits for more before it is sent; bad news goes with the next window.
+/// Time for which evidence is collected before it is sent to the outlier detectors. A batch with bad outcomes is
+/// sent with the next window instead.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two probes of a leaving target.
+/// Time between two probes of a draining target.
 const PROBE_INTERVAL: Duration = Duration::from_secs(2);
-/// What a request is taken to need while nothing is known.
-const ASSUMED_SERVICE_TIME: Duration = Duration::from_millis(20);
-/// The shortest time that a refused caller is told to stay away.
+/// Assumed latency of a service until enough latencies are recorded.
+const ASSUMED_LATENCY: Duration = Duration::from_millis(20);
+/// Minimum retry time that is returned to a refused caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Over how much longer the return of refused callers is spread.
+/// Maximum random addition to [`MIN_RETRY_AFTER`], which spreads the retries of refused callers over time.
 const RETRY_AFTER_JITTER: Duration = Duration::from_secs(4);
 
-/// The decisions of one box.
+/// The decision core of one box.
 #[derive(Debug)]
 pub struct BoxCore {
     source: EvidenceSource,
     chart: HealthChart,
     services: BTreeMap<Name, ServiceState>,
     requests: RequestTable,
+    /// The detector over this box's own evidence.
     local_detector: OutlierDetector,
+    /// Evidence that has not been sent, by service.
     batches: BTreeMap<Name, PendingBatch>,
+    /// Start of the current [`DETECTION_WINDOW`].
     window_started: TimePoint,
     self_check: SelfCheck,
     random: SmallRng,
 }
 
 impl BoxCore {
-    /// A core for the box `source`, which draws from a random source seeded with `seed`.
+    /// Creates the core of the box `source`, with a random number generator seeded with `seed`.
     pub fn new(source: EvidenceSource, chart: HealthChart, seed: u64) -> BoxCore {
         let local_detector = OutlierDetector::local(&source.data_centre);
         BoxCore {
@@ -67,7 +71,7 @@
         }
     }
 
-    /// Takes an event at `now` and adds the commands that follow from it.
+    /// Handles an event at `now` and appends the resulting commands to `commands`.
     pub fn handle(&mut self, now: TimePoint, event: BoxEvent, commands: &mut Vec<BoxCommand>) {
         match event {
             BoxEvent::ServiceConfigured(setup) => self.configure(now, setup),
@@ -95,17 +99,17 @@
         }
     }
 
-    /// A service's state, for status pages and tests.
+    /// Returns the state of a service, for status pages and tests.
     pub fn service(&self, name: &str) -> Option<&ServiceState> {
         self.services.get(name)
     }
 
-    /// All services, for status pages.
+    /// Returns all services, for status pages.
     pub fn services(&self) -> impl Iterator<Item = &ServiceState> {
         self.services.values()
     }
 
-    /// Requests that are open or wait.
+    /// Returns the number of requests that are open or queued.
     pub fn requests_held(&self) -> usize {
         self.requests.len()
     }
@@ -134,7 +138,7 @@
     }
 
     fn tick(&mut self, now: TimePoint, commands: &mut Vec<BoxCommand>) {
-        while let Some((request, check)) = self.requests.take_due(now) {
+        while let Some((request, check)) = self.requests.pop_due(now) {
             match check {
                 TimedCheck::Overdue { attempt } => {
                     self.check_overdue(now, request, attempt, commands);
@@ -154,17 +158,19 @@
         }
     }
 
+    /// Returns a random retry time for a refused caller.
     fn random_retry_after(&mut self) -> Duration {
         let spread = RETRY_AFTER_JITTER.mul_f64(self.random.random());
         MIN_RETRY_AFTER + spread
     }
 }
 
+/// Returns the command that refuses a request that no target has run.
 fn not_run(request: RequestId, reason: RefuseReason, retry_after: Duration) -> BoxCommand {
     BoxCommand::Conclude { request, conclusion: Conclusion::NotRun { reason, retry_after } }
 }
 
-/// A service and the index of one of its targets.
+/// Returns a service and the index of one of its targets, if both exist.
 fn locate<'a>(
     services: &'a mut BTreeMap<Name, ServiceState>,
     name: &str,
--- a/crates/decide/src/core/requests.rs
+++ b/crates/decide/src/core/requests.rs
@@ -1,8 +1,8 @@
-//! Requests and their attempts: taken or refused, sent, sent again, concluded.
+//! Admission of requests, their attempts and retries, and their conclusion.
 
 use std::time::Duration;
 
-use crate::core::{ASSUMED_SERVICE_TIME, BoxCore, locate, not_run};
+use crate::core::{ASSUMED_LATENCY, BoxCore, locate, not_run};
 use crate::evidence::SampleKind;
 use crate::messages::{
     AttemptOutcome, BoxCommand, Conclusion, RefuseReason, RequestId, RequestPlan,
@@ -13,6 +13,7 @@
 use crate::time::TimePoint;
 
 impl BoxCore {
+    /// Admits a request and sends or queues it, or refuses it.
     pub(super) fn admit(
         &mut self,
         now: TimePoint,
@@ -30,18 +31,18 @@
         };
         service.budget.earn();
         service.queue.hold(plan.caller);
-        self.requests.check_at(plan.deadline, request, TimedCheck::Deadline);
+        self.requests.schedule_check(plan.deadline, request, TimedCheck::Deadline);
         let full = service.open >= service.setup().limits.open;
         let mut state = RequestState {
             plan,
-            phase: RequestPhase::Open(OpenAttempt::none(now)),
+            phase: RequestPhase::Open(OpenAttempt::placeholder(now)),
             attempts: 0,
             tried: Vec::new(),
             may_have_run: false,
         };
         if full {
-            let place = service.queue.push(request, state.plan.priority);
-            state.phase = RequestPhase::Queued(place);
+            let position = service.queue.push(request, state.plan.priority);
+            state.phase = RequestPhase::Queued(position);
             self.requests.insert(request, state);
             return;
         }
@@ -50,7 +51,7 @@
         self.send_first_attempt(now, request, commands);
     }
 
-    /// Why a request can't be taken, if it can't.
+    /// Returns the reason to refuse a request, or `None` to admit it.
     fn refusal(&self, now: TimePoint, plan: &RequestPlan) -> Option<RefuseReason> {
         let Some(service) = self.services.get(&plan.service) else {
             return Some(RefuseReason::UnknownService);
@@ -63,27 +64,29 @@
             return Some(RefuseReason::CallerLimit);
         }
         let limits = &service.setup().limits;
-        let needed = self.service_time(&plan.service);
+        let expected = self.expected_latency(&plan.service);
         if service.open < limits.open {
-            return (now + needed / 2 > plan.deadline).then_some(RefuseReason::Deadline);
+            return (now + expected / 2 > plan.deadline).then_some(RefuseReason::Deadline);
         }
         if service.queue.len() >= limits.queued {
             return Some(RefuseReason::Overloaded);
         }
-        // Under overload no caller holds more than its part of all there is room for.
+        // Under overload, no caller may hold more than an equal share of the total capacity.
         let share = service.queue.fair_share(limits.open + limits.queued);
         if held >= share {
             return Some(RefuseReason::CallerLimit);
         }
         let rounds = 1.0 + (service.queue.len() + 1) as f64 / limits.open as f64;
-        let ready = now + needed.mul_f64(rounds);
-        (ready > plan.deadline).then_some(RefuseReason::Deadline)
+        let answered_at = now + expected.mul_f64(rounds);
+        (answered_at > plan.deadline).then_some(RefuseReason::Deadline)
     }
 
-    pub(super) fn service_time(&self, service: &str) -> Duration {
-        self.local_detector.typical_time(service).unwrap_or(ASSUMED_SERVICE_TIME)
+    /// Returns the median latency of a service, or an assumed one until enough latencies are recorded.
+    pub(super) fn expected_latency(&self, service: &str) -> Duration {
+        self.local_detector.typical_time(service).unwrap_or(ASSUMED_LATENCY)
     }
 
+    /// Makes the first attempt of a request, or refuses it if there is no target.
     pub(super) fn send_first_attempt(
         &mut self,
         now: TimePoint,
@@ -91,11 +94,11 @@
         commands: &mut Vec<BoxCommand>,
     ) {
         if !self.send_attempt(now, request, commands) {
-            self.conclude_failed(now, request, RefuseReason::NoTarget, commands);
+            self.fail(now, request, RefuseReason::NoTarget, commands);
         }
     }
 
-    /// Sends a request to a target that it has not been to; false if there is none.
+    /// Sends a request to a target that it has not been sent to before. Returns false if there is none.
     pub(super) fn send_attempt(
         &mut self,
         now: TimePoint,
@@ -128,11 +131,12 @@
         });
         if let Some(after) = self.local_detector.overdue_after(&state.plan.service) {
             let check = TimedCheck::Overdue { attempt: state.attempts };
-            self.requests.check_at(now + after, request, check);
+            self.requests.schedule_check(now + after, request, check);
         }
         true
     }
 
+    /// Records the outcome of an attempt, and retries or concludes its request.
     pub(super) fn finish_attempt(
         &mut self,
         now: TimePoint,
@@ -148,7 +152,7 @@
             return;
         };
         if state.attempts != attempt {
-            // An earlier attempt, given up in favour of this request's present one.
+            // The outcome belongs to an earlier attempt, which the current one has replaced.
             return;
         }
         let ran = !matches!(outcome, AttemptOutcome::NotSent | AttemptOutcome::Shed(_));
@@ -165,7 +169,7 @@
         self.continue_request(now, request, outcome, commands);
     }
 
-    /// What follows for the request after an attempt of it ended.
+    /// Retries or concludes a request after an attempt has ended with `outcome`.
     pub(super) fn continue_request(
         &mut self,
         now: TimePoint,
@@ -177,23 +181,24 @@
             return;
         };
         let repeatable = state.plan.repeatable;
-        let elsewhere = match outcome {
+        let should_retry = match outcome {
             AttemptOutcome::Answered(_) => false,
             AttemptOutcome::AnsweredError(_) | AttemptOutcome::Broken => repeatable,
             AttemptOutcome::Shed(_) | AttemptOutcome::NotSent => true,
         };
-        if elsewhere && self.retry(now, request, commands) {
+        if should_retry && self.retry(now, request, commands) {
             return;
         }
         match outcome {
             AttemptOutcome::Answered(_) | AttemptOutcome::AnsweredError(_) => {
-                self.finish(now, request, Conclusion::Answered, commands);
+                self.conclude(now, request, Conclusion::Answered, commands);
             }
-            _ => self.conclude_failed(now, request, RefuseReason::Refused, commands),
+            _ => self.fail(now, request, RefuseReason::Refused, commands),
         }
     }
 
-    /// Sends a request once more, if attempts, budget and targets allow it.
+    /// Makes another attempt of a request if its attempt limit, its deadline, the retry budget and the targets allow
+    /// it. Returns whether it did.
     pub(super) fn retry(
         &mut self,
         now: TimePoint,
@@ -216,14 +221,15 @@
         if self.send_attempt(now, request, commands) {
             return true;
         }
-        // Nobody was asked, so nothing was spent.
+        // No target was found, so the retry is returned to the budget.
         if let Some(service) = self.services.get_mut(&name) {
             service.budget.refund();
         }
         false
     }
 
-    pub(super) fn conclude_failed(
+    /// Concludes a request without an answer: as not run, or as unknown if a target may have run it.
+    pub(super) fn fail(
         &mut self,
         now: TimePoint,
         request: RequestId,
@@ -237,10 +243,11 @@
         } else {
             Conclusion::NotRun { reason, retry_after }
         };
-        self.finish(now, request, conclusion, commands);
+        self.conclude(now, request, conclusion, commands);
     }
 
-    pub(super) fn finish(
+    /// Concludes a request and removes it.
+    pub(super) fn conclude(
         &mut self,
         now: TimePoint,
         request: RequestId,
@@ -251,7 +258,7 @@
         self.remove_request(now, request, commands);
     }
 
-    /// Takes a request off the books and lets the next one in.
+    /// Removes a request and sends the next queued one if that leaves room for it.
     pub(super) fn remove_request(
         &mut self,
         now: TimePoint,
@@ -265,8 +272,8 @@
             return;
         };
         service.queue.release(state.plan.caller);
-        if let RequestPhase::Queued(place) = state.phase {
-            service.queue.remove(place);
+        if let RequestPhase::Queued(position) = state.phase {
+            service.queue.remove(position);
             return;
         }
         service.open = service.open.saturating_sub(1);
@@ -279,6 +286,7 @@
         }
     }
 
+    /// Handles the cancellation of a request by its caller.
     pub(super) fn cancel(
         &mut self,
         now: TimePoint,
@@ -289,7 +297,7 @@
         self.remove_request(now, request, commands);
     }
 
-    /// Counts an attempt that is still open as closed; the driver drops its connection.
+    /// Counts the open attempt of a request, if any, as closed. The driver closes its connection.
     pub(super) fn abandon_attempt(&mut self, request: RequestId) {
         let Some(state) = self.requests.get(request) else {
             return;
@@ -300,6 +308,7 @@
         }
     }
 
+    /// Counts an attempt at `target` as closed.
     pub(super) fn close_attempt(&mut self, service: &str, target: TargetKey) {
         let Some((service, index)) = locate(&mut self.services, service, target) else {
             return;
@@ -308,8 +317,8 @@
         target.open = target.open.saturating_sub(1);
     }
 
-    /// An attempt that is open for longer than nearly all counts against its target
-    /// now, before any deadline, and a request that may be repeated goes elsewhere.
+    /// Handles an attempt that is still open when it becomes overdue. It counts as evidence against its target at
+    /// once, not only at the deadline, and a repeatable request is sent to another target.
     pub(super) fn check_overdue(
         &mut self,
         now: TimePoint,
@@ -340,6 +349,7 @@
         }
     }
 
+    /// Concludes a request whose deadline has passed.
     pub(super) fn expire_request(
         &mut self,
         now: TimePoint,
@@ -352,19 +362,19 @@
         if let RequestPhase::Open(open) = state.phase.clone() {
             state.may_have_run = true;
             let service = state.plan.service.clone();
-            let no_threshold = self.local_detector.overdue_after(&service).is_none();
-            if !open.overdue && no_threshold {
+            let has_no_threshold = self.local_detector.overdue_after(&service).is_none();
+            if !open.overdue && has_no_threshold {
                 self.add_evidence(now, &service, &open, SampleKind::Overdue, commands);
             }
         }
         self.abandon_attempt(request);
-        self.conclude_failed(now, request, RefuseReason::Deadline, commands);
+        self.fail(now, request, RefuseReason::Deadline, commands);
     }
 }
 
 impl OpenAttempt {
-    /// The place of an attempt that is about to be made.
-    fn none(now: TimePoint) -> OpenAttempt {
+    /// Returns a placeholder for an attempt that is about to be made.
+    fn placeholder(now: TimePoint) -> OpenAttempt {
         OpenAttempt { target: TargetKey(0), started: now, overdue: false }
     }
 }
--- a/crates/decide/src/evidence.rs
+++ b/crates/decide/src/evidence.rs
@@ -1,66 +1,67 @@
-//! What a box saw of its targets, in the form that is pooled between boxes.
+//! Evidence about targets from the attempts of a box, in the form that is pooled between boxes.
 
 use crate::names::{Name, TargetKey};
 use crate::sketch::LatencyBucket;
 
-/// Who saw something.
+/// The origin of evidence.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EvidenceSource {
-    /// The box.
+    /// Box that made the attempts.
     pub box_id: Name,
-    /// Its data centre.
+    /// Data centre of the box.
     pub data_centre: Name,
 }
 
-/// How an attempt went, as evidence.
+/// The outcome of an attempt, as evidence about its target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SampleKind {
-    /// Answered well; the bucket says how fast.
+    /// The answer was good; the bucket of the sample states its latency.
     Good,
-    /// Failed, or answered with an error of the target.
+    /// The attempt failed or was answered with a server error.
     Error,
-    /// Still open long after others are answered.
+    /// The attempt was open for longer than the overdue threshold.
     Overdue,
-    /// Answered well after all, having been counted as overdue.
+    /// The answer was good, and its latency is no evidence: the attempt was already counted as overdue, or the target
+    /// was warming up.
     Late,
 }
 
 impl SampleKind {
-    /// Whether it speaks against the target.
+    /// Returns whether the outcome is evidence against the target.
     pub fn is_bad(self) -> bool {
         matches!(self, SampleKind::Error | SampleKind::Overdue)
     }
 }
 
-/// Attempts of one kind and speed.
+/// A number of attempts with the same outcome and latency bucket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sample {
-    /// How they went.
+    /// Outcome of the attempts.
     pub kind: SampleKind,
-    /// How long they took, or have been open.
+    /// Latency of the attempts, or the time for which they have been open.
     pub bucket: LatencyBucket,
-    /// How many they are.
+    /// Number of attempts.
     pub count: u32,
 }
 
-/// What was seen of one target.
+/// The evidence about one target.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetSamples {
-    /// The target.
+    /// Key of the target.
     pub target: TargetKey,
-    /// What was seen.
+    /// Samples, each with a different outcome and bucket.
     pub samples: Vec<Sample>,
-    /// The highest load that it reported, as a share of its slots; 0 if it did not.
+    /// Maximum load that the target reported, as a share of its slots; 0 if it reported none.
     pub load: f32,
 }
 
 impl TargetSamples {
-    /// Nothing seen yet.
+    /// Creates evidence without samples.
     pub fn new(target: TargetKey) -> TargetSamples {
         TargetSamples { target, samples: Vec::new(), load: 0.0 }
     }
 
-    /// Adds one sample, merged with an equal one.
+    /// Adds one attempt, merged with an existing sample of the same outcome and bucket.
     pub fn add(&mut self, kind: SampleKind, bucket: LatencyBucket) {
         let known = self.samples.iter_mut().find(|s| s.kind == kind && s.bucket == bucket);
         match known {
@@ -70,11 +71,11 @@
     }
 }
 
-/// What one box saw of one service since its last batch.
+/// The evidence of one box about one service since its previous batch.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EvidenceBatch {
-    /// The service.
+    /// Name of the service.
     pub service: Name,
-    /// Its targets, those with samples only.
+    /// Targets of the service that have samples.
     pub targets: Vec<TargetSamples>,
 }
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -1,4 +1,4 @@
-//! The life of one target as one box holds it, by the chart in a file.
+//! The health of one target as seen by one box: a state machine whose transitions are defined by a chart file.
 
 use std::time::Duration;
 
@@ -10,32 +10,33 @@
 use crate::setup::LimitSetup;
 use crate::time::TimePoint;
 
-/// The chart file, part of the program.
+/// The chart file, which is compiled into the program.
 const CHART: &str = include_str!("../charts/target-health.toml");
 
-/// Share of its usual requests that a target on trial gets.
+/// Share of its normal traffic that a target on trial gets.
 const TRIAL_TRAFFIC_SHARE: f64 = 0.05;
-/// Share that a warming target starts from.
+/// Share of its normal traffic that a warming target gets at first.
 const INITIAL_WARMING_SHARE: f64 = 0.1;
-/// Good answers that end a trial for this box.
+/// Number of good answers at which this box ends a trial with an acquittal.
 const MIN_TRIAL_SUCCESSES: u32 = 5;
-/// Failures that end a trial the other way.
-const MAX_TRIAL_FAILURES: u32 = 2;
-/// A trial that brings no news for so long ends well: the service is quiet.
+/// Number of failures at which a trial ends with another ejection.
+const TRIAL_FAILURE_LIMIT: u32 = 2;
+/// Time after which a trial ends with an acquittal if it has not ended before. The service then has too few requests
+/// to reach either limit.
 const MAX_TRIAL_DURATION: Duration = Duration::from_secs(60);
 
-/// The states of the chart.
+/// The states of the chart, in the order of their names there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HealthState {
-    /// It gets its share.
+    /// The target gets its full share of requests.
     Healthy,
-    /// It is kept out, as far as the floor allows.
+    /// The target gets no requests, as far as the capacity floor allows.
     Ejected,
-    /// It gets a small share of requests that may be repeated.
+    /// The target gets a small share of the repeatable requests.
     Trial,
-    /// Its share grows.
+    /// The target gets a share of requests that grows with time.
     Warming,
-    /// It gets nothing.
+    /// The target finishes its open requests and gets no new ones.
     Draining,
 }
 
@@ -48,7 +49,7 @@
         HealthState::Draining,
     ];
 
-    /// The state's name, as in the chart file.
+    /// Returns the name of the state in the chart file.
     pub fn as_str(self) -> &'static str {
         match self {
             HealthState::Healthy => "healthy",
@@ -63,46 +64,47 @@
 /// The events of the chart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthEvent {
-    /// It fails, says a judge, this box or an operator.
+    /// A detector, this box or an operator found the target to be failing.
     Convicted,
-    /// The back-off after an ejection is over.
+    /// The back-off after an ejection has ended.
     BackoffOver,
-    /// Its trial went well.
+    /// The trial of the target succeeded.
     Acquitted,
-    /// Its share has grown to the whole.
+    /// The warm-up has ended.
     Warm,
-    /// It leaves.
+    /// The target started to drain.
     Drain,
-    /// It takes work again after leaving.
+    /// The target accepts requests again after draining.
     Returned,
-    /// It has just started.
+    /// The target reported that it has just started.
     Cold,
 }
 
 impl HealthEvent {
+    /// Names of the events in the chart file, in the order of the variants.
     const NAMES: [&'static str; 7] =
         ["convicted", "backoff_over", "acquitted", "warm", "leave", "returned", "cold"];
 }
 
-/// The checked chart.
+/// The validated chart of target health.
 #[derive(Debug, Clone)]
 pub struct HealthChart {
     chart: StateChart,
 }
 
 impl HealthChart {
-    /// The chart that ships with the program.
+    /// Parses the chart that is compiled into the program.
     ///
     /// # Errors
-    /// The file breaks a rule of charts; the process must not start.
+    /// Returns an error if the chart is invalid; the process must not start.
     pub fn load() -> Result<HealthChart, ChartError> {
         HealthChart::parse(CHART)
     }
 
-    /// Reads a chart of target health from `text`.
+    /// Parses a chart of target health.
     ///
     /// # Errors
-    /// The text breaks a rule of charts.
+    /// Returns an error if `text` is no valid chart with exactly the states and events of this module.
     pub fn parse(text: &str) -> Result<HealthChart, ChartError> {
         let states = HealthState::ALL.map(HealthState::as_str);
         let chart = StateChart::parse(text, &states, &HealthEvent::NAMES)?;
@@ -115,16 +117,16 @@
     }
 }
 
-/// Why and for whom a target is ejected.
+/// The rank and the scope of an ejection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ejection {
-    /// Its place in the order of the floor guard.
+    /// Rank in the order in which the floor guard grants ejections.
     pub rank: EjectionRank,
-    /// For whom it counts.
+    /// Paths to the target that the ejection covers.
     pub scope: VerdictScope,
 }
 
-/// One target's state in one box.
+/// The health of one target in one box.
 #[derive(Debug, Clone)]
 pub struct TargetHealth {
     state: HealthState,
@@ -137,7 +139,7 @@
 }
 
 impl TargetHealth {
-    /// A target that is new with the whole service: it gets its share at once.
+    /// Creates the health of a target whose service is new as a whole. It gets its full share at once.
     pub fn healthy(now: TimePoint) -> TargetHealth {
         TargetHealth {
             state: HealthState::Healthy,
@@ -150,32 +152,33 @@
         }
     }
 
-    /// A target added to a running service: it may be cold.
+    /// Creates the health of a target that is added to a running service. It starts with a warm-up, since it may be cold.
     pub fn cold(now: TimePoint) -> TargetHealth {
         TargetHealth { state: HealthState::Warming, ..TargetHealth::healthy(now) }
     }
 
-    /// Its state.
+    /// Returns the state in the chart.
     pub fn state(&self) -> HealthState {
         self.state
     }
 
-    /// Since when it is in that state.
+    /// Returns the time when the target entered its state.
     pub fn since(&self) -> TimePoint {
         self.since
     }
 
-    /// Its ejection, until it is wholly back.
+    /// Returns the current ejection, until the target is healthy again or drains.
     pub fn ejection(&self) -> Option<&Ejection> {
         self.ejection.as_ref()
     }
 
-    /// How often it was ejected lately.
+    /// Returns the number of recent ejections.
     pub fn flaps(&self) -> u32 {
         self.flaps.count()
     }
 
-    /// Whether it would be in service if no ejection kept it out.
+    /// Returns whether the target would be in service without its ejection, if any, and so counts as capacity for the
+    /// floor.
     pub fn counts_toward_floor(&self) -> bool {
         match self.state {
             HealthState::Draining => false,
@@ -184,20 +187,21 @@
         }
     }
 
-    /// The share of its usual requests that its state allows.
+    /// Returns the share of its normal traffic that the state of the target allows, 0 to 1.
     pub fn share(&self, now: TimePoint, limits: &LimitSetup) -> f64 {
         match self.state {
             HealthState::Healthy => 1.0,
             HealthState::Ejected | HealthState::Draining => 0.0,
             HealthState::Trial => TRIAL_TRAFFIC_SHARE,
             HealthState::Warming => {
-                let grown = now.since(self.since).as_secs_f64() / limits.warm_up.as_secs_f64();
-                (INITIAL_WARMING_SHARE + (1.0 - INITIAL_WARMING_SHARE) * grown).min(1.0)
+                let progress = now.since(self.since).as_secs_f64() / limits.warm_up.as_secs_f64();
+                (INITIAL_WARMING_SHARE + (1.0 - INITIAL_WARMING_SHARE) * progress).min(1.0)
             }
         }
     }
 
-    /// Ejects it; `flaps` is what the judge counted, if it was a judge.
+    /// Ejects the target. `flaps` is the detector's count of recent ejections, 0 without a detector. Returns false if
+    /// the chart has no such transition.
     pub fn convict(
         &mut self,
         chart: &HealthChart,
@@ -206,16 +210,16 @@
         flaps: u32,
         limits: &LimitSetup,
     ) -> bool {
-        let again = self.state == HealthState::Ejected;
+        let already_ejected = self.state == HealthState::Ejected;
         if !self.apply(chart, now, HealthEvent::Convicted) {
             return false;
         }
         self.ejection = Some(match self.ejection {
-            Some(earlier) if again && earlier.rank < ejection.rank => earlier,
+            Some(earlier) if already_ejected && earlier.rank < ejection.rank => earlier,
             _ => ejection,
         });
-        if again {
-            // A second finding about the same ejection, from another box or judge.
+        if already_ejected {
+            // Another box or detector reported the failure that the target is already ejected for.
             self.flaps.raise(flaps);
             return true;
         }
@@ -224,43 +228,45 @@
         true
     }
 
-    /// Its trial went well, says a judge.
+    /// Ends an ejection or a trial after a detector's acquittal. Returns false if the chart has no such transition.
     pub fn acquit(&mut self, chart: &HealthChart, now: TimePoint) -> bool {
         self.apply(chart, now, HealthEvent::Acquitted)
     }
 
-    /// It leaves. What it was ejected for is forgotten: it comes back as another one.
+    /// Marks the target as draining and drops its ejection, because it returns as a new process. Returns false if the
+    /// chart has no such transition.
     pub fn drain(&mut self, chart: &HealthChart, now: TimePoint) -> bool {
-        let left = self.apply(chart, now, HealthEvent::Drain);
-        if left {
+        let drained = self.apply(chart, now, HealthEvent::Drain);
+        if drained {
             self.ejection = None;
         }
-        left
+        drained
     }
 
-    /// It takes work again after leaving.
+    /// Marks a draining target as accepting requests again. Returns false if the chart has no such transition.
     pub fn restore(&mut self, chart: &HealthChart, now: TimePoint) -> bool {
         self.apply(chart, now, HealthEvent::Returned)
     }
 
-    /// It says that it has just started.
+    /// Starts a warm-up, because the target reported that it has just started. Returns false if the chart has no such
+    /// transition.
     pub fn mark_cold(&mut self, chart: &HealthChart, now: TimePoint) -> bool {
         self.apply(chart, now, HealthEvent::Cold)
     }
 
-    /// Another target answers at this address: nothing is held against it.
+    /// Resets all state, because a new instance answers at the address. The target starts with a warm-up.
     pub fn replace(&mut self, now: TimePoint) {
         *self = TargetHealth::cold(now);
     }
 
-    /// Counts a trial's attempt and says whether the trial failed by it.
+    /// Counts the result of an attempt if the target is on trial. Returns whether the trial has failed by it.
     pub fn record_trial_result(&mut self, chart: &HealthChart, now: TimePoint, good: bool) -> bool {
         if self.state != HealthState::Trial {
             return false;
         }
         if !good {
             self.trial_failures += 1;
-            return self.trial_failures >= MAX_TRIAL_FAILURES;
+            return self.trial_failures >= TRIAL_FAILURE_LIMIT;
         }
         self.trial_successes += 1;
         if self.trial_successes >= MIN_TRIAL_SUCCESSES {
@@ -269,7 +275,7 @@
         false
     }
 
-    /// Moves on with time; true if the state changed.
+    /// Applies the transitions that are due at `now`. Returns whether there was one.
     pub fn tick(&mut self, chart: &HealthChart, now: TimePoint, limits: &LimitSetup) -> bool {
         match self.state {
             HealthState::Ejected if now >= self.backoff_until => {
--- a/crates/decide/src/messages.rs
+++ b/crates/decide/src/messages.rs
@@ -1,4 +1,4 @@
-//! Events into the core of a box and commands out of it.
+//! The events that the core of a box takes and the commands that it returns.
 
 use std::time::Duration;
 
@@ -8,224 +8,225 @@
 use crate::setup::{ManualOverride, ServiceSetup};
 use crate::time::TimePoint;
 
-/// A request's number within one box.
+/// The number of a request, unique within one box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// What a policy decided about a request.
+/// The decisions of the route's policy about a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestPlan {
-    /// Which service works on it.
+    /// Service that handles the request.
     pub service: Name,
-    /// When the caller must have its answer.
+    /// Time by which the caller needs the answer.
     pub deadline: TimePoint,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Attempts at most, the first counted.
+    /// Maximum number of attempts, including the first one.
     pub attempts: u32,
-    /// Whose request it is, for fair shares.
+    /// Identifies the caller, for fair shares under overload.
     pub caller: u64,
-    /// Requests of the caller that may be open or queued here; 0 for no limit.
+    /// Maximum number of the caller's requests that are open or queued in this box; 0 for no limit.
     pub caller_limit: usize,
-    /// Higher goes first in the queue.
+    /// Priority in the queue; higher values come first.
     pub priority: u8,
 }
 
-/// What a target says about itself.
+/// The state that a target reports about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ReportedState {
-    /// It takes work.
+    /// The target accepts requests.
     #[default]
     Ready,
-    /// It has just started.
+    /// The target has just started.
     Cold,
-    /// It finishes what it has and takes nothing new.
+    /// The target finishes its open requests and accepts no new ones.
     Draining,
 }
 
-/// What came with an answer of a target.
+/// The report that a target sends with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct TargetReport {
-    /// Busy share of its slots, 0 to 1 and above, if it said so.
+    /// Load as a share of the target's slots, if reported; above 1 if requests wait for a slot.
     pub load: Option<f32>,
-    /// Its state.
+    /// State of the target.
     pub state: ReportedState,
-    /// A number that changes when the target at this address is another one.
+    /// Number that changes when a new instance answers at the address, if reported.
     pub incarnation: Option<u64>,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AttemptOutcome {
-    /// A whole answer that speaks well of the target.
+    /// A complete answer that is not a server error.
     Answered(TargetReport),
-    /// A whole answer that says that the target failed (5xx).
+    /// A complete answer with a server error (5xx).
     AnsweredError(TargetReport),
-    /// The target itself refused before it ran anything.
+    /// The target refused the request before running any of it.
     Shed(TargetReport),
-    /// No byte of the request can have reached the target.
+    /// No byte of the request reached the target.
     NotSent,
-    /// Bytes went out and no whole answer came back.
+    /// Bytes of the request were sent, and no complete answer was received.
     Broken,
 }
 
-/// Events into the core of a box.
+/// An event for the core of a box.
 #[derive(Debug, Clone, PartialEq)]
 pub enum BoxEvent {
-    /// A service is configured, or configured anew.
+    /// A service was added or its configuration changed.
     ServiceConfigured(ServiceSetup),
-    /// A service is gone.
+    /// A service was removed.
     ServiceRemoved(Name),
-    /// All orders by hand for a service.
+    /// The manual overrides of a service were replaced.
     OverridesSet {
-        /// The service.
+        /// Name of the service.
         service: Name,
-        /// The orders now in force.
+        /// All overrides in force.
         overrides: Vec<ManualOverride>,
     },
-    /// A caller's request, with what the policy says.
+    /// A request of a caller arrived.
     RequestArrived {
-        /// Its number.
+        /// Number of the request.
         request: RequestId,
-        /// The policy's plan.
+        /// Decisions of the policy.
         plan: RequestPlan,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// The request.
+        /// Number of the request.
         request: RequestId,
-        /// Which attempt, counted from 1.
+        /// Number of the attempt, counted from 1.
         attempt: u32,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: AttemptOutcome,
     },
-    /// The caller hung up.
+    /// The caller closed its connection before the request was concluded.
     RequestCancelled(RequestId),
-    /// An answer that was already on its way to the caller broke off.
+    /// An answer was truncated after its forwarding to the caller had begun.
     AnswerBroken {
-        /// The service.
+        /// Name of the service.
         service: Name,
-        /// The target.
+        /// Key of the target.
         target: TargetKey,
     },
-    /// A judge's verdict.
+    /// A verdict of a pooled outlier detector was received.
     VerdictReceived(Verdict),
-    /// A peer saw that a target leaves.
+    /// Another box reported that a target drains.
     DrainingReceived {
-        /// The service.
+        /// Name of the service.
         service: Name,
-        /// The target.
+        /// Key of the target.
         target: TargetKey,
     },
-    /// A probe of a leaving target ended; `None` if it was not answered.
+    /// A probe of a draining target ended.
     ProbeEnded {
-        /// The service.
+        /// Name of the service.
         service: Name,
-        /// The target.
+        /// Key of the target.
         target: TargetKey,
-        /// What the target said.
+        /// State that the target reported; `None` if the probe was not answered.
         state: Option<ReportedState>,
     },
-    /// Time has passed.
+    /// The periodic timer fired.
     TimerFired,
 }
 
-/// Commands out of the core of a box.
+/// A command of the core of a box to its driver.
 #[derive(Debug, Clone, PartialEq)]
 pub enum BoxCommand {
-    /// Send the request to a target. An earlier attempt that is still open is dropped.
+    /// Sends a request to a target. An earlier attempt of it that is still open is cancelled.
     Send {
-        /// The request.
+        /// Number of the request.
         request: RequestId,
-        /// Which attempt, counted from 1.
+        /// Number of the attempt, counted from 1.
         attempt: u32,
-        /// The target's address.
+        /// Address of the target.
         target: Name,
-        /// Whether a pooled connection would risk an unknown outcome.
+        /// Whether to open a new connection, because a failure of a pooled one would leave the outcome unknown.
         fresh_connection: bool,
     },
-    /// The request is finished.
+    /// Concludes a request.
     Conclude {
-        /// The request.
+        /// Number of the request.
         request: RequestId,
-        /// How.
+        /// Result for the caller.
         conclusion: Conclusion,
     },
-    /// Ask a leaving target whether it is back.
+    /// Probes a draining target, to find out whether it accepts requests again.
     Probe {
-        /// The service.
+        /// Name of the service.
         service: Name,
-        /// The target's address.
+        /// Address of the target.
         target: Name,
     },
-    /// Send this to the service's judges.
+    /// Sends evidence to the outlier detectors of the service.
     Report(EvidenceBatch),
-    /// Tell all boxes that a target leaves.
+    /// Informs all boxes that a target drains.
     AnnounceDraining {
-        /// The service.
+        /// Name of the service.
         service: Name,
-        /// The target.
+        /// Key of the target.
         target: TargetKey,
     },
-    /// A target's state changed here.
+    /// Reports that the state of a target changed in this box.
     HealthChanged(HealthTransition),
-    /// The box holds itself sick (or well again): everything fails here.
+    /// Reports that the box suspects itself to be failing, because nearly all its attempts fail (true), or that it no
+    /// longer does (false).
     SelfSuspected(bool),
 }
 
-/// A target's change of state, for logs and the time line.
+/// A change of a target's state, for logs and the event trace.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HealthTransition {
-    /// The service.
+    /// Name of the service.
     pub service: Name,
-    /// The target's address.
+    /// Address of the target.
     pub target: Name,
-    /// The state before.
+    /// Previous state.
     pub from: HealthState,
-    /// The state now.
+    /// New state.
     pub to: HealthState,
-    /// Why.
+    /// Reason for the change, for operators.
     pub reason: &'static str,
 }
 
-/// How a request ended towards its caller.
+/// The result of a request for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Conclusion {
-    /// The last attempt's answer goes to the caller.
+    /// The answer of the last attempt is forwarded to the caller.
     Answered,
-    /// It was not run, by any target.
+    /// No target ran the request.
     NotRun {
-        /// Why.
+        /// Reason for the refusal.
         reason: RefuseReason,
-        /// When to come back.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
-    /// It may or may not have run.
+    /// A target may have run the request.
     Unknown {
-        /// When to come back.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
 }
 
-/// Why a request was not run.
+/// The reason why a request was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefuseReason {
-    /// No such service is configured.
+    /// The service is not configured.
     UnknownService,
-    /// No target takes work now.
+    /// No target accepts requests.
     NoTarget,
-    /// The service's limits in this box are reached.
+    /// The limits of the service in this box are reached.
     Overloaded,
-    /// The caller has more than its share.
+    /// The caller holds its maximum number of requests.
     CallerLimit,
-    /// It can't be answered before its deadline.
+    /// The request can't be answered by its deadline.
     Deadline,
-    /// Each target that was asked refused, or could not be reached.
+    /// All targets that were tried refused the request or could not be reached.
     Refused,
 }
 
 impl RefuseReason {
-    /// One line for the caller.
+    /// Returns a one-line explanation for the caller.
     pub fn as_str(self) -> &'static str {
         match self {
             RefuseReason::UnknownService => "no such service is configured",
@@ -238,36 +239,36 @@
     }
 }
 
-/// What a judge found about a target.
+/// The finding of an outlier detector about a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Verdict {
-    /// The service.
+    /// Name of the service.
     pub service: Name,
-    /// The target.
+    /// Key of the target.
     pub target: TargetKey,
-    /// What was found.
+    /// Conviction or acquittal.
     pub kind: VerdictKind,
-    /// For whom it counts.
+    /// Paths to the target that the verdict covers.
     pub scope: VerdictScope,
-    /// What speaks for it most.
+    /// Kind of failure with the strongest evidence.
     pub cause: VerdictCause,
-    /// How often it was ejected lately, this time counted.
+    /// Number of recent ejections of the target, including this one.
     pub flaps: u32,
-    /// When it was found, on the judge's clock, in microseconds. Orders ejections
-    /// in the floor guard, so that boxes with the same news choose the same.
+    /// Time of the finding on the detector's clock, in microseconds. It orders ejections in the floor guard, so that
+    /// boxes with the same verdicts exclude the same targets.
     pub stamp: u64,
 }
 
-/// What was found.
+/// The kinds of verdicts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VerdictKind {
-    /// It fails.
+    /// The target fails.
     Convicted,
-    /// Its trial went well.
+    /// The trial of the target succeeded.
     Acquitted,
 }
 
-/// What speaks most for a verdict.
+/// The kind of failure with the strongest evidence for a verdict.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum VerdictCause {
     /// Failed attempts.
@@ -279,11 +280,11 @@
 }
 
 impl VerdictCause {
-    /// All causes, in the order of their numbers on the wire.
+    /// All causes, in the order of their numbers in messages.
     pub const ALL: [VerdictCause; 3] =
         [VerdictCause::Errors, VerdictCause::Stalls, VerdictCause::Slowness];
 
-    /// In words, for operators.
+    /// Returns a description for operators.
     pub fn as_str(self) -> &'static str {
         match self {
             VerdictCause::Errors => "a judge saw more errors than elsewhere",
@@ -293,13 +294,13 @@
     }
 }
 
-/// For whom a verdict counts.
+/// The paths to a target that a verdict covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum VerdictScope {
-    /// The path from this box.
+    /// The path from the box that found it.
     Path,
-    /// The paths from this data centre.
+    /// The paths from the detector's data centre.
     DataCentre,
-    /// The target itself.
+    /// All paths to the target.
     Target,
 }
--- a/crates/decide/src/pick.rs
+++ b/crates/decide/src/pick.rs
@@ -1,4 +1,4 @@
-//! The choice of a target: power of two choices over load.
+//! The choice of a target for a request: the less loaded of two random targets (power of two choices).
 
 use std::time::Duration;
 
@@ -9,21 +9,21 @@
 use crate::service::{ServiceState, TargetState};
 use crate::time::TimePoint;
 
-/// Draws before the targets are looked through one by one.
-const DRAWS: usize = 8;
-/// A report of load loses half its weight in this time.
+/// Maximum number of random samples before all targets are compared instead.
+const MAX_SAMPLES: usize = 8;
+/// Half-life of the weight of a reported load.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(500);
 
-/// What a choice is made for.
+/// The request for which a target is chosen.
 pub(crate) struct PickContext<'a> {
     pub(crate) now: TimePoint,
-    /// Targets that were tried for this request, by index.
+    /// Indices of the targets that the request has already been sent to.
     pub(crate) tried: &'a [usize],
     /// Whether the request may run more than once.
     pub(crate) repeatable: bool,
 }
 
-/// Chooses a target of `service`, by index.
+/// Returns the index of the target of `service` for the request, or `None` if no eligible target remains.
 pub(crate) fn pick_target(
     service: &ServiceState,
     context: &PickContext<'_>,
@@ -34,9 +34,9 @@
         return None;
     }
     let mut first: Option<usize> = None;
-    for _ in 0..DRAWS {
+    for _ in 0..MAX_SAMPLES {
         let index = eligible[random.random_range(0..eligible.len())];
-        if !allowed(service, index, context) || !admitted(service, index, context, random) {
+        if !allowed(service, index, context) || !accept_sample(service, index, context, random) {
             continue;
         }
         match first {
@@ -45,10 +45,10 @@
             Some(other) => return Some(less_loaded(service, other, index, context.now)),
         }
     }
-    first.or_else(|| look_through(service, context))
+    first.or_else(|| best_allowed(service, context))
 }
 
-/// Whether the target may have this request at all.
+/// Returns whether the request may be sent to the target. A target on trial gets repeatable requests only.
 fn allowed(service: &ServiceState, index: usize, context: &PickContext<'_>) -> bool {
     if context.tried.contains(&index) {
         return false;
@@ -57,8 +57,8 @@
     context.repeatable || target.health.state() != HealthState::Trial || !target.ejection_enforced
 }
 
-/// Whether the target's share lets this draw through.
-fn admitted(
+/// Returns whether to accept a random sample of the target, with its traffic share as the probability.
+fn accept_sample(
     service: &ServiceState,
     index: usize,
     context: &PickContext<'_>,
@@ -73,8 +73,8 @@
     if load(other) < load(one) { other } else { one }
 }
 
-/// The allowed target with the highest share, then the least load.
-fn look_through(service: &ServiceState, context: &PickContext<'_>) -> Option<usize> {
+/// Returns the allowed target with the highest share and, among equal shares, the lowest load.
+fn best_allowed(service: &ServiceState, context: &PickContext<'_>) -> Option<usize> {
     let candidates = service.eligible().iter().copied();
     let candidates = candidates.filter(|&index| allowed(service, index, context));
     candidates.min_by(|&one, &other| {
@@ -84,9 +84,10 @@
     })
 }
 
-/// Own open attempts and what the target last said, aged, as a share of its slots.
+/// Returns the load of a target as a share of its slots: the open attempts of this box plus the last reported load,
+/// which decays with its age.
 fn target_load(target: &TargetState, now: TimePoint) -> f64 {
-    let own = f64::from(target.open) / f64::from(target.setup.slots.max(1));
+    let local = f64::from(target.open) / f64::from(target.setup.slots.max(1));
     let age = now.since(target.load_at).as_secs_f64() / LOAD_HALF_LIFE.as_secs_f64();
-    own + f64::from(target.load) * (-age).exp2()
+    local + f64::from(target.load) * (-age).exp2()
 }
--- a/crates/decide/src/queue.rs
+++ b/crates/decide/src/queue.rs
@@ -1,58 +1,60 @@
-//! Limits of one service in one box: what is open, what waits, whose it is.
+//! The queue of one service in one box, and the number of requests that each caller holds.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
 
 use crate::messages::RequestId;
 
-/// Callers with requests here from which on shares are counted.
-const SHARED_FROM: usize = 2;
+/// Minimum number of callers with requests at which each is limited to an equal share.
+const MIN_CALLERS_FOR_SHARES: usize = 2;
 
-/// The requests of one service that wait, and the shares of its callers.
+/// The queued requests of one service, and the requests held by each of its callers.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceQueue {
-    waiting: BTreeMap<QueuePlace, RequestId>,
+    queued: BTreeMap<QueuePosition, RequestId>,
+    /// Number of requests queued so far.
     arrivals: u64,
+    /// Number of open and queued requests by caller.
     held: HashMap<u64, usize>,
 }
 
-/// A place in the queue: higher priority first, then the earlier.
+/// A position in the queue. Higher priorities come first, then earlier arrivals.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct QueuePlace {
+pub(crate) struct QueuePosition {
     priority: Reverse<u8>,
     arrival: u64,
 }
 
 impl ServiceQueue {
-    /// How many wait.
+    /// Returns the number of queued requests.
     pub(crate) fn len(&self) -> usize {
-        self.waiting.len()
+        self.queued.len()
     }
 
-    /// Adds a request at the end of its priority.
-    pub(crate) fn push(&mut self, request: RequestId, priority: u8) -> QueuePlace {
+    /// Adds a request behind all others of the same priority.
+    pub(crate) fn push(&mut self, request: RequestId, priority: u8) -> QueuePosition {
         self.arrivals += 1;
-        let place = QueuePlace { priority: Reverse(priority), arrival: self.arrivals };
-        self.waiting.insert(place, request);
-        place
+        let position = QueuePosition { priority: Reverse(priority), arrival: self.arrivals };
+        self.queued.insert(position, request);
+        position
     }
 
-    /// Takes the first request.
+    /// Removes and returns the first request.
     pub(crate) fn pop(&mut self) -> Option<RequestId> {
-        self.waiting.pop_first().map(|(_, request)| request)
+        self.queued.pop_first().map(|(_, request)| request)
     }
 
-    /// Takes out a request that waits no more.
-    pub(crate) fn remove(&mut self, place: QueuePlace) {
-        self.waiting.remove(&place);
+    /// Removes the request at `position`.
+    pub(crate) fn remove(&mut self, position: QueuePosition) {
+        self.queued.remove(&position);
     }
 
-    /// Counts one more open or waiting request of `caller`.
+    /// Counts one more open or queued request of `caller`.
     pub(crate) fn hold(&mut self, caller: u64) {
         *self.held.entry(caller).or_default() += 1;
     }
 
-    /// Counts one less.
+    /// Counts one request of `caller` less.
     pub(crate) fn release(&mut self, caller: u64) {
         let Some(count) = self.held.get_mut(&caller) else {
             return;
@@ -63,14 +65,14 @@
         }
     }
 
-    /// Open and waiting requests of `caller`.
+    /// Returns the number of open and queued requests of `caller`.
     pub(crate) fn held_by(&self, caller: u64) -> usize {
         self.held.get(&caller).copied().unwrap_or_default()
     }
 
-    /// What one caller may hold when `room` requests have room in all.
-    pub(crate) fn fair_share(&self, room: usize) -> usize {
+    /// Returns the number of requests that one caller may hold if the capacity for all callers is `capacity`.
+    pub(crate) fn fair_share(&self, capacity: usize) -> usize {
         let callers = self.held.len();
-        if callers < SHARED_FROM { room } else { (room / callers).max(1) }
+        if callers < MIN_CALLERS_FOR_SHARES { capacity } else { (capacity / callers).max(1) }
     }
 }
--- a/crates/decide/src/requests.rs
+++ b/crates/decide/src/requests.rs
@@ -1,30 +1,32 @@
-//! The requests that a box works on.
+//! The open and queued requests of a box, and the checks scheduled for them.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
 use crate::messages::{RequestId, RequestPlan};
 use crate::names::TargetKey;
-use crate::queue::QueuePlace;
+use crate::queue::QueuePosition;
 use crate::time::TimePoint;
 
-/// One request on its way.
+/// A request that has not been concluded.
 #[derive(Debug)]
 pub(crate) struct RequestState {
     pub(crate) plan: RequestPlan,
     pub(crate) phase: RequestPhase,
+    /// Number of attempts made.
     pub(crate) attempts: u32,
+    /// Targets that the attempts went to.
     pub(crate) tried: Vec<TargetKey>,
-    /// Whether a target may have run it.
+    /// Whether a target may have run the request.
     pub(crate) may_have_run: bool,
 }
 
-/// Where a request is.
+/// The phase of a request.
 #[derive(Debug, Clone)]
 pub(crate) enum RequestPhase {
-    /// It waits in its service's queue.
-    Queued(QueuePlace),
-    /// It is at a target.
+    /// The request waits in the queue of its service.
+    Queued(QueuePosition),
+    /// An attempt is open.
     Open(OpenAttempt),
 }
 
@@ -33,23 +35,23 @@
 pub(crate) struct OpenAttempt {
     pub(crate) target: TargetKey,
     pub(crate) started: TimePoint,
-    /// Whether it has been counted as overdue.
+    /// Whether the attempt has been counted as overdue.
     pub(crate) overdue: bool,
 }
 
-/// What is looked at when its time comes.
+/// A check that is scheduled for a point in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimedCheck {
-    /// Whether this attempt is still open.
+    /// Checks whether an attempt is still open.
     Overdue {
-        /// Which attempt.
+        /// Number of the attempt, counted from 1.
         attempt: u32,
     },
-    /// Whether the request is still here.
+    /// Checks whether the request has not been concluded at its deadline.
     Deadline,
 }
 
-/// All requests of a box, with what is due when.
+/// All requests of a box, and their scheduled checks.
 #[derive(Debug, Default)]
 pub(crate) struct RequestTable {
     requests: HashMap<RequestId, RequestState>,
@@ -77,12 +79,17 @@
         self.requests.len()
     }
 
-    pub(crate) fn check_at(&mut self, time: TimePoint, request: RequestId, check: TimedCheck) {
+    pub(crate) fn schedule_check(
+        &mut self,
+        time: TimePoint,
+        request: RequestId,
+        check: TimedCheck,
+    ) {
         self.due.push(Reverse((time, request, check)));
     }
 
-    /// Takes the next check whose time has come. Those of finished requests are passed over.
-    pub(crate) fn take_due(&mut self, now: TimePoint) -> Option<(RequestId, TimedCheck)> {
+    /// Removes and returns the next check that is due. Checks of concluded requests are discarded.
+    pub(crate) fn pop_due(&mut self, now: TimePoint) -> Option<(RequestId, TimedCheck)> {
         while let Some(Reverse((time, request, check))) = self.due.peek().copied() {
             if time > now {
                 return None;
--- a/crates/decide/src/service.rs
+++ b/crates/decide/src/service.rs
@@ -1,4 +1,5 @@
-//! One service in one box: its targets, who is in service, limits and budget.
+//! The state of one service in one box: its targets, which of them are eligible for requests, its queue and its retry
+//! budget.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,40 +13,44 @@
 use crate::setup::{ManualOverride, OverrideKind, ServiceSetup, TargetSetup};
 use crate::time::TimePoint;
 
-/// A reported load is passed on as evidence if it is not older.
+/// Maximum age of a reported load that is sent with evidence.
 const MAX_EVIDENCE_LOAD_AGE: Duration = Duration::from_millis(100);
 
-/// A service as one box holds it.
+/// The state of a service in one box.
 #[derive(Debug)]
 pub struct ServiceState {
     setup: ServiceSetup,
     targets: Vec<TargetState>,
     index: HashMap<TargetKey, usize>,
+    /// Indices of the targets that can be picked.
     eligible: Vec<usize>,
     below_floor: bool,
+    /// Number of requests that are not queued.
     pub(crate) open: usize,
     pub(crate) queue: ServiceQueue,
     pub(crate) budget: RetryBudget,
 }
 
-/// A target as one box holds it.
+/// The state of a target in one box.
 #[derive(Debug)]
 pub struct TargetState {
-    /// What operators set.
+    /// Configuration of the target.
     pub setup: TargetSetup,
-    /// Its place in the chart.
+    /// State in the health chart.
     pub health: TargetHealth,
-    /// What operators ordered about it.
+    /// Manual override by an operator, if any.
     pub manual_override: Option<OverrideKind>,
-    /// Whether the floor guard lets an ejection limit it.
+    /// Whether the floor guard allows an ejection of the target to take effect.
     pub ejection_enforced: bool,
-    /// Attempts of this box that are open.
+    /// Number of open attempts of this box.
     pub open: u32,
-    /// The load that it last reported.
+    /// Load that the target last reported, as a share of its slots.
     pub load: f32,
-    /// When it reported that.
+    /// Time of that report.
     pub load_at: TimePoint,
+    /// Incarnation that the target last reported.
     pub(crate) incarnation: Option<u64>,
+    /// Time of the last probe while draining.
     pub(crate) probed_at: TimePoint,
 }
 
@@ -64,17 +69,18 @@
         }
     }
 
-    /// The load that it has just reported, or 0.
+    /// Returns the reported load if it is recent enough to be sent with evidence, otherwise 0.
     pub(crate) fn recent_load(&self, now: TimePoint) -> f32 {
         if now.since(self.load_at) <= MAX_EVIDENCE_LOAD_AGE { self.load } else { 0.0 }
     }
 
-    /// Whether this box sends it nothing because of an ejection.
+    /// Returns whether the target is excluded from requests by an ejection.
     pub fn is_excluded(&self) -> bool {
         let ejected = self.health.state() == HealthState::Ejected;
         self.ejection_enforced && (ejected || self.manual_override == Some(OverrideKind::Eject))
     }
 
+    /// Returns the rank of the target's ejection, if it should be ejected.
     fn ejection_rank(&self) -> Option<EjectionRank> {
         if self.manual_override == Some(OverrideKind::Eject) {
             return Some(EjectionRank { source: 0, stamp: 0, key: self.setup.key().0 });
@@ -93,7 +99,7 @@
 }
 
 impl ServiceState {
-    /// A service that is new in this box: all its targets get their share at once.
+    /// Creates a service that is new in this box. All its targets get their full share at once.
     pub(crate) fn new(setup: ServiceSetup, now: TimePoint) -> ServiceState {
         let new =
             |target: &TargetSetup| TargetState::new(target.clone(), TargetHealth::healthy(now));
@@ -109,11 +115,11 @@
             queue: ServiceQueue::default(),
             budget,
         };
-        service.rebuild();
+        service.update_eligible();
         service
     }
 
-    /// Takes a new configuration. Targets that stay keep their state; new ones are cold.
+    /// Applies a new configuration. Targets that remain keep their state; new ones start with a warm-up.
     pub(crate) fn configure(&mut self, setup: ServiceSetup, now: TimePoint) {
         let mut known: HashMap<TargetKey, TargetState> =
             self.targets.drain(..).map(|target| (target.setup.key(), target)).collect();
@@ -129,25 +135,26 @@
             self.budget = RetryBudget::new(limits.retry_share, limits.retry_burst);
         }
         self.setup = setup;
-        self.rebuild();
+        self.update_eligible();
     }
 
-    /// What operators set.
+    /// Returns the configuration of the service.
     pub fn setup(&self) -> &ServiceSetup {
         &self.setup
     }
 
-    /// All targets.
+    /// Returns all targets, in the order of the configuration.
     pub fn targets(&self) -> &[TargetState] {
         &self.targets
     }
 
-    /// Whether less than the floor is in service, so that all that do not leave get their share.
+    /// Returns whether fewer slots than the floor are in service. If so, all targets that don't drain get their full
+    /// share.
     pub fn below_floor(&self) -> bool {
         self.below_floor
     }
 
-    /// Slots of targets that are in service and not kept out or limited.
+    /// Returns the number of slots of all targets that are in service without an enforced ejection.
     pub fn slots_in_service(&self) -> u32 {
         let counted = self.targets.iter().filter(|target| target.health.counts_toward_floor());
         counted.filter(|target| !target.ejection_enforced).map(|target| target.setup.slots).sum()
@@ -161,16 +168,17 @@
         &mut self.targets[index]
     }
 
+    /// Returns the index of a target.
     pub(crate) fn find(&self, target: TargetKey) -> Option<usize> {
         self.index.get(&target).copied()
     }
 
-    /// Indices of the targets that can be picked.
+    /// Returns the indices of the targets that can be picked.
     pub(crate) fn eligible(&self) -> &[usize] {
         &self.eligible
     }
 
-    /// The share of its usual requests that a target gets now.
+    /// Returns the share of its normal traffic that a target gets now, 0 to 1.
     pub(crate) fn share(&self, index: usize, now: TimePoint) -> f64 {
         let target = &self.targets[index];
         let protected_by_floor = target.ejection_rank().is_some() && !target.ejection_enforced;
@@ -180,13 +188,13 @@
         target.health.share(now, &self.setup.limits)
     }
 
-    /// Sets all overrides by hand. Returns the targets that were drained before and are not now.
+    /// Replaces all manual overrides. Returns the indices of the targets that are no longer drained by one.
     pub(crate) fn set_overrides(&mut self, overrides: &[ManualOverride]) -> Vec<usize> {
         let mut released = Vec::new();
         for (index, target) in self.targets.iter_mut().enumerate() {
-            let order = overrides.iter().find(|order| order.target == target.setup.address);
+            let found = overrides.iter().find(|known| known.target == target.setup.address);
             let drained = target.manual_override == Some(OverrideKind::Drain);
-            target.manual_override = order.map(|order| order.kind);
+            target.manual_override = found.map(|known| known.kind);
             if drained && target.manual_override != Some(OverrideKind::Drain) {
                 released.push(index);
             }
@@ -194,7 +202,8 @@
         released
     }
 
-    /// Notes what a target said of itself and returns whether it is another target now.
+    /// Records the load and the incarnation that a target reported. Returns whether the incarnation has changed, so
+    /// that a new instance answers at the address.
     pub(crate) fn record_report(
         &mut self,
         index: usize,
@@ -213,10 +222,10 @@
         earlier.is_some_and(|earlier| earlier != incarnation)
     }
 
-    /// Decides anew who is in service, after any change of health, overrides or setup.
-    pub(crate) fn rebuild(&mut self) {
-        let numbered = self.targets.iter().enumerate();
-        self.index = numbered.map(|(index, target)| (target.setup.key(), index)).collect();
+    /// Recomputes which targets are in service. To be called after any change of health, overrides or configuration.
+    pub(crate) fn update_eligible(&mut self) {
+        let indexed = self.targets.iter().enumerate();
+        self.index = indexed.map(|(index, target)| (target.setup.key(), index)).collect();
         let floor = floor_slots(self.setup.total_slots(), self.setup.floor);
         let guarded: Vec<GuardedTarget> = self.targets.iter().map(TargetState::guarded).collect();
         for (target, limited) in self.targets.iter_mut().zip(guard_floor(&guarded, floor)) {
@@ -225,14 +234,14 @@
         self.below_floor = self.slots_in_service() < floor;
         let below_floor = self.below_floor;
         let eligible = self.targets.iter().enumerate().filter(|(_, target)| {
-            let leaving = target.health.state() == HealthState::Draining;
-            !leaving && (below_floor || !target.is_excluded())
+            let draining = target.health.state() == HealthState::Draining;
+            !draining && (below_floor || !target.is_excluded())
         });
         self.eligible = eligible.map(|(index, _)| index).collect();
     }
 }
 
-/// Whether a report says that the target takes nothing new.
+/// Returns whether a target reports that it accepts no new requests.
 pub(crate) fn is_draining(report: &TargetReport) -> bool {
     report.state == ReportedState::Draining
 }
--- a/crates/decide/src/setup.rs
+++ b/crates/decide/src/setup.rs
@@ -1,64 +1,64 @@
-//! What operators set for a service, already checked.
+//! The validated configuration of a service.
 
 use std::time::Duration;
 
 use crate::names::{Name, TargetKey};
 
-/// A service and its targets.
+/// The configuration of a service and its targets.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceSetup {
-    /// The service's name.
+    /// Name of the service.
     pub name: Name,
-    /// Its targets, in the order of the configuration.
+    /// Targets, in the order of the configuration file.
     pub targets: Vec<TargetSetup>,
-    /// The share of all slots that ejections must leave in service, 0 to 1.
+    /// Minimum share of all slots that ejections must leave in service, 0 to 1.
     pub floor: f64,
-    /// Target-days that may pass between two false ejections: the operators' one
-    /// knob between detection time and false ejections. Larger is more careful.
+    /// Intended number of target-days between two false ejections. It is the operators' only setting for the trade-off
+    /// between detection time and false ejections; higher values detect failures later.
     pub false_alarm_days: f64,
-    /// Limits in one box.
+    /// Limits that apply in each box.
     pub limits: LimitSetup,
 }
 
 impl ServiceSetup {
-    /// Slots of all targets.
+    /// Returns the number of slots of all targets.
     pub fn total_slots(&self) -> u32 {
         self.targets.iter().map(|target| target.slots).sum()
     }
 }
 
-/// One target.
+/// The configuration of a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetSetup {
-    /// Where it listens, as `IP:port`.
+    /// Address on which the target listens, as `IP:port`.
     pub address: Name,
-    /// How many requests it works on at once.
+    /// Number of requests that the target handles concurrently.
     pub slots: u32,
 }
 
 impl TargetSetup {
-    /// The target's identity between boxes.
+    /// Returns the key that identifies the target in messages between boxes.
     pub fn key(&self) -> TargetKey {
         TargetKey::of(&self.address)
     }
 }
 
-/// Limits of a service in one box.
+/// The limits of a service in one box.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LimitSetup {
-    /// Requests of the service that are at targets at once.
+    /// Maximum number of concurrent requests to targets of the service.
     pub open: usize,
-    /// Requests that wait when `open` is reached.
+    /// Maximum number of queued requests when `open` is reached.
     pub queued: usize,
-    /// Retries that a request earns, 0 to 1.
+    /// Retries that each request earns, 0 to 1.
     pub retry_share: f64,
-    /// Retries that may run ahead of what was earned.
+    /// Maximum number of earned retries that are kept, and their number at the start.
     pub retry_burst: f64,
-    /// The first back-off after an ejection; it doubles with each one that follows.
+    /// Back-off after the first ejection; it doubles with each further one.
     pub backoff: Duration,
-    /// The longest back-off.
+    /// Maximum back-off.
     pub backoff_max: Duration,
-    /// How long a target's share grows after a trial or a cold start.
+    /// Time over which the share of a target grows to the full one after a trial or a cold start.
     pub warm_up: Duration,
 }
 
@@ -76,20 +76,20 @@
     }
 }
 
-/// An operator's order about one target.
+/// An operator's manual override of the health of one target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ManualOverride {
-    /// The target's address.
+    /// Address of the target.
     pub target: Name,
-    /// What is ordered.
+    /// State that the override sets.
     pub kind: OverrideKind,
 }
 
-/// What an operator can order by hand.
+/// The kinds of manual overrides.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OverrideKind {
-    /// Keep it out, as far as the floor allows.
+    /// Ejects the target, as far as the capacity floor allows.
     Eject,
-    /// It leaves: no new work, whatever the floor.
+    /// Drains the target: it gets no new requests, regardless of the capacity floor.
     Drain,
 }
