--- a/crates/decide/tests/fleet/mod.rs
+++ b/crates/decide/tests/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! One box's core with answers made up by hand, in virtual time.
+//! A test harness for the core of one box, with scripted answers and virtual time.
 
-#![allow(dead_code, reason = "each test file uses its part")]
+#![allow(dead_code, reason = "each test file uses a part of the harness")]
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 pub const SERVICE: &str = "huts";
 
-/// A core with a clock that only moves when told to.
+/// A core with a virtual clock that moves only in [`TestBox::pass`].
 pub struct TestBox {
     pub core: BoxCore,
     pub now: TimePoint,
@@ -20,7 +20,7 @@
     next: u64,
 }
 
-/// Where a request was sent.
+/// An attempt that the core has sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SentAttempt {
     pub request: RequestId,
@@ -31,7 +31,7 @@
 impl TestBox {
     pub fn new(setup: ServiceSetup) -> TestBox {
         let source = EvidenceSource { box_id: "box-1".into(), data_centre: "dc-1".into() };
-        let core = BoxCore::new(source, HealthChart::load().expect("a sound chart"), 7);
+        let core = BoxCore::new(source, HealthChart::load().expect("chart is valid"), 7);
         let mut test = TestBox { core, now: TimePoint::default(), commands: Vec::new(), next: 0 };
         test.event(BoxEvent::ServiceConfigured(setup));
         test
@@ -44,7 +44,7 @@
         commands
     }
 
-    /// Moves the clock in steps of the core's timer.
+    /// Advances the clock by `span`, in steps of 10 ms with a timer event each.
     pub fn pass(&mut self, span: Duration) -> Vec<BoxCommand> {
         let end = self.now + span;
         let mut commands = Vec::new();
@@ -73,10 +73,10 @@
         (request, self.event(BoxEvent::RequestArrived { request, plan }))
     }
 
-    /// A request that was sent at once.
+    /// Adds a request and returns its first attempt. Panics if the request is not sent at once.
     pub fn send(&mut self, plan: RequestPlan) -> SentAttempt {
         let (_, commands) = self.arrive(plan);
-        sent(&commands).unwrap_or_else(|| panic!("sent: {commands:?}"))
+        sent(&commands).unwrap_or_else(|| panic!("request was not sent: {commands:?}"))
     }
 
     pub fn end(&mut self, sent: &SentAttempt, outcome: AttemptOutcome) -> Vec<BoxCommand> {
@@ -84,7 +84,8 @@
         self.event(BoxEvent::AttemptEnded { request, attempt, outcome })
     }
 
-    /// Runs `count` requests that take `span` and end as `outcome` says of their target.
+    /// Runs `count` requests one after the other. Each attempt takes `span` and ends with the `outcome` for its
+    /// target.
     pub fn run(&mut self, count: usize, span: Duration, outcome: impl Fn(&Name) -> AttemptOutcome) {
         for _ in 0..count {
             let plan = self.plan();
--- a/crates/decide/tests/properties.rs
+++ b/crates/decide/tests/properties.rs
@@ -1,4 +1,4 @@
-//! What holds whatever comes: the floor, the retry budget, no request lost.
+//! Property tests of the decision core: the capacity floor, the retry budget and the conclusion of every request.
 
 mod fleet;
 
@@ -16,7 +16,7 @@
 
 const TARGETS: usize = 6;
 
-/// Anything that can happen to a box.
+/// An event of a random sequence.
 #[derive(Debug, Clone)]
 enum Step {
     Arrive { repeatable: bool },
@@ -24,11 +24,11 @@
     Cancel { which: usize },
     Convict { target: usize, stamp: u64 },
     Acquit { target: usize },
-    Leave { target: usize },
-    Back { target: usize },
+    Drain { target: usize },
+    Restore { target: usize },
     Override { overrides: Vec<(usize, bool)> },
-    Grow { targets: usize },
-    Pass { millis: u64 },
+    Resize { targets: usize },
+    Wait { millis: u64 },
 }
 
 fn outcome() -> impl Strategy<Value = AttemptOutcome> {
@@ -59,27 +59,27 @@
         1 => (0usize..8).prop_map(|which| Step::Cancel { which }),
         3 => (0..TARGETS, 0u64..100).prop_map(|(target, stamp)| Step::Convict { target, stamp }),
         1 => (0..TARGETS).prop_map(|target| Step::Acquit { target }),
-        1 => (0..TARGETS).prop_map(|target| Step::Leave { target }),
-        1 => (0..TARGETS).prop_map(|target| Step::Back { target }),
+        1 => (0..TARGETS).prop_map(|target| Step::Drain { target }),
+        1 => (0..TARGETS).prop_map(|target| Step::Restore { target }),
         1 => overrides.prop_map(|overrides| Step::Override { overrides }),
-        1 => (1..=TARGETS).prop_map(|targets| Step::Grow { targets }),
-        4 => (1u64..20_000).prop_map(|millis| Step::Pass { millis }),
+        1 => (1..=TARGETS).prop_map(|targets| Step::Resize { targets }),
+        4 => (1u64..20_000).prop_map(|millis| Step::Wait { millis }),
     ]
 }
 
-/// Requests that are at targets, and what came of each one that arrived.
+/// The open attempts, and the number of conclusions of each request.
 #[derive(Default)]
-struct Books {
+struct RequestLog {
     open: Vec<fleet::SentAttempt>,
     arrived: HashSet<RequestId>,
     concluded: HashMap<RequestId, usize>,
     attempts: usize,
-    /// Targets of the attempts that the last step made.
+    /// Targets of the attempts made by the last step.
     sent_now: Vec<Name>,
 }
 
-impl Books {
-    fn note(&mut self, commands: &[BoxCommand]) {
+impl RequestLog {
+    fn record(&mut self, commands: &[BoxCommand]) {
         for command in commands {
             match command {
                 BoxCommand::Send { request, attempt, target, .. } => {
@@ -103,24 +103,24 @@
     }
 }
 
-fn take(test: &mut TestBox, books: &mut Books, step: Step) {
+fn apply(test: &mut TestBox, log: &mut RequestLog, step: Step) {
     let commands = match step {
         Step::Arrive { repeatable } => {
             let (request, commands) = test.arrive(RequestPlan { repeatable, ..test.plan() });
-            books.arrived.insert(request);
+            log.arrived.insert(request);
             commands
         }
-        Step::End { which, outcome } => match books.open.get(which).cloned() {
+        Step::End { which, outcome } => match log.open.get(which).cloned() {
             Some(attempt) => {
-                books.open.remove(which);
+                log.open.remove(which);
                 test.end(&attempt, outcome)
             }
             None => Vec::new(),
         },
-        Step::Cancel { which } => match books.open.get(which).cloned() {
+        Step::Cancel { which } => match log.open.get(which).cloned() {
             Some(attempt) => {
-                books.open.remove(which);
-                books.arrived.remove(&attempt.request);
+                log.open.remove(which);
+                log.arrived.remove(&attempt.request);
                 test.event(BoxEvent::RequestCancelled(attempt.request))
             }
             None => Vec::new(),
@@ -133,11 +133,11 @@
             verdict.kind = VerdictKind::Acquitted;
             test.event(BoxEvent::VerdictReceived(verdict))
         }
-        Step::Leave { target } => {
+        Step::Drain { target } => {
             let target = TargetKey::of(&address(target));
             test.event(BoxEvent::DrainingReceived { service: SERVICE.into(), target })
         }
-        Step::Back { target } => {
+        Step::Restore { target } => {
             let target = TargetKey::of(&address(target));
             let state = Some(ReportedState::Ready);
             test.event(BoxEvent::ProbeEnded { service: SERVICE.into(), target, state })
@@ -150,17 +150,17 @@
             let overrides = overrides.into_iter().map(manual_override).collect();
             test.event(BoxEvent::OverridesSet { service: SERVICE.into(), overrides })
         }
-        Step::Grow { targets } => test.event(BoxEvent::ServiceConfigured(service(targets, 0.6))),
-        Step::Pass { millis } => test.pass(Duration::from_millis(millis)),
+        Step::Resize { targets } => test.event(BoxEvent::ServiceConfigured(service(targets, 0.6))),
+        Step::Wait { millis } => test.pass(Duration::from_millis(millis)),
     };
-    books.note(&commands);
+    log.record(&commands);
 }
 
-/// What would be in service with no ejection at all, and what is.
+/// Returns the slots that would be in service without ejections, those that are, and the floor.
 fn in_service(test: &TestBox) -> (u32, u32, u32) {
     let service = test.core.service(SERVICE).expect("configured");
-    let slots = |full: &dyn Fn(&wingbridge_decide::service::TargetState) -> bool| -> u32 {
-        let targets = service.targets().iter().filter(|target| full(target));
+    let slots = |is_included: &dyn Fn(&wingbridge_decide::service::TargetState) -> bool| -> u32 {
+        let targets = service.targets().iter().filter(|target| is_included(target));
         targets.map(|target| target.setup.slots).sum()
     };
     let without = slots(&|target| target.health.counts_toward_floor());
@@ -171,55 +171,55 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
-    /// No sequence of ejections, by evidence, by peers or by hand, takes what is in service
-    /// below the floor; and each request ends once and is forgotten.
+    /// Guards against ejections, by evidence, by other boxes or by manual overrides, that take the slots in service
+    /// below the floor, and against requests that are concluded twice, never, or not removed.
     #[test]
-    fn whatever_comes_the_floor_holds_and_no_request_is_lost(
+    fn floor_holds_and_every_request_is_concluded_once(
         steps in prop::collection::vec(step(), 1..120),
     ) {
         let mut test = TestBox::new(service(TARGETS, 0.6));
-        let mut books = Books::default();
+        let mut log = RequestLog::default();
         for step in steps {
-            take(&mut test, &mut books, step);
+            apply(&mut test, &mut log, step);
             let (without, with, floor) = in_service(&test);
             prop_assert!(with >= floor.min(without), "{with} of {without} in service, floor {floor}");
-            for target in books.sent_now.drain(..) {
+            for target in log.sent_now.drain(..) {
                 prop_assert_ne!(test.state(&target), HealthState::Draining);
             }
         }
-        books.note(&test.pass(Duration::from_secs(5)));
+        log.record(&test.pass(Duration::from_secs(5)));
         prop_assert_eq!(test.core.requests_held(), 0);
-        for request in &books.arrived {
-            prop_assert_eq!(books.concluded.get(request), Some(&1));
+        for request in &log.arrived {
+            prop_assert_eq!(log.concluded.get(request), Some(&1));
         }
     }
 
-    /// Attempts never exceed requests by more than the budget, through any outage.
+    /// Guards against retries beyond the budget during an outage.
     #[test]
-    fn no_outage_makes_a_storm(
+    fn outage_does_not_exceed_the_retry_budget(
         outcomes in prop::collection::vec(outcome(), 50..400),
     ) {
         let mut test = TestBox::new(service(TARGETS, 0.6));
-        let mut books = Books::default();
+        let mut log = RequestLog::default();
         let mut requests = 0usize;
         for outcome in outcomes {
-            if books.open.is_empty() {
+            if log.open.is_empty() {
                 requests += 1;
                 let plan = RequestPlan { attempts: 5, ..test.plan() };
-                books.note(&test.arrive(plan).1);
+                log.record(&test.arrive(plan).1);
             }
-            if let Some(attempt) = books.open.pop() {
-                books.note(&test.end(&attempt, outcome));
+            if let Some(attempt) = log.open.pop() {
+                log.record(&test.end(&attempt, outcome));
             }
             test.pass(Duration::from_millis(10));
         }
         let budget = requests as f64 * 0.1 + 10.0;
-        prop_assert!((books.attempts as f64) <= requests as f64 + budget);
+        prop_assert!((log.attempts as f64) <= requests as f64 + budget);
     }
 
-    /// A request that may not be repeated is never sent again after it may have run.
+    /// Guards against sending a non-repeatable request again after it may have run.
     #[test]
-    fn at_most_once(outcomes in prop::collection::vec(outcome(), 1..8)) {
+    fn non_repeatable_request_runs_at_most_once(outcomes in prop::collection::vec(outcome(), 1..8)) {
         let mut test = TestBox::new(service(TARGETS, 0.6));
         let plan = RequestPlan { repeatable: false, attempts: 8, ..test.plan() };
         let mut open = Some(test.send(plan));
@@ -233,31 +233,32 @@
         }
     }
 
-    /// Boxes with the same news keep out the same targets, in whatever order it came.
+    /// Guards against boxes that exclude different targets because they received the same verdicts in another order.
     #[test]
-    fn the_same_news_in_any_order_keeps_out_the_same(
+    fn order_of_verdicts_does_not_change_the_excluded_targets(
         verdicts in prop::collection::vec((0..TARGETS, 1u64..1000), 1..6),
         seed in any::<u64>(),
     ) {
         let mut verdicts: Vec<(usize, u64)> = verdicts;
         verdicts.sort();
         verdicts.dedup_by_key(|(target, _)| *target);
-        let outcome = |order: &[(usize, u64)]| {
+        let excluded_after = |order: &[(usize, u64)]| {
             let mut test = TestBox::new(service(TARGETS, 0.6));
             for (target, stamp) in order {
                 test.event(BoxEvent::VerdictReceived(convicted(&address(*target), *stamp)));
             }
             test.excluded_targets()
         };
-        let straight = outcome(&verdicts);
-        let turn = (seed as usize) % verdicts.len();
-        verdicts.rotate_left(turn);
-        prop_assert_eq!(straight, outcome(&verdicts));
+        let in_order = excluded_after(&verdicts);
+        let rotation = (seed as usize) % verdicts.len();
+        verdicts.rotate_left(rotation);
+        prop_assert_eq!(in_order, excluded_after(&verdicts));
     }
 
-    /// The guard alone: what it keeps out leaves the floor, or was no capacity.
+    /// Guards against a floor guard that takes the slots in service below the floor or excludes targets without an
+    /// ejection.
     #[test]
-    fn the_guard_never_goes_below(
+    fn floor_guard_keeps_the_floor(
         targets in prop::collection::vec((1u32..5, any::<bool>(), prop::option::of(0u64..9)), 0..12),
         floor in 0u32..30,
     ) {
@@ -278,12 +279,12 @@
 }
 
 #[test]
-fn with_all_targets_bad_all_of_them_are_used() {
+fn targets_beyond_the_floor_stay_in_use_when_all_are_convicted() {
     let mut test = TestBox::new(service(TARGETS, 0.6));
     for target in 0..TARGETS {
         test.event(BoxEvent::VerdictReceived(convicted(&address(target), target as u64)));
     }
-    // Two of six may go at a floor of 0.6: the two that were found first.
+    // Two of six targets may be ejected at a floor of 0.6: those convicted first.
     assert_eq!(test.excluded_targets().len(), 2);
     let mut used: HashSet<_> = HashSet::new();
     for _ in 0..100 {
--- a/crates/decide/tests/requests.rs
+++ b/crates/decide/tests/requests.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request: attempts, outcomes, limits, deadlines.
+//! Handling of requests: attempts, outcomes, limits, deadlines and changes of the targets.
 
 mod fleet;
 
@@ -30,7 +30,7 @@
     TargetReport { load: None, state: ReportedState::Ready, incarnation: None };
 
 #[test]
-fn outcomes_are_told_as_they_are_known() {
+fn conclusion_states_whether_the_request_may_have_run() {
     let cases = [
         OutcomeCase {
             name: "answered",
@@ -40,63 +40,63 @@
             expected: "answered",
         },
         OutcomeCase {
-            name: "once more elsewhere",
+            name: "error is retried at another target",
             repeatable: true,
             outcomes: &[ERROR, GOOD],
             attempts: 2,
             expected: "answered",
         },
         OutcomeCase {
-            name: "an error that may not be repeated is the answer",
+            name: "error of a non-repeatable request is forwarded",
             repeatable: false,
             outcomes: &[ERROR],
             attempts: 1,
             expected: "answered",
         },
         OutcomeCase {
-            name: "broken and not repeatable",
+            name: "broken attempt of a non-repeatable request",
             repeatable: false,
             outcomes: &[AttemptOutcome::Broken],
             attempts: 1,
             expected: "unknown",
         },
         OutcomeCase {
-            name: "broken and repeatable",
+            name: "broken attempt of a repeatable request",
             repeatable: true,
             outcomes: &[AttemptOutcome::Broken, GOOD],
             attempts: 2,
             expected: "answered",
         },
         OutcomeCase {
-            name: "never sent goes elsewhere though not repeatable",
+            name: "unsent non-repeatable request is retried",
             repeatable: false,
             outcomes: &[AttemptOutcome::NotSent, GOOD],
             attempts: 2,
             expected: "answered",
         },
         OutcomeCase {
-            name: "shed goes elsewhere though not repeatable",
+            name: "shed non-repeatable request is retried",
             repeatable: false,
             outcomes: &[SHED, GOOD],
             attempts: 2,
             expected: "answered",
         },
         OutcomeCase {
-            name: "never sent anywhere",
+            name: "no attempt was run",
             repeatable: false,
             outcomes: &[AttemptOutcome::NotSent, SHED, AttemptOutcome::NotSent],
             attempts: 3,
             expected: "not run",
         },
         OutcomeCase {
-            name: "one may have run",
+            name: "one of several attempts may have run",
             repeatable: true,
             outcomes: &[AttemptOutcome::Broken, SHED, AttemptOutcome::NotSent],
             attempts: 3,
             expected: "unknown",
         },
         OutcomeCase {
-            name: "never sent, then broken",
+            name: "unsent attempt, then a broken one",
             repeatable: false,
             outcomes: &[AttemptOutcome::NotSent, AttemptOutcome::Broken],
             attempts: 2,
@@ -117,19 +117,19 @@
                 attempt = next;
             }
         }
-        let told = match concluded(&last) {
+        let conclusion = match concluded(&last) {
             Some(Conclusion::Answered) => "answered",
             Some(Conclusion::NotRun { .. }) => "not run",
             Some(Conclusion::Unknown { .. }) => "unknown",
             None => "nothing",
         };
-        assert_eq!((told, tried.len()), (case.expected, case.attempts), "case {}", case.name);
+        assert_eq!((conclusion, tried.len()), (case.expected, case.attempts), "case {}", case.name);
         assert_eq!(test.core.requests_held(), 0, "case {}", case.name);
     }
 }
 
 #[test]
-fn a_request_that_may_not_be_repeated_gets_a_fresh_connection() {
+fn non_repeatable_request_gets_a_fresh_connection() {
     let mut test = TestBox::new(service(5, 0.6));
     let plan = RequestPlan { repeatable: false, ..test.plan() };
     let (_, commands) = test.arrive(plan);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn the_deadline_ends_a_request_at_once() {
+fn open_request_is_concluded_at_its_deadline() {
     let mut test = TestBox::new(service(5, 0.6));
     let plan = test.plan();
     test.send(plan);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_queued_request_that_cannot_make_its_deadline_is_refused_at_once() {
+fn request_that_would_miss_its_deadline_in_the_queue_is_refused_on_arrival() {
     let mut setup = service(5, 0.6);
     setup.limits.open = 1;
     let mut test = TestBox::new(setup);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn refused_callers_are_told_different_times() {
+fn retry_times_of_refused_callers_are_spread() {
     let mut setup = service(5, 0.6);
     (setup.limits.open, setup.limits.queued) = (1, 0);
     let mut test = TestBox::new(setup);
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_queued_request_goes_out_by_priority_when_there_is_room() {
+fn queued_requests_are_sent_in_order_of_priority() {
     let mut setup = service(5, 0.6);
     setup.limits.open = 1;
     let mut test = TestBox::new(setup);
@@ -195,32 +195,32 @@
     let first = test.send(plan);
     let (low, _) = test.arrive(RequestPlan { caller: 2, ..test.plan() });
     let (high, _) = test.arrive(RequestPlan { caller: 3, priority: 9, ..test.plan() });
-    let next = sent(&test.end(&first, good())).expect("one goes out");
+    let next = sent(&test.end(&first, good())).expect("the first queued request is sent");
     assert_eq!(next.request, high);
-    let next = sent(&test.end(&next, good())).expect("the other follows");
+    let next = sent(&test.end(&next, good())).expect("the second queued request is sent");
     assert_eq!(next.request, low);
 }
 
 #[test]
-fn under_overload_one_caller_does_not_keep_out_the_others() {
+fn busy_caller_does_not_exclude_others_under_overload() {
     let mut setup = service(5, 0.6);
     (setup.limits.open, setup.limits.queued) = (10, 10);
     let mut test = TestBox::new(setup);
-    let mut taken = [0usize; 2];
+    let mut admitted = [0usize; 2];
     for round in 0..200usize {
-        // The first caller asks nine times as often.
+        // The first caller sends nine times as many requests.
         let caller = usize::from(round % 10 == 9);
         let (_, commands) = test.arrive(RequestPlan { caller: caller as u64, ..test.plan() });
         if concluded(&commands).is_none() {
-            taken[caller] += 1;
+            admitted[caller] += 1;
         }
     }
-    assert!(taken[1] >= 5, "{taken:?}");
-    assert!(taken[0] + taken[1] <= 20, "{taken:?}");
+    assert!(admitted[1] >= 5, "{admitted:?}");
+    assert!(admitted[0] + admitted[1] <= 20, "{admitted:?}");
 }
 
 #[test]
-fn a_hang_up_frees_what_the_request_held() {
+fn cancelled_request_releases_its_slot() {
     let mut setup = service(5, 0.6);
     setup.limits.open = 1;
     let mut test = TestBox::new(setup);
@@ -229,40 +229,40 @@
     let plan = test.plan();
     let (second, _) = test.arrive(plan);
     let commands = test.event(BoxEvent::RequestCancelled(first.request));
-    assert_eq!(sent(&commands).expect("the next goes out").request, second);
+    assert_eq!(sent(&commands).expect("the queued request is sent").request, second);
     test.event(BoxEvent::RequestCancelled(second));
     assert_eq!(test.core.requests_held(), 0);
 }
 
 #[test]
-fn a_target_that_leaves_gets_nothing_and_its_peers_are_told() {
+fn draining_target_gets_no_requests_and_is_announced() {
     let mut test = TestBox::new(service(4, 0.6));
-    let leaving = AttemptOutcome::Shed(TargetReport { state: ReportedState::Draining, ..REPORT });
+    let draining = AttemptOutcome::Shed(TargetReport { state: ReportedState::Draining, ..REPORT });
     let plan = test.plan();
     let attempt = test.send(plan);
-    let gone = attempt.target.clone();
-    let commands = test.end(&attempt, leaving);
-    let key = TargetKey::of(&gone);
-    let told = BoxCommand::AnnounceDraining { service: SERVICE.into(), target: key };
-    assert!(commands.contains(&told), "{commands:?}");
+    let drained = attempt.target.clone();
+    let commands = test.end(&attempt, draining);
+    let key = TargetKey::of(&drained);
+    let announced = BoxCommand::AnnounceDraining { service: SERVICE.into(), target: key };
+    assert!(commands.contains(&announced), "{commands:?}");
     test.run(200, Duration::from_millis(10), |target| {
-        assert_ne!(*target, gone);
+        assert_ne!(*target, drained);
         good()
     });
-    // It comes back by saying so to a probe, and warms up.
+    // When it answers a probe as ready, it is warmed up.
     let probes = test.pass(Duration::from_secs(5));
     assert!(
-        probes
-            .iter()
-            .any(|command| matches!(command, BoxCommand::Probe { target, .. } if *target == gone))
+        probes.iter().any(
+            |command| matches!(command, BoxCommand::Probe { target, .. } if *target == drained)
+        )
     );
-    let back = Some(ReportedState::Ready);
-    test.event(BoxEvent::ProbeEnded { service: SERVICE.into(), target: key, state: back });
-    assert_eq!(test.state(&gone), HealthState::Warming);
+    let ready = Some(ReportedState::Ready);
+    test.event(BoxEvent::ProbeEnded { service: SERVICE.into(), target: key, state: ready });
+    assert_eq!(test.state(&drained), HealthState::Warming);
 }
 
 #[test]
-fn a_drain_by_hand_holds_until_it_is_taken_back() {
+fn manual_drain_lasts_until_it_is_removed() {
     let mut test = TestBox::new(service(4, 0.6));
     let target = address(1);
     let drain = ManualOverride { target: target.as_str().into(), kind: OverrideKind::Drain };
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn a_service_that_is_gone_refuses_what_waited() {
+fn removal_of_a_service_refuses_its_queued_requests() {
     let mut setup = service(5, 0.6);
     setup.limits.open = 1;
     let mut test = TestBox::new(setup);
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn shedding_is_no_sickness() {
+fn shedding_target_is_not_ejected() {
     let mut test = TestBox::new(service(5, 0.6));
     let busy = address(2);
     test.run(
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn a_replaced_target_starts_anew() {
+fn replaced_target_has_no_ejection_history() {
     let mut test = TestBox::new(service(5, 0.6));
     let bad = address(2);
     test.run(
@@ -326,5 +326,5 @@
     });
     let service = test.core.service(SERVICE).expect("configured");
     let target = service.targets().iter().find(|known| *known.setup.address == *bad);
-    assert_eq!(target.expect("known").health.flaps(), 0);
+    assert_eq!(target.expect("target is known").health.flaps(), 0);
 }
