--- a/crates/decide/src/permits/coordinator.rs
+++ b/crates/decide/src/permits/coordinator.rs
@@ -1,4 +1,4 @@
-//! The buckets of permits at the box that keeps them for all.
+//! Token buckets of permits, held by one box for all boxes.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,72 +9,79 @@
 use crate::steer::RequestRate;
 use crate::time::TimePoint;
 
-/// Permits that a bucket holds: those of so many seconds, and so many at least. Callers come unevenly, and
-/// what one second has not used the next one may.
-const BURST_TIME: f64 = 1.0;
-const BURST_LEAST: f64 = 2.0;
-/// Permits by which the turn of the next box is later than that of the one before. Half of them are not
-/// there at their turn, or have no request for it.
-const TURN_PERMITS: f64 = 0.5;
-/// A target is asked this often, in requests a second, whatever its limit: nobody else would learn that it
-/// has ended.
-const LEAST_RATE: f64 = 0.01;
-/// Bounds on the time after which a box asks again.
-const WAIT_LEAST: Duration = Duration::from_millis(50);
-const WAIT_MOST: Duration = Duration::from_secs(5);
-/// Targets that rest this long are forgotten. It is longer than it takes the smallest bucket to fill.
-const REST_TIME: Duration = Duration::from_secs(300);
+/// Capacity of a bucket, in seconds at the target's rate. Requests come unevenly, and permits that one
+/// second leaves unused are available in the next.
+const BURST_SECONDS: f64 = 1.0;
+/// Lower bound on the capacity of a bucket, in permits.
+const MIN_BURST: f64 = 2.0;
+/// Permits between the retry times of two successive boxes. It is less than 1, since half of the boxes
+/// are gone at their retry time or have no request for the target.
+const PERMITS_PER_RETRY: f64 = 0.5;
+/// Lower bound on the rate at which a target gets requests, in requests a second, whatever its limit:
+/// otherwise no box would detect that the target has ended.
+const MIN_RATE: f64 = 0.01;
+/// Lower bound on the time after which a box asks again.
+const MIN_WAIT: Duration = Duration::from_millis(50);
+/// Upper bound on the time after which a box asks again.
+const MAX_WAIT: Duration = Duration::from_secs(5);
+/// Targets without permit requests for this long are removed. It is longer than the time in which the
+/// smallest bucket fills.
+const IDLE_RETENTION: Duration = Duration::from_secs(300);
 
-/// The buckets that this box keeps.
+/// The permits for which this box is the coordinator.
 #[derive(Debug, Default)]
 pub struct PermitCoordinator {
-    targets: HashMap<TargetKey, KeptLimit>,
+    targets: HashMap<TargetKey, CoordinatedLimit>,
 }
 
 #[derive(Debug)]
-struct KeptLimit {
+struct CoordinatedLimit {
     bucket: TokenBucket,
-    /// Up to when permits are spoken for by boxes that were told to come back.
-    queued_until: TimePoint,
-    asked: TimePoint,
+    /// Time up to which permits are reserved for boxes that were given a retry time.
+    reserved_until: TimePoint,
+    last_request: TimePoint,
 }
 
 impl PermitCoordinator {
-    /// Answers an ask for a permit at the target `key`, which takes `rate`. `part` is the part of the boxes
-    /// that this one speaks for, 0 to 1: those that it can't hear may have a keeper of their own.
+    /// Answers a request for a permit at the target `key`, which accepts `rate`. `fraction` is the part of
+    /// all boxes that this box receives heartbeats from, 0 to 1: the others may have another coordinator.
     pub fn answer(
         &mut self,
         now: TimePoint,
         key: TargetKey,
         rate: RequestRate,
-        part: f64,
+        fraction: f64,
     ) -> PermitAnswer {
-        let rate = (rate.per_second() * part).max(LEAST_RATE);
-        self.targets.retain(|_, kept| now.since(kept.asked) < REST_TIME);
-        // A bucket begins empty: what another keeper has just given out is not known.
-        let kept = self.targets.entry(key).or_insert_with(|| KeptLimit::empty(now));
-        kept.asked = now;
-        kept.bucket.fill(now, rate, (rate * BURST_TIME).max(BURST_LEAST));
-        if kept.bucket.try_take_one() {
+        let rate = (rate.per_second() * fraction).max(MIN_RATE);
+        self.targets.retain(|_, limit| now.since(limit.last_request) < IDLE_RETENTION);
+        // A bucket starts empty, since the permits that another coordinator has just granted are unknown.
+        let limit = self.targets.entry(key).or_insert_with(|| CoordinatedLimit::empty(now));
+        limit.last_request = now;
+        limit.bucket.fill(now, rate, (rate * BURST_SECONDS).max(MIN_BURST));
+        if limit.bucket.try_take_one() {
             return PermitAnswer::Granted;
         }
-        PermitAnswer::Denied(kept.take_turn(now, rate))
+        PermitAnswer::Denied(limit.reserve_retry(now, rate))
     }
 }
 
-impl KeptLimit {
-    fn empty(now: TimePoint) -> KeptLimit {
-        KeptLimit { bucket: TokenBucket::new(now, 0.0), queued_until: now, asked: now }
+impl CoordinatedLimit {
+    fn empty(now: TimePoint) -> CoordinatedLimit {
+        CoordinatedLimit {
+            bucket: TokenBucket::new(now, 0.0),
+            reserved_until: now,
+            last_request: now,
+        }
     }
 
-    /// The time until there is a permit for one more box, behind those that were told before. All told
-    /// the time of the next one, they would all come back for that.
-    fn take_turn(&mut self, now: TimePoint, rate: f64) -> Duration {
+    /// Returns the time until a permit is available for one more box, after the boxes that were denied
+    /// before. If all boxes were given the time of the next permit, they would all return for it at once.
+    fn reserve_retry(&mut self, now: TimePoint, rate: f64) -> Duration {
         let seconds =
-            |permits: f64| Duration::try_from_secs_f64(permits / rate).unwrap_or(WAIT_MOST);
-        let next = now + seconds((1.0 - self.bucket.tokens()).max(0.0)).min(WAIT_MOST);
-        let turn = self.queued_until.max(next).min(now + WAIT_MOST);
-        self.queued_until = turn + seconds(TURN_PERMITS).min(WAIT_MOST);
-        turn.since(now).max(WAIT_LEAST)
+            |permits: f64| Duration::try_from_secs_f64(permits / rate).unwrap_or(MAX_WAIT);
+        let next = now + seconds((1.0 - self.bucket.tokens()).max(0.0)).min(MAX_WAIT);
+        let retry_at = self.reserved_until.max(next).min(now + MAX_WAIT);
+        self.reserved_until = retry_at + seconds(PERMITS_PER_RETRY).min(MAX_WAIT);
+        retry_at.since(now).max(MIN_WAIT)
     }
 }
--- a/crates/decide/src/permits/mod.rs
+++ b/crates/decide/src/permits/mod.rs
@@ -1,18 +1,21 @@
-//! Permits to send to targets that have named a limit over all boxes together.
+//! Permits to send requests to targets that have announced a limit over all boxes together.
 //!
-//! Load pattern: one target of many takes one request a second, and a hundred boxes would like to send it
-//! one every few seconds each. What each may send by itself is a hundredth of the limit, so no rule that a box
-//! keeps alone holds, and equal shares of it are mostly at boxes that have no use for them just then.
+//! Load pattern: one target of many accepts one request a second, and each of a hundred boxes has a
+//! request for it every few seconds. What each box may send on its own is a hundredth of the limit, so no
+//! rule that a box applies alone enforces it, and equal shares would mostly belong to boxes that have no
+//! request for the target at the time.
 //!
-//! For each such target one box of its data centre, the first by rendezvous, keeps a bucket of permits
-//! ([`coordinator`]). A request whose choice falls on the target asks it, one round trip, and goes elsewhere if there is
-//! none; the target then is no choice of that box until its turn. A box that the keeper does not answer lives on
-//! a small share of its own ([`share`]).
+//! For each such target one box of its data centre, the first by rendezvous hashing, is the coordinator
+//! and holds a token bucket of permits ([`coordinator`]). A box that picks the target for a request asks
+//! the coordinator for a permit, which takes one round trip. If the permit is denied, the request goes
+//! elsewhere and the target is not eligible at that box until its retry time. A box that receives no
+//! answer from the coordinator uses a small share of its own ([`share`]).
 //!
-//! Customers' quotas are kept alike and differ in what decides: they are tens a second, spent ahead of the
-//! keeper's word and waited for, since a request has no other customer to go to. A permit is asked for
-//! each time and never waited for while another target is free; at one a second, what forty boxes would spend
-//! ahead is ten times what is allowed.
+//! Customers' quotas have coordinators as well, but differ in the trade-off. They are tens of requests a
+//! second, are spent before the coordinator grants them, and requests wait for them, since a request
+//! cannot change its customer. A permit is requested each time, and a request never waits for one while
+//! another target is free: at one request a second, what forty boxes would spend in advance is ten times
+//! the limit.
 
 pub mod coordinator;
 pub mod share;
@@ -22,11 +25,11 @@
 pub use coordinator::PermitCoordinator;
 pub use share::FallbackShare;
 
-/// Whether a request may be sent.
+/// Whether a request may be sent to a target with a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PermitAnswer {
-    /// It may, now.
+    /// The request may be sent now.
     Granted,
-    /// It may not; there may be a permit after this time.
+    /// The request may not be sent. A permit may be available after this time.
     Denied(Duration),
 }
--- a/crates/decide/src/permits/share.rs
+++ b/crates/decide/src/permits/share.rs
@@ -1,4 +1,4 @@
-//! What a box sends by itself to a target with a limit while no keeper answers it.
+//! Requests that a box sends on its own to a target with a limit while no coordinator answers it.
 
 use std::time::Duration;
 
@@ -6,38 +6,42 @@
 use crate::steer::RequestRate;
 use crate::time::TimePoint;
 
-/// Part of its equal share that a box spends: the keeper that it can't reach may give out all there is
-/// to the others.
-const SHARE_PART: f64 = 0.5;
-/// Fewer boxes are never assumed: one that has just started knows few. Source: 36 to 40 boxes at either user.
-const LEAST_BOXES: usize = 40;
-/// The longest time between two sends.
-const LONGEST_PAUSE: Duration = Duration::from_secs(3600);
+/// Fraction of its equal share that a box spends: the coordinator that it cannot reach may grant the
+/// whole limit to the other boxes.
+const SHARE_FRACTION: f64 = 0.5;
+/// Lower bound on the assumed number of boxes, since a box that has just started knows few of them.
+/// Deployments have 36 to 40 boxes.
+const MIN_BOXES: usize = 40;
+/// Upper bound on the time between two requests.
+const MAX_INTERVAL: Duration = Duration::from_secs(3600);
 
-/// The times at which a box may send while it is alone.
+/// The schedule of requests from one box to one target while the coordinator does not answer.
 #[derive(Debug, Default)]
 pub struct FallbackShare {
     next: Option<TimePoint>,
 }
 
 impl FallbackShare {
-    /// Whether a request may be sent to a target that takes `rate` from `boxes` boxes. `drawn`, from 0 to 1, is
-    /// where in its first turn the box begins, so that turns of boxes that fell alone together don't meet.
+    /// Decides whether a request may be sent to a target that accepts `rate` from `boxes` boxes together.
+    ///
+    /// `jitter`, from 0 to 1, is the position of the first send within the first interval, so that boxes
+    /// that lost the coordinator at the same time do not send at the same time.
     pub fn acquire(
         &mut self,
         now: TimePoint,
         rate: RequestRate,
         boxes: usize,
-        drawn: f64,
+        jitter: f64,
     ) -> PermitAnswer {
-        let each = boxes.max(LEAST_BOXES) as f64 / (rate.per_second() * SHARE_PART);
-        let pause = Duration::try_from_secs_f64(each).unwrap_or(LONGEST_PAUSE).min(LONGEST_PAUSE);
-        let next = *self.next.get_or_insert_with(|| now + pause.mul_f64(drawn));
+        let seconds = boxes.max(MIN_BOXES) as f64 / (rate.per_second() * SHARE_FRACTION);
+        let interval =
+            Duration::try_from_secs_f64(seconds).unwrap_or(MAX_INTERVAL).min(MAX_INTERVAL);
+        let next = *self.next.get_or_insert_with(|| now + interval.mul_f64(jitter));
         if now < next {
             return PermitAnswer::Denied(next.since(now));
         }
-        // Turns that were not used are gone: saved up, those of many boxes could be used at once.
-        self.next = Some(now + pause);
+        // Unused intervals are lost: if they were saved, those of many boxes could be used at once.
+        self.next = Some(now + interval);
         PermitAnswer::Granted
     }
 }
--- a/crates/decide/src/quota/accounts.rs
+++ b/crates/decide/src/quota/accounts.rs
@@ -1,218 +1,222 @@
-//! A box's own side of customers' quotas: what it admits, owes and asks for.
+//! Token accounts of one box: which requests it admits, and which tokens it owes and requests.
 //!
-//! While credit is plentiful a request is admitted at once and told afterwards; a few may be
-//! owed, so that the keeper's bucket is never behind by more than a tenth of a second. Once it is
-//! scarce, credit comes first: requests wait for the keeper's answer, one round trip, and are refused
-//! at once while it has said that there is none.
+//! While tokens are plentiful, a request is admitted at once and reported afterwards. The debt is
+//! bounded, so that the coordinator's bucket lags by no more than a tenth of a second. Once tokens are
+//! scarce, they are requested in advance: requests wait one round trip for the coordinator's grant, and
+//! are refused at once for the time in which the coordinator expects to have no tokens.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use crate::names::Name;
 use crate::quota::bucket::TokenBucket;
-use crate::quota::coordinator::{HASTY_PART, SILENT_AFTER};
-use crate::quota::{QuotaGrant, QuotaLimit, QuotaRequest, SHARE_TIME};
+use crate::quota::coordinator::{EARLY_FAILOVER_FRACTION, UNRESPONSIVE_AFTER};
+use crate::quota::{QuotaGrant, QuotaLimit, QuotaRequest, SHARE_VALIDITY};
 use crate::time::TimePoint;
 
-/// Requests that are owed at most, in time of this box's usual rate; one is always allowed.
-const AHEAD_TIME: Duration = Duration::from_millis(100);
-/// What is wished for when credit is scarce, in time of this box's rate.
-const WISH_TIME: Duration = Duration::from_millis(250);
-/// Requests that are wished for at most.
-const WISH_MOST: f64 = 64.0;
-/// Credit that a keeper gave is good for this long: kept for longer it would be spent in a window
-/// in which the keeper has given out as much again.
-const CREDIT_TIME: Duration = Duration::from_millis(500);
-/// No box spends ahead for this long after a keeper said that credit is scarce.
+/// Upper bound on the debt, as time at this box's own rate. A debt of one request is always allowed.
+const MAX_DEBT_TIME: Duration = Duration::from_millis(100);
+/// Tokens that are requested beyond those for waiting requests while tokens are scarce, as time at this
+/// box's own rate.
+const PREFETCH_TIME: Duration = Duration::from_millis(250);
+/// Upper bound on the tokens in one request.
+const MAX_WANTED: f64 = 64.0;
+/// Time for which granted tokens are valid. Tokens that are kept for longer would be spent in a window
+/// in which the coordinator has granted the same number again.
+const TOKEN_VALIDITY: Duration = Duration::from_millis(500);
+/// Time after a report of scarce tokens in which no box admits requests without a grant.
 const SCARCE_TIME: Duration = Duration::from_secs(5);
-/// An ask without an answer is given up after this long: a round trip takes some milliseconds, and
-/// boxes with a tenth of a core answer some tens of milliseconds late when they are busy.
-const ASK_TIME: Duration = Duration::from_millis(80);
-/// Asks without an answer after which the first keeper's deputy is asked: with one, and 9 in 100
-/// datagrams lost, both gave credit for the same boxes, 1.05 of the bound.
-const FIRST_ASKS: u32 = 2;
-/// Asks in a row without an answer after which a box counts itself as cut off.
-const FAILED_ASKS: u32 = 3;
-/// Time between two asks of a box that is cut off.
-const CUT_PAUSE: Duration = Duration::from_millis(300);
-/// A keeper that did not answer is passed over for this long.
-const PASSED_OVER: Duration = Duration::from_secs(1);
-/// Part of its share that a box without a keeper spends: shares are some seconds old.
-const SHARE_PART: f64 = 0.7;
-/// The same of an equal share, where it was told none.
-const EQUAL_PART: f64 = 0.25;
-/// Fewer boxes are never assumed. Source: 36 to 40 boxes at either user.
-const LEAST_BOXES: usize = 40;
-/// Requests of this box are averaged over about this time.
-const RATE_TIME: Duration = Duration::from_secs(1);
-/// A keeper hears of a box that has nothing to do for a customer after this time, so that its share
-/// goes to others and is not held back for it: without that, callers that had moved to other boxes
-/// lost 14 in 100 requests of a small customer.
-const IDLE_TIME: Duration = Duration::from_secs(3);
-/// A share below this part of an equal one is not worth telling.
-const LEAST_SHARE: f64 = 0.5;
-/// Accounts that rest this long are forgotten.
-const REST_TIME: Duration = Duration::from_secs(60);
-/// Keepers of one customer: the first by rank, and its deputy.
-const KEEPERS: u32 = 2;
+/// Time after which an unanswered token request counts as lost: a round trip takes some milliseconds,
+/// and boxes with a tenth of a core answer some tens of milliseconds late under load.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(80);
+/// Number of unanswered requests after which the standby is used. With 1, and 9 in 100 datagrams lost,
+/// coordinator and standby granted tokens for the same boxes, 1.05 of the bound.
+const STANDBY_AFTER_FAILURES: u32 = 2;
+/// Number of successive unanswered requests after which a box considers itself cut off.
+const CUT_OFF_AFTER_FAILURES: u32 = 3;
+/// Time between two requests of a box that is cut off.
+const CUT_OFF_RETRY_TIME: Duration = Duration::from_millis(300);
+/// Time for which the standby is used in place of a coordinator that did not answer.
+const FAILOVER_TIME: Duration = Duration::from_secs(1);
+/// Fraction of its share that a box spends while it is cut off: shares are some seconds old.
+const CUT_OFF_SHARE_FRACTION: f64 = 0.7;
+/// Fraction of an equal share that a box spends while it is cut off and has no assigned share.
+const EQUAL_SHARE_FRACTION: f64 = 0.25;
+/// Lower bound on the assumed number of boxes. Deployments have 36 to 40 boxes.
+const MIN_BOXES: usize = 40;
+/// Decay time of the average of this box's request rate.
+const RATE_DECAY_TIME: Duration = Duration::from_secs(1);
+/// Time after which a box without requests of a customer reports that to the coordinator, so that its
+/// share is assigned to others and not reserved for it. Without that report, callers that had moved to
+/// other boxes lost 14 in 100 requests of a small customer.
+const IDLE_REPORT_TIME: Duration = Duration::from_secs(3);
+/// Smallest share, as a fraction of an equal one, for which a box reports that it is idle.
+const MIN_REPORTED_SHARE: f64 = 0.5;
+/// Accounts without requests for this long are removed.
+const IDLE_RETENTION: Duration = Duration::from_secs(60);
+/// Number of boxes that may grant tokens of a customer: the coordinator and its standby.
+const COORDINATORS: u32 = 2;
 
 /// Whether a request is within its customer's quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It is.
+    /// The request is within the quota.
     Admitted,
-    /// A keeper has to be asked: it had better wait for that.
+    /// The request should wait for the coordinator's next grant.
     Wait,
-    /// It is not; there may be credit after this time.
+    /// The request exceeds the quota. Tokens may be available after this time.
     Refused(Duration),
 }
 
-/// An ask that is to be sent.
+/// A token request that is ready to be sent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DueRequest {
-    /// The customer.
+    /// The customer whose tokens are requested.
     pub customer: Name,
-    /// The place of the keeper by rank: 0 for the first, 1 for its deputy.
+    /// Rank of the receiver for that customer: 0 for the coordinator, 1 for its standby.
     pub rank: u32,
-    /// The ask.
+    /// The request to send.
     pub request: QuotaRequest,
 }
 
-/// A box's accounts with all customers.
+/// The token accounts of one box, by customer.
 #[derive(Debug, Default)]
 pub struct TokenAccounts {
     accounts: HashMap<Name, TokenAccount>,
     boxes: usize,
-    asks: u64,
+    last_number: u64,
 }
 
 #[derive(Debug)]
 struct TokenAccount {
     limit: QuotaLimit,
-    /// Requests that may be admitted, and until when.
-    credit: u32,
-    good_until: TimePoint,
-    /// Requests that might have been admitted and were not in time.
+    /// Granted tokens that are not spent yet.
+    tokens: u32,
+    /// Time at which `tokens` expire.
+    valid_until: TimePoint,
+    /// Granted tokens that expired and were not reported yet.
     unused: u32,
-    /// Requests that were admitted ahead and not told of.
-    owed: u32,
-    /// Requests that wait for credit.
+    /// Requests that were admitted without a grant and not reported yet.
+    debt: u32,
+    /// Requests that wait for tokens.
     waiting: u32,
-    outstanding: Option<OpenAsk>,
-    /// Asks in a row that had no answer.
-    failed: u32,
+    outstanding: Option<OutstandingRequest>,
+    /// Number of successive token requests without an answer.
+    failures: u32,
     failed_at: TimePoint,
-    /// Since when it is cut off, if it is.
-    cut_since: TimePoint,
-    /// The first keeper is passed over until then.
-    first_from: TimePoint,
+    /// Time at which the box became cut off, if it is.
+    cut_off_since: TimePoint,
+    /// Time until which the standby is used in place of the coordinator.
+    failover_until: TimePoint,
     scarce_until: TimePoint,
-    /// There is no credit before then.
-    closed_until: TimePoint,
+    /// Time until which requests are refused, since no tokens are expected before.
+    refused_until: TimePoint,
+    /// Share that was assigned last, and when.
     share: Option<(f64, TimePoint)>,
-    /// What this box spends while it is cut off.
-    alone: TokenBucket,
-    /// Requests of late, fading with [`RATE_TIME`].
-    asked: f64,
-    seen: TimePoint,
+    /// Tokens that this box spends while it is cut off.
+    cut_off_bucket: TokenBucket,
+    /// Exponentially decaying count of requests, with decay time [`RATE_DECAY_TIME`].
+    recent_requests: f64,
+    last_request: TimePoint,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct OpenAsk {
+struct OutstandingRequest {
     number: u64,
-    owed: u32,
-    wish: u32,
-    place: u32,
+    debt: u32,
+    wanted: u32,
+    rank: u32,
     sent: TimePoint,
 }
 
 impl TokenAccounts {
-    /// How many boxes there are, this one counted.
+    /// Sets the number of boxes, including this one.
     pub fn set_boxes(&mut self, boxes: usize) {
         self.boxes = boxes;
     }
 
-    /// A request of the customer came; whether it may go on.
+    /// Decides on a new request of the customer.
     pub fn admit(&mut self, now: TimePoint, customer: &Name, limit: QuotaLimit) -> Admission {
-        let boxes = self.counted_boxes();
+        let boxes = self.assumed_boxes();
         let account = self.account(now, customer, limit);
-        account.note_request(now);
+        account.record_request(now);
         account.admit(now, boxes)
     }
 
-    /// The same for a request that has waited.
+    /// Decides again on a request for which [`TokenAccounts::admit`] returned [`Admission::Wait`].
     pub fn admit_waiting(
         &mut self,
         now: TimePoint,
         customer: &Name,
         limit: QuotaLimit,
     ) -> Admission {
-        let boxes = self.counted_boxes();
+        let boxes = self.assumed_boxes();
         self.account(now, customer, limit).admit(now, boxes)
     }
 
-    /// A request that was admitted ran nowhere.
+    /// Returns the token of a request that was admitted and ran at no target.
     pub fn refund(&mut self, now: TimePoint, customer: &Name) {
         let Some(account) = self.accounts.get_mut(customer) else {
             return;
         };
-        if account.owed > 0 {
-            account.owed -= 1;
+        if account.debt > 0 {
+            account.debt -= 1;
             return;
         }
-        account.drop_stale(now);
-        account.credit += 1;
-        account.good_until = account.good_until.max(now + CREDIT_TIME);
+        account.expire_tokens(now);
+        account.tokens += 1;
+        account.valid_until = account.valid_until.max(now + TOKEN_VALIDITY);
     }
 
-    /// A request that was admitted may run once more.
+    /// Charges one more token for a request that was admitted and may run a second time.
     pub fn charge(&mut self, customer: &Name) {
         if let Some(account) = self.accounts.get_mut(customer) {
-            account.owed = account.owed.saturating_add(1);
+            account.debt = account.debt.saturating_add(1);
         }
     }
 
-    /// Asks that are to be sent now.
+    /// Returns the token requests that are to be sent now.
     pub fn due_requests(&mut self, now: TimePoint) -> Vec<DueRequest> {
-        let boxes = self.counted_boxes();
+        let boxes = self.assumed_boxes();
         let mut due = Vec::new();
         for (customer, account) in &mut self.accounts {
-            account.give_up_late(now);
+            account.expire_outstanding(now);
             if !account.is_due(now, boxes) {
                 continue;
             }
-            self.asks += 1;
-            let (rank, request) = account.ask(now, self.asks, boxes);
+            self.last_number += 1;
+            let (rank, request) = account.start_request(now, self.last_number, boxes);
             due.push(DueRequest { customer: customer.clone(), rank, request });
         }
         due
     }
 
-    /// When to look again for asks that are due or late; `None` while nothing is open.
+    /// Returns the time of the next call of [`TokenAccounts::due_requests`], or `None` while no account
+    /// needs one.
     pub fn next_due(&self, now: TimePoint) -> Option<TimePoint> {
-        let boxes = self.counted_boxes();
+        let boxes = self.assumed_boxes();
         self.accounts.values().filter_map(|account| account.next_due(now, boxes)).min()
     }
 
-    /// Takes a keeper's answer, if it is waited for.
+    /// Applies a coordinator's grant, unless its request has timed out.
     pub fn apply_grant(&mut self, now: TimePoint, customer: &Name, grant: &QuotaGrant) {
         if let Some(account) = self.accounts.get_mut(customer) {
             account.apply_grant(now, grant);
         }
     }
 
-    /// Whether the box reaches no keeper of that customer.
+    /// Returns whether the box reaches neither the coordinator nor the standby of that customer.
     pub fn is_cut_off(&self, customer: &Name) -> bool {
         self.accounts.get(customer).is_some_and(TokenAccount::is_cut_off)
     }
 
-    /// Forgets customers that rest.
+    /// Removes the accounts of customers without recent requests.
     pub fn remove_idle(&mut self, now: TimePoint) {
-        self.accounts.retain(|_, account| now.since(account.seen) < REST_TIME);
+        self.accounts.retain(|_, account| now.since(account.last_request) < IDLE_RETENTION);
     }
 
-    fn counted_boxes(&self) -> usize {
-        self.boxes.max(LEAST_BOXES)
+    fn assumed_boxes(&self) -> usize {
+        self.boxes.max(MIN_BOXES)
     }
 
     fn account(&mut self, now: TimePoint, customer: &Name, limit: QuotaLimit) -> &mut TokenAccount {
@@ -227,115 +231,122 @@
     fn new(now: TimePoint, limit: QuotaLimit) -> TokenAccount {
         TokenAccount {
             limit,
-            credit: 0,
-            good_until: now,
+            tokens: 0,
+            valid_until: now,
             unused: 0,
-            owed: 0,
+            debt: 0,
             waiting: 0,
             outstanding: None,
-            failed: 0,
+            failures: 0,
             failed_at: now,
-            cut_since: now,
-            first_from: now,
+            cut_off_since: now,
+            failover_until: now,
             scarce_until: now,
-            closed_until: now,
+            refused_until: now,
             share: None,
-            alone: TokenBucket::new(now, 1.0),
-            asked: 0.0,
-            seen: now,
+            cut_off_bucket: TokenBucket::new(now, 1.0),
+            recent_requests: 0.0,
+            last_request: now,
         }
     }
 
-    fn note_request(&mut self, now: TimePoint) {
-        let age = now.since(self.seen).as_secs_f64() / RATE_TIME.as_secs_f64();
-        self.asked = self.asked * (-age).exp() + 1.0;
-        self.seen = now;
+    fn record_request(&mut self, now: TimePoint) {
+        let age = now.since(self.last_request).as_secs_f64() / RATE_DECAY_TIME.as_secs_f64();
+        self.recent_requests = self.recent_requests * (-age).exp() + 1.0;
+        self.last_request = now;
     }
 
-    /// Requests a second.
+    /// Returns this box's rate in requests a second.
     fn rate(&self) -> f64 {
-        self.asked / RATE_TIME.as_secs_f64()
+        self.recent_requests / RATE_DECAY_TIME.as_secs_f64()
     }
 
     fn admit(&mut self, now: TimePoint, boxes: usize) -> Admission {
-        self.drop_stale(now);
-        if self.credit > 0 {
-            self.credit -= 1;
+        self.expire_tokens(now);
+        if self.tokens > 0 {
+            self.tokens -= 1;
             return Admission::Admitted;
         }
         if self.is_cut_off() {
-            return self.admit_alone(now, boxes);
+            return self.admit_cut_off(now, boxes);
         }
-        if now < self.closed_until {
-            return Admission::Refused(self.closed_until.since(now));
+        if now < self.refused_until {
+            return Admission::Refused(self.refused_until.since(now));
         }
-        let ahead = (self.rate() * AHEAD_TIME.as_secs_f64()).max(1.0);
-        if now >= self.scarce_until && f64::from(self.told_late() + 1) <= ahead {
-            self.owed += 1;
+        let max_debt = (self.rate() * MAX_DEBT_TIME.as_secs_f64()).max(1.0);
+        if now >= self.scarce_until && f64::from(self.unconfirmed_debt() + 1) <= max_debt {
+            self.debt += 1;
             return Admission::Admitted;
         }
         self.waiting += 1;
         Admission::Wait
     }
 
-    /// Requests that the keeper does not know of yet.
-    fn told_late(&self) -> u32 {
-        self.owed + self.outstanding.map_or(0, |open| open.owed)
+    /// Returns the debt that the coordinator has not confirmed yet.
+    fn unconfirmed_debt(&self) -> u32 {
+        self.debt + self.outstanding.map_or(0, |outstanding| outstanding.debt)
     }
 
-    fn admit_alone(&mut self, now: TimePoint, boxes: usize) -> Admission {
-        let is_hasty = now.since(self.cut_since) < SILENT_AFTER;
-        let part = self.own_part(now, boxes) * if is_hasty { HASTY_PART } else { 1.0 };
-        let rate = self.limit.per_second * part;
-        self.alone.fill(now, rate, rate.max(1.0));
-        if self.alone.try_take_one() {
+    fn admit_cut_off(&mut self, now: TimePoint, boxes: usize) -> Admission {
+        let is_early = now.since(self.cut_off_since) < UNRESPONSIVE_AFTER;
+        let fraction =
+            self.own_fraction(now, boxes) * if is_early { EARLY_FAILOVER_FRACTION } else { 1.0 };
+        let rate = self.limit.per_second * fraction;
+        self.cut_off_bucket.fill(now, rate, rate.max(1.0));
+        if self.cut_off_bucket.try_take_one() {
             return Admission::Admitted;
         }
-        let missing = (1.0 - self.alone.tokens()) / rate.max(0.01);
+        let missing = (1.0 - self.cut_off_bucket.tokens()) / rate.max(0.01);
         Admission::Refused(Duration::from_secs_f64(missing.min(SCARCE_TIME.as_secs_f64())))
     }
 
-    /// The part of the customer's rate that this box may spend by itself.
-    fn own_part(&self, now: TimePoint, boxes: usize) -> f64 {
-        let equal = EQUAL_PART / boxes as f64;
+    /// Returns the fraction of the customer's rate that this box may spend while it is cut off.
+    fn own_fraction(&self, now: TimePoint, boxes: usize) -> f64 {
+        let equal = EQUAL_SHARE_FRACTION / boxes as f64;
         match self.share {
-            Some((share, told)) if now.since(told) < SHARE_TIME => (share * SHARE_PART).max(equal),
+            Some((share, assigned)) if now.since(assigned) < SHARE_VALIDITY => {
+                (share * CUT_OFF_SHARE_FRACTION).max(equal)
+            }
             _ => equal,
         }
     }
 
-    /// When the keeper is to hear that this box has nothing to do, if it has a share.
-    fn idle_due(&self, now: TimePoint, boxes: usize) -> Option<TimePoint> {
-        let (share, told) = self.share?;
-        let is_worth = share * boxes as f64 >= LEAST_SHARE && now.since(self.seen) < SHARE_TIME;
-        is_worth.then(|| told + IDLE_TIME)
+    /// Returns when the box reports to the coordinator that it is idle, if it has a share to release.
+    fn idle_report_due(&self, now: TimePoint, boxes: usize) -> Option<TimePoint> {
+        let (share, assigned) = self.share?;
+        let is_worthwhile = share * boxes as f64 >= MIN_REPORTED_SHARE
+            && now.since(self.last_request) < SHARE_VALIDITY;
+        is_worthwhile.then(|| assigned + IDLE_REPORT_TIME)
     }
 
     fn is_cut_off(&self) -> bool {
-        self.failed >= FAILED_ASKS
+        self.failures >= CUT_OFF_AFTER_FAILURES
     }
 
-    fn drop_stale(&mut self, now: TimePoint) {
-        if now >= self.good_until {
-            self.unused = self.unused.saturating_add(std::mem::take(&mut self.credit));
+    fn expire_tokens(&mut self, now: TimePoint) {
+        if now >= self.valid_until {
+            self.unused = self.unused.saturating_add(std::mem::take(&mut self.tokens));
         }
     }
 
-    fn give_up_late(&mut self, now: TimePoint) {
-        let Some(open) = self.outstanding.filter(|open| now.since(open.sent) >= ASK_TIME) else {
+    fn expire_outstanding(&mut self, now: TimePoint) {
+        let Some(outstanding) =
+            self.outstanding.filter(|outstanding| now.since(outstanding.sent) >= REQUEST_TIMEOUT)
+        else {
             return;
         };
         self.outstanding = None;
-        self.owed = self.owed.saturating_add(open.owed);
-        self.failed = self.failed.saturating_add(1);
+        self.debt = self.debt.saturating_add(outstanding.debt);
+        self.failures = self.failures.saturating_add(1);
         self.failed_at = now;
-        if self.failed == FAILED_ASKS {
-            // Its share counts from now on: filled from before, it came on top of what it was granted.
-            self.alone = TokenBucket::new(now, 1.0);
-            self.cut_since = now;
+        if self.failures == CUT_OFF_AFTER_FAILURES {
+            // The share refills from now on. Refilled from an earlier time it came on top of what the box
+            // was granted since.
+            self.cut_off_bucket = TokenBucket::new(now, 1.0);
+            self.cut_off_since = now;
         }
-        if open.place == 0 && self.failed >= FIRST_ASKS {
-            self.first_from = now + PASSED_OVER;
+        if outstanding.rank == 0 && self.failures >= STANDBY_AFTER_FAILURES {
+            self.failover_until = now + FAILOVER_TIME;
         }
     }
 
@@ -344,74 +355,66 @@
             return false;
         }
         if self.is_cut_off() {
-            return now.since(self.failed_at) >= CUT_PAUSE;
+            return now.since(self.failed_at) >= CUT_OFF_RETRY_TIME;
         }
-        let is_idle = || self.idle_due(now, boxes).is_some_and(|due| now >= due);
-        self.owed > 0 || self.waiting > 0 || is_idle()
+        let is_idle = || self.idle_report_due(now, boxes).is_some_and(|due| now >= due);
+        self.debt > 0 || self.waiting > 0 || is_idle()
     }
 
     fn next_due(&self, now: TimePoint, boxes: usize) -> Option<TimePoint> {
-        if let Some(open) = self.outstanding {
-            return Some(open.sent + ASK_TIME);
+        if let Some(outstanding) = self.outstanding {
+            return Some(outstanding.sent + REQUEST_TIMEOUT);
         }
         if self.is_cut_off() {
-            return Some(self.failed_at + CUT_PAUSE);
+            return Some(self.failed_at + CUT_OFF_RETRY_TIME);
         }
-        if self.owed == 0 && self.waiting == 0 {
-            return self.idle_due(now, boxes);
+        if self.debt == 0 && self.waiting == 0 {
+            return self.idle_report_due(now, boxes);
         }
         Some(now)
     }
 
-    fn ask(&mut self, now: TimePoint, number: u64, boxes: usize) -> (u32, QuotaRequest) {
-        let is_passed = now < self.first_from || self.failed >= FIRST_ASKS;
-        // A box that is cut off tries both by turns.
-        let turn = self.failed.saturating_sub(FIRST_ASKS) % KEEPERS;
-        let place = u32::from(is_passed && turn == 0);
-        let wish = if self.waiting > 0 {
-            // What is wished for too much comes back too late for others.
-            let soon = (self.rate() * WISH_TIME.as_secs_f64()).floor();
-            (f64::from(self.waiting) + soon).min(WISH_MOST) as u32
+    fn start_request(&mut self, now: TimePoint, number: u64, boxes: usize) -> (u32, QuotaRequest) {
+        let is_failover = now < self.failover_until || self.failures >= STANDBY_AFTER_FAILURES;
+        // A box that is cut off tries coordinator and standby alternately.
+        let turn = self.failures.saturating_sub(STANDBY_AFTER_FAILURES) % COORDINATORS;
+        let rank = u32::from(is_failover && turn == 0);
+        let wanted = if self.waiting > 0 {
+            // Tokens that are not used are returned too late for other boxes.
+            let prefetched = (self.rate() * PREFETCH_TIME.as_secs_f64()).floor();
+            (f64::from(self.waiting) + prefetched).min(MAX_WANTED) as u32
         } else {
             0
         };
-        self.drop_stale(now);
-        let owed = std::mem::take(&mut self.owed);
+        self.expire_tokens(now);
+        let debt = std::mem::take(&mut self.debt);
         let unused = std::mem::take(&mut self.unused);
         self.waiting = 0;
-        self.outstanding = Some(OpenAsk { number, owed, wish, place, sent: now });
+        self.outstanding = Some(OutstandingRequest { number, debt, wanted, rank, sent: now });
         let equal = 1.0 / boxes as f64;
-        let told = self.share.filter(|(_, told)| now.since(*told) < SHARE_TIME);
-        let share = told.map_or(equal, |(share, _)| share);
-        let is_told = told.is_some();
-        (
-            place,
-            QuotaRequest {
-                number,
-                debt: owed,
-                unused,
-                wanted: wish,
-                share,
-                is_share_assigned: is_told,
-            },
-        )
+        let assigned = self.share.filter(|(_, assigned)| now.since(*assigned) < SHARE_VALIDITY);
+        let share = assigned.map_or(equal, |(share, _)| share);
+        let is_share_assigned = assigned.is_some();
+        (rank, QuotaRequest { number, debt, unused, wanted, share, is_share_assigned })
     }
 
     fn apply_grant(&mut self, now: TimePoint, grant: &QuotaGrant) {
-        let Some(open) = self.outstanding.take_if(|open| open.number == grant.number) else {
+        let Some(outstanding) =
+            self.outstanding.take_if(|outstanding| outstanding.number == grant.number)
+        else {
             return;
         };
-        // What it spent alone was held back for it, and is not told.
-        self.failed = 0;
+        // What the box spent while it was cut off is not reported: the coordinator reserved its share.
+        self.failures = 0;
         self.share = Some((grant.share, now));
-        self.drop_stale(now);
-        self.credit += grant.granted;
-        self.good_until = now + CREDIT_TIME;
+        self.expire_tokens(now);
+        self.tokens += grant.granted;
+        self.valid_until = now + TOKEN_VALIDITY;
         if grant.scarce {
             self.scarce_until = now + SCARCE_TIME;
         }
-        if grant.granted < open.wish {
-            self.closed_until = now + grant.wait;
+        if grant.granted < outstanding.wanted {
+            self.refused_until = now + grant.wait;
         }
     }
 }
--- a/crates/decide/src/quota/bucket.rs
+++ b/crates/decide/src/quota/bucket.rs
@@ -1,48 +1,48 @@
-//! A bucket of credit that fills with time.
+//! A token bucket that can go into debt.
 
 use crate::time::TimePoint;
 
-/// Credit that grows at a rate up to a most, and may be owed.
+/// A token bucket that refills at a given rate up to a capacity. Its balance may be negative.
 #[derive(Debug, Clone, Copy)]
 pub struct TokenBucket {
-    credit: f64,
-    filled: TimePoint,
+    tokens: f64,
+    filled_at: TimePoint,
 }
 
 impl TokenBucket {
-    /// A bucket that holds `credit` at `now`.
-    pub fn new(now: TimePoint, credit: f64) -> TokenBucket {
-        TokenBucket { credit, filled: now }
+    /// Creates a bucket that holds `tokens` at `now`.
+    pub fn new(now: TimePoint, tokens: f64) -> TokenBucket {
+        TokenBucket { tokens, filled_at: now }
     }
 
-    /// Fills it at `rate` a second up to `most`. What is above `most` by then is lost.
-    pub fn fill(&mut self, now: TimePoint, rate: f64, most: f64) {
-        let grown = now.since(self.filled).as_secs_f64() * rate;
-        self.credit = (self.credit + grown).min(most);
-        self.filled = self.filled.max(now);
+    /// Refills the bucket at `rate` tokens a second up to `capacity`. Tokens above the capacity are lost.
+    pub fn fill(&mut self, now: TimePoint, rate: f64, capacity: f64) {
+        let added = now.since(self.filled_at).as_secs_f64() * rate;
+        self.tokens = (self.tokens + added).min(capacity);
+        self.filled_at = self.filled_at.max(now);
     }
 
-    /// What it holds; below 0 if more was spent.
+    /// Returns the balance, which is negative if more tokens were spent than were available.
     pub fn tokens(&self) -> f64 {
-        self.credit
+        self.tokens
     }
 
-    /// Puts back what was not used, up to `most`.
-    pub fn refund(&mut self, amount: f64, most: f64) {
-        self.credit = (self.credit + amount).min(most.max(self.credit));
+    /// Returns `amount` unused tokens to the bucket, up to `capacity`.
+    pub fn refund(&mut self, amount: f64, capacity: f64) {
+        self.tokens = (self.tokens + amount).min(capacity.max(self.tokens));
     }
 
-    /// Takes `amount`, down to `least`.
-    pub fn spend(&mut self, amount: f64, least: f64) {
-        self.credit = (self.credit - amount).max(least.min(self.credit));
+    /// Removes `amount` tokens, without lowering the balance below `min_balance`.
+    pub fn spend(&mut self, amount: f64, min_balance: f64) {
+        self.tokens = (self.tokens - amount).max(min_balance.min(self.tokens));
     }
 
-    /// Takes one if it is there.
+    /// Removes one token if there is one, and returns whether it did.
     pub fn try_take_one(&mut self) -> bool {
-        let there = self.credit >= 1.0;
-        if there {
-            self.credit -= 1.0;
+        let is_available = self.tokens >= 1.0;
+        if is_available {
+            self.tokens -= 1.0;
         }
-        there
+        is_available
     }
 }
--- a/crates/decide/src/quota/coordinator.rs
+++ b/crates/decide/src/quota/coordinator.rs
@@ -1,130 +1,143 @@
-//! The bucket of a customer's credit, at the box that keeps it for all.
+//! Token buckets of customers, held by one box for all boxes.
 //!
-//! What a keeper gives out grows by the customer's rate, so that no window sees more than rate and
-//! burst allow, whoever asks. The rate is split into shares that boxes hold, and a keeper speaks for
-//! the shares of the boxes that it hears: one that is cut off goes on with its share, alone or with
-//! a keeper on its side, and the keeper that does not hear it holds that share back. So both sides
-//! of a cut together spend no more than before, however long it lasts and whoever takes itself for
-//! the whole. A process that has just started does not know what ran before it: it begins with a
-//! part of the burst and a smaller rate.
+//! A coordinator's bucket refills at the customer's rate, so that no window sees more requests than
+//! rate and burst allow, however many boxes request tokens. The rate is divided into shares that are
+//! assigned to boxes, and a coordinator may only grant the shares of the boxes that it receives requests
+//! from. A box that is partitioned off continues with its share, alone or with a coordinator on its
+//! side, and the coordinator on the other side reserves that share. Both sides of a partition
+//! therefore spend no more than before, however long the partition lasts and whichever coordinator
+//! considers itself to be the only one. A process that has just started has no information on what
+//! its predecessor granted, so it begins with a part of the burst and a lower rate.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use crate::names::Name;
 use crate::quota::bucket::TokenBucket;
-use crate::quota::{QuotaGrant, QuotaLimit, QuotaRequest, QuotaRequester, QuotaSlack, SHARE_TIME};
+use crate::quota::{
+    QuotaGrant, QuotaLimit, QuotaRequest, QuotaRequester, QuotaSlack, SHARE_VALIDITY,
+};
 use crate::time::TimePoint;
 
-/// What boxes asked counts for about this long in their shares: the users count in windows of 5 s.
-const USE_TIME: Duration = Duration::from_secs(5);
-/// A box that asks often is taken as cut off after this long without an ask.
-pub(crate) const SILENT_AFTER: Duration = Duration::from_secs(1);
-/// The same in multiples of the time between two of its asks, for boxes that ask rarely.
-const SILENT_GAPS: f64 = 2.0;
-/// No box is taken to ask less often than this in [`USE_TIME`].
-const LEAST_ASKED: f64 = 0.5;
-/// Part of the rate in the first window of a process: the keeper before it may still be asked by
-/// boxes that have not heard of the new one.
-const YOUNG_PART: f64 = 0.7;
-/// Shares that a keeper finds again in a second while it hears all boxes that it knows of: those that
-/// boxes held which have ended, and what its predecessor had not dealt.
-const FOUND_PER_S: f64 = 0.5;
-/// The same while it misses a box, which may be cut off with them: in a cut of 12 s both sides together
-/// come to 1.24 of the rate, and without the burst, which is spent by then, 1.32 of it is within the bound.
-const FOUND_PER_S_ALONE: f64 = 0.01;
-/// They are found again this long after: a keeper that is cut off knows it by then.
-const FOUND_LAG: Duration = Duration::from_secs(2);
-/// Part of its shares that a box or a deputy spends while the first keeper may still give them to
-/// others: datagrams that are lost look like a cut for some tenths of a second. With all of it, and
-/// 9 in 100 datagrams lost, fleets of 4 to 6 boxes had up to 1.05 of the bound at ten times their usual.
-pub(crate) const HASTY_PART: f64 = 0.25;
-/// Part of the burst that a keeper begins with: the rest may have been given out by another one.
-const FIRST_PART: f64 = 0.5;
-/// Part of the burst that a deputy has: the first keeper may have given it out.
-const DEPUTY_PART: f64 = 0.2;
-/// Part of the operators' slack that is given out: the rest is for what boxes spend ahead.
-const SLACK_PART: f64 = 0.25;
-/// Credit is scarce below this part of the burst: at ten times the usual a bucket that holds a
-/// second's credit is then empty some 50 ms later, in which all boxes hear of it.
-const SCARCE_PART: f64 = 0.25;
-/// Below so many requests it is scarce in any case.
-const SCARCE_LEAST: f64 = 2.0;
-/// Part of the rate while credit is scarce: what boxes spend before they hear of a cut comes on top.
-/// On 18 fleets cut in three at ten times the usual load two had up to 1.03 of the bound without it.
-const SCARCE_RATE_PART: f64 = 0.94;
-/// Debt of more than this part of the burst is forgiven.
-const DEBT_PART: f64 = 0.5;
-/// Bounds on the time after which a box without credit asks again.
-const WAIT_LEAST: Duration = Duration::from_millis(150);
-const WAIT_MOST: Duration = Duration::from_secs(1);
-/// Customers that rest this long are forgotten.
-const REST_TIME: Duration = Duration::from_secs(60);
+/// Decay time of the request counts from which shares are computed. Users count requests in windows
+/// of 5 s.
+const USAGE_DECAY_TIME: Duration = Duration::from_secs(5);
+/// A box that sends requests often counts as cut off after this time without a request.
+pub(crate) const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(1);
+/// Number of typical intervals between requests of a box that is added to [`UNRESPONSIVE_AFTER`], for
+/// boxes that send requests rarely.
+const UNRESPONSIVE_INTERVALS: f64 = 2.0;
+/// Lower bound on the number of requests of a box within [`USAGE_DECAY_TIME`] when its typical
+/// interval is computed.
+const MIN_USAGE: f64 = 0.5;
+/// Fraction of the rate that a process grants in its first window: boxes that have not yet learned of
+/// it may still send requests to the previous coordinator.
+const STARTUP_RATE_FRACTION: f64 = 0.7;
+/// Shares that a coordinator reclaims in a second while it receives from all boxes that it knows of:
+/// those of boxes that have ended, and those that its predecessor had not assigned.
+const RECLAIM_PER_S: f64 = 0.5;
+/// Shares that a coordinator reclaims in a second while some box is missing, which may be cut off
+/// together with the boxes that hold the shares. In a partition of 12 s both sides together come to
+/// 1.24 of the rate. Without the burst, which is spent by then, the bound is 1.32 of the rate.
+const RECLAIM_PER_S_PARTITIONED: f64 = 0.01;
+/// Delay before shares are reclaimed: a coordinator that is cut off has detected that by then.
+const RECLAIM_DELAY: Duration = Duration::from_secs(2);
+/// Fraction of its shares that a box or a standby spends while the coordinator may still assign them to
+/// others: lost datagrams look like a partition for some tenths of a second. At a fraction of 1, and
+/// with 9 in 100 datagrams lost, fleets of 4 to 6 boxes reached up to 1.05 of the bound at ten times
+/// their typical load.
+pub(crate) const EARLY_FAILOVER_FRACTION: f64 = 0.25;
+/// Fraction of the burst in a new bucket: another coordinator may have granted the rest.
+const INITIAL_BURST_FRACTION: f64 = 0.5;
+/// Fraction of the burst that a standby may grant: the coordinator may have granted the rest.
+const STANDBY_BURST_FRACTION: f64 = 0.2;
+/// Fraction of the operators' slack that is granted. The rest covers requests that boxes admit without
+/// a grant.
+const GRANTED_SLACK_FRACTION: f64 = 0.25;
+/// Tokens are scarce below this fraction of the capacity. At ten times the typical load a bucket that
+/// holds the tokens of a second is empty some 50 ms later, time enough for all boxes to be informed.
+const SCARCE_FRACTION: f64 = 0.25;
+/// Tokens are scarce in any case below this number.
+const MIN_PLENTIFUL_TOKENS: f64 = 2.0;
+/// Fraction of the rate at which the bucket refills while tokens are scarce, since requests that boxes
+/// admit before they detect a partition come on top. Without it, 2 of 18 fleets that were partitioned
+/// in three at ten times the typical load reached up to 1.03 of the bound.
+const SCARCE_RATE_FRACTION: f64 = 0.94;
+/// Debt of more than this fraction of the burst is forgiven.
+const MAX_DEBT_FRACTION: f64 = 0.5;
+/// Lower bound on the time after which a box without tokens sends another request.
+const MIN_WAIT: Duration = Duration::from_millis(150);
+/// Upper bound on the time after which a box without tokens sends another request.
+const MAX_WAIT: Duration = Duration::from_secs(1);
+/// Customers without requests for this long are removed.
+const IDLE_RETENTION: Duration = Duration::from_secs(60);
 
-/// What a keeper is to the box that asks.
+/// The role of a coordinator towards the box that sends it a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CoordinatorRole {
-    /// The first by rank: where nobody holds shares yet, it has all of them to give.
+    /// First by rank. It may assign all shares while no box holds any.
     Primary,
-    /// The second, for boxes that can't reach the first: it has what they bring.
+    /// Second by rank, for boxes that cannot reach the first. It may assign the shares that they report.
     Standby,
 }
 
-/// Where a keeper stands when it is asked.
+/// The situation of a coordinator when it receives a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CoordinatorStatus {
-    /// What it is to the box that asks.
+    /// Role towards the requesting box.
     pub role: CoordinatorRole,
-    /// Whether it hears all boxes of its data centre that it knows of and that did not end as planned.
+    /// Whether it receives heartbeats from all known boxes of its data centre, except those that announced
+    /// their shutdown.
     pub reaches_all: bool,
 }
 
-/// The buckets that this box keeps.
+/// The quotas for which this box is coordinator or standby.
 #[derive(Debug)]
 pub struct QuotaCoordinator {
     started: TimePoint,
     slack: QuotaSlack,
-    customers: HashMap<Name, KeptQuota>,
+    customers: HashMap<Name, CoordinatedQuota>,
 }
 
 #[derive(Debug)]
-struct KeptQuota {
-    /// `None` before the first box has asked.
+struct CoordinatedQuota {
+    /// `None` before the first request.
     bucket: Option<TokenBucket>,
-    /// What boxes asked, by their keys.
-    boxes: HashMap<u64, BoxUse>,
-    /// The shares that boxes brought here, together: what is dealt anew among them.
+    /// Usage of each box, by its key.
+    boxes: HashMap<u64, BoxUsage>,
+    /// Sum of the shares that boxes reported here, which are reassigned among them.
     shares: f64,
-    /// Whether a box has come with a share that a keeper had told it.
-    is_dealt: bool,
-    /// Up to when shares were found again.
-    found_until: TimePoint,
-    /// When it was asked first after a pause.
-    since: TimePoint,
-    /// When it was asked last.
-    faded: TimePoint,
+    /// Whether a box has reported a share that a coordinator had assigned.
+    has_assigned_shares: bool,
+    /// Time up to which shares were reclaimed.
+    reclaimed_until: TimePoint,
+    /// Time of the first request after a pause.
+    active_since: TimePoint,
+    /// Time of the last request.
+    last_request: TimePoint,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct BoxUse {
-    /// The life of the box that was heard last.
-    life: u64,
-    /// Requests of late, fading with [`USE_TIME`].
-    asked: f64,
-    /// The same when it was heard last: by how often it asked then, its silence is told.
-    pace: f64,
-    /// The share that it was told last, and holds while it is cut off.
+struct BoxUsage {
+    /// Incarnation of the box in its last request.
+    incarnation: u64,
+    /// Exponentially decaying count of requests, with decay time [`USAGE_DECAY_TIME`].
+    requests: f64,
+    /// Value of `requests` after the last grant, from which the box's typical interval between requests is
+    /// computed.
+    requests_at_last_grant: f64,
+    /// Share that was assigned to the box last and that it holds while it is cut off.
     share: f64,
-    heard: TimePoint,
+    last_seen: TimePoint,
 }
 
 impl QuotaCoordinator {
-    /// A keeper in a process that starts at `now`.
+    /// Creates the quotas of a process that starts at `now`.
     pub fn new(now: TimePoint, slack: QuotaSlack) -> QuotaCoordinator {
         QuotaCoordinator { started: now, slack, customers: HashMap::new() }
     }
 
-    /// Answers the box `asker`.
+    /// Answers a token request from the box `requester`.
     pub fn answer(
         &mut self,
         now: TimePoint,
@@ -135,104 +148,107 @@
         status: CoordinatorStatus,
     ) -> QuotaGrant {
         let role = status.role;
-        let is_young = now.since(self.started) < self.slack.window;
-        let kept = self.customers.entry(customer.clone());
-        let kept = kept.or_insert_with(|| KeptQuota::new(now));
-        kept.find_shares(now, status);
-        kept.fade(now);
-        kept.record_requester(now, requester, request, role);
-        let heard = kept.heard_shares(now);
-        let part = match role {
-            CoordinatorRole::Primary if is_young => heard * YOUNG_PART,
-            CoordinatorRole::Primary => heard,
-            // The first keeper holds nothing back for its askers yet.
-            CoordinatorRole::Standby if now.since(kept.since) < SILENT_AFTER => heard * HASTY_PART,
-            CoordinatorRole::Standby => heard,
+        let is_starting = now.since(self.started) < self.slack.window;
+        let quota = self.customers.entry(customer.clone());
+        let quota = quota.or_insert_with(|| CoordinatedQuota::new(now));
+        quota.reclaim_shares(now, status);
+        quota.decay(now);
+        quota.record_requester(now, requester, request, role);
+        let reachable = quota.reachable_shares(now);
+        let fraction = match role {
+            CoordinatorRole::Primary if is_starting => reachable * STARTUP_RATE_FRACTION,
+            CoordinatorRole::Primary => reachable,
+            // The coordinator does not yet reserve the shares of the boxes that send requests here.
+            CoordinatorRole::Standby if now.since(quota.active_since) < UNRESPONSIVE_AFTER => {
+                reachable * EARLY_FAILOVER_FRACTION
+            }
+            CoordinatorRole::Standby => reachable,
         };
-        let slack = self.slack.requests * SLACK_PART * part;
-        let rate = limit.per_second * part + slack / self.slack.window.as_secs_f64().max(0.1);
+        let slack = self.slack.requests * GRANTED_SLACK_FRACTION * fraction;
+        let rate = limit.per_second * fraction + slack / self.slack.window.as_secs_f64().max(0.1);
         let burst = match role {
             CoordinatorRole::Primary => limit.burst,
-            CoordinatorRole::Standby => limit.burst * DEPUTY_PART,
+            CoordinatorRole::Standby => limit.burst * STANDBY_BURST_FRACTION,
         };
-        let most = burst * part + slack;
-        let first = burst * part * FIRST_PART + slack;
-        let bucket = kept.bucket.get_or_insert_with(|| TokenBucket::new(now, first));
-        let least = (most * SCARCE_PART).max(SCARCE_LEAST);
-        let filled = if bucket.tokens() < least { rate * SCARCE_RATE_PART } else { rate };
-        bucket.fill(now, filled, most);
-        bucket.refund(f64::from(request.unused), most);
-        bucket.spend(f64::from(request.debt), -limit.burst * DEBT_PART);
-        let scarce = bucket.tokens() < least;
+        let capacity = burst * fraction + slack;
+        let initial = burst * fraction * INITIAL_BURST_FRACTION + slack;
+        let bucket = quota.bucket.get_or_insert_with(|| TokenBucket::new(now, initial));
+        let scarce_below = (capacity * SCARCE_FRACTION).max(MIN_PLENTIFUL_TOKENS);
+        let fill_rate =
+            if bucket.tokens() < scarce_below { rate * SCARCE_RATE_FRACTION } else { rate };
+        bucket.fill(now, fill_rate, capacity);
+        bucket.refund(f64::from(request.unused), capacity);
+        bucket.spend(f64::from(request.debt), -limit.burst * MAX_DEBT_FRACTION);
+        let scarce = bucket.tokens() < scarce_below;
         let granted = grant(bucket, request.wanted, scarce);
-        let more = request.debt.saturating_add(granted);
-        let share = kept.deal_share(now, requester.box_key, more, heard);
-        QuotaGrant { number: request.number, granted, scarce, wait: kept.wait(rate), share }
+        let admitted = request.debt.saturating_add(granted);
+        let share = quota.assign_share(now, requester.box_key, admitted, reachable);
+        QuotaGrant { number: request.number, granted, scarce, wait: quota.wait(rate), share }
     }
 
-    /// A box ends as planned: its shares go to the others.
+    /// Releases the shares of a box that announced its shutdown to the other boxes.
     pub fn record_box_stopped(&mut self, requester: QuotaRequester) {
-        for kept in self.customers.values_mut() {
-            if kept
+        for quota in self.customers.values_mut() {
+            if quota
                 .boxes
                 .get(&requester.box_key)
-                .is_some_and(|used| used.life == requester.incarnation)
+                .is_some_and(|usage| usage.incarnation == requester.incarnation)
             {
-                kept.boxes.remove(&requester.box_key);
+                quota.boxes.remove(&requester.box_key);
             }
         }
     }
 
-    /// Forgets customers of whom nobody asks any more.
+    /// Removes customers for whom no box has requested tokens for a while.
     pub fn remove_idle(&mut self, now: TimePoint) {
-        self.customers.retain(|_, kept| now.since(kept.faded) < REST_TIME);
+        self.customers.retain(|_, quota| now.since(quota.last_request) < IDLE_RETENTION);
     }
 }
 
-impl KeptQuota {
-    fn new(now: TimePoint) -> KeptQuota {
+impl CoordinatedQuota {
+    fn new(now: TimePoint) -> CoordinatedQuota {
         let boxes = HashMap::new();
-        KeptQuota {
+        CoordinatedQuota {
             bucket: None,
             boxes,
             shares: 0.0,
-            is_dealt: false,
-            found_until: now,
-            since: now,
-            faded: now,
+            has_assigned_shares: false,
+            reclaimed_until: now,
+            active_since: now,
+            last_request: now,
         }
     }
 
-    /// Takes shares that nobody holds any more for its own: they were lost with boxes that ended. After
-    /// all boxes had been killed small customers were refused a third of their requests for 10 s.
+    /// Reclaims shares that no box holds any more, because the boxes that held them have ended. Without it,
+    /// small customers were refused a third of their requests for 10 s after all boxes had been killed.
     ///
-    /// A deputy finds none: the first keeper has what it misses.
-    fn find_shares(&mut self, now: TimePoint, status: CoordinatorStatus) {
+    /// A standby reclaims nothing: the coordinator has the shares that are missing here.
+    fn reclaim_shares(&mut self, now: TimePoint, status: CoordinatorStatus) {
         let (rate, until) = match status {
             CoordinatorStatus { role: CoordinatorRole::Standby, .. } => (0.0, now),
-            CoordinatorStatus { reaches_all: false, .. } => (FOUND_PER_S_ALONE, now),
-            _ => (FOUND_PER_S, now.before(FOUND_LAG).max(self.found_until)),
+            CoordinatorStatus { reaches_all: false, .. } => (RECLAIM_PER_S_PARTITIONED, now),
+            _ => (RECLAIM_PER_S, now.before(RECLAIM_DELAY).max(self.reclaimed_until)),
         };
-        let passed = until.since(self.found_until).min(FOUND_LAG);
+        let passed = until.since(self.reclaimed_until).min(RECLAIM_DELAY);
         self.shares = (self.shares + rate * passed.as_secs_f64()).min(1.0);
-        self.found_until = until;
+        self.reclaimed_until = until;
     }
 
-    fn fade(&mut self, now: TimePoint) {
-        if now.since(self.faded) >= SILENT_AFTER {
-            self.since = now;
+    fn decay(&mut self, now: TimePoint) {
+        if now.since(self.last_request) >= UNRESPONSIVE_AFTER {
+            self.active_since = now;
         }
-        let age = now.since(self.faded).as_secs_f64() / USE_TIME.as_secs_f64();
-        let kept = (-age).exp();
-        for used in self.boxes.values_mut() {
-            used.asked *= kept;
+        let age = now.since(self.last_request).as_secs_f64() / USAGE_DECAY_TIME.as_secs_f64();
+        let decay = (-age).exp();
+        for usage in self.boxes.values_mut() {
+            usage.requests *= decay;
         }
-        self.boxes.retain(|_, used| now.since(used.heard) < SHARE_TIME);
-        self.faded = now;
+        self.boxes.retain(|_, usage| now.since(usage.last_seen) < SHARE_VALIDITY);
+        self.last_request = now;
     }
 
-    /// Notes that a box asks. One that is new here brings its share; one that has started again
-    /// has that of its life before, of which it knows nothing.
+    /// Records the sender of a request. The share that it reports counts if the box is new here. A box that
+    /// has restarted keeps the share of its previous incarnation, of which it has no information itself.
     fn record_requester(
         &mut self,
         now: TimePoint,
@@ -240,79 +256,88 @@
         request: &QuotaRequest,
         role: CoordinatorRole,
     ) {
-        let QuotaRequester { box_key, incarnation: life } = requester;
-        if let Some(used) = self.boxes.get_mut(&box_key) {
-            (used.life, used.heard) = (life, now);
+        let QuotaRequester { box_key, incarnation } = requester;
+        if let Some(usage) = self.boxes.get_mut(&box_key) {
+            (usage.incarnation, usage.last_seen) = (incarnation, now);
             return;
         }
-        if request.is_share_assigned && !self.is_dealt {
-            // All was there to give while nobody had a share. It is not any more.
-            self.shares = self.dealt();
-            self.is_dealt = true;
+        if request.is_share_assigned && !self.has_assigned_shares {
+            // All shares were available while no box had an assigned one. That has ended.
+            self.shares = self.assigned_shares();
+            self.has_assigned_shares = true;
         }
-        let brought = request.share.clamp(0.0, 1.0);
-        let used = BoxUse { life, asked: 0.0, pace: 0.0, share: brought, heard: now };
-        self.boxes.insert(box_key, used);
-        let all_are_new = !self.is_dealt && role == CoordinatorRole::Primary;
-        self.shares = if all_are_new { 1.0 } else { (self.shares + brought).min(1.0) };
+        let reported = request.share.clamp(0.0, 1.0);
+        let usage = BoxUsage {
+            incarnation,
+            requests: 0.0,
+            requests_at_last_grant: 0.0,
+            share: reported,
+            last_seen: now,
+        };
+        self.boxes.insert(box_key, usage);
+        let is_all_available = !self.has_assigned_shares && role == CoordinatorRole::Primary;
+        self.shares = if is_all_available { 1.0 } else { (self.shares + reported).min(1.0) };
     }
 
-    /// The shares that boxes hold by what they were told here.
-    fn dealt(&self) -> f64 {
-        self.boxes.values().map(|used| used.share).sum()
+    /// Returns the sum of the shares that are assigned to boxes here.
+    fn assigned_shares(&self) -> f64 {
+        self.boxes.values().map(|usage| usage.share).sum()
     }
 
-    /// The shares of the boxes that are heard. Those of the others are held back for them.
-    fn heard_shares(&self, now: TimePoint) -> f64 {
-        let silent = self.boxes.values().filter(|used| used.is_silent(now));
-        let held: f64 = silent.map(|used| used.share).sum();
-        (self.shares - held).max(0.0)
+    /// Returns the sum of the shares of responsive boxes. The shares of the others are reserved for them.
+    fn reachable_shares(&self, now: TimePoint) -> f64 {
+        let unresponsive = self.boxes.values().filter(|usage| usage.is_unresponsive(now));
+        let reserved: f64 = unresponsive.map(|usage| usage.share).sum();
+        (self.shares - reserved).max(0.0)
     }
 
-    /// Notes that a box had `more` requests; returns the share that it holds from now on, by its
-    /// part of what the boxes that are `heard` asked.
+    /// Adds `admitted` requests to the usage of a box and returns its new share: the box's part of the
+    /// requests of all responsive boxes, out of their `reachable` shares.
     ///
-    /// A share only grows by what others have given up: dealt anew all at once, those that had not
-    /// asked again held theirs beside it, and cut off together they spent 2.6 times what was theirs.
-    fn deal_share(&mut self, now: TimePoint, box_key: u64, more: u32, heard: f64) -> f64 {
-        let left = (self.shares - self.dealt()).max(0.0);
-        if let Some(used) = self.boxes.get_mut(&box_key) {
-            used.asked += f64::from(more);
-            used.pace = used.asked;
+    /// A share only grows by what other boxes have released. When all shares were reassigned at once,
+    /// boxes that had not sent a request since held their old shares as well, and cut off together they
+    /// spent 2.6 times their shares.
+    fn assign_share(&mut self, now: TimePoint, box_key: u64, admitted: u32, reachable: f64) -> f64 {
+        let unassigned = (self.shares - self.assigned_shares()).max(0.0);
+        if let Some(usage) = self.boxes.get_mut(&box_key) {
+            usage.requests += f64::from(admitted);
+            usage.requests_at_last_grant = usage.requests;
         }
-        let active = self.boxes.values().filter(|used| !used.is_silent(now));
-        let all: f64 = active.map(|used| used.asked).sum();
-        let Some(used) = self.boxes.get_mut(&box_key) else {
+        let active = self.boxes.values().filter(|usage| !usage.is_unresponsive(now));
+        let total: f64 = active.map(|usage| usage.requests).sum();
+        let Some(usage) = self.boxes.get_mut(&box_key) else {
             return 0.0;
         };
-        if all > 0.0 {
-            used.share = (heard * used.asked / all).min(used.share + left);
+        if total > 0.0 {
+            usage.share = (reachable * usage.requests / total).min(usage.share + unassigned);
         }
-        used.share
+        usage.share
     }
 
-    /// The time in which there is one request for each box that asks.
+    /// Returns the time in which the bucket gains one token for each box that sends requests.
     fn wait(&self, rate: f64) -> Duration {
         let boxes = self.boxes.len().max(1) as f64;
-        let wait = Duration::from_secs_f64((boxes / rate.max(0.1)).min(WAIT_MOST.as_secs_f64()));
-        wait.clamp(WAIT_LEAST, WAIT_MOST)
+        let wait = Duration::from_secs_f64((boxes / rate.max(0.1)).min(MAX_WAIT.as_secs_f64()));
+        wait.clamp(MIN_WAIT, MAX_WAIT)
     }
 }
 
-impl BoxUse {
-    /// Whether it asked nothing for so long that it may be cut off.
-    fn is_silent(&self, now: TimePoint) -> bool {
-        let gap = USE_TIME.as_secs_f64() / self.pace.max(LEAST_ASKED);
-        now.since(self.heard) >= SILENT_AFTER + Duration::from_secs_f64(gap * SILENT_GAPS)
+impl BoxUsage {
+    /// Returns whether the last request of the box is so long ago that the box may be cut off.
+    fn is_unresponsive(&self, now: TimePoint) -> bool {
+        let interval = USAGE_DECAY_TIME.as_secs_f64() / self.requests_at_last_grant.max(MIN_USAGE);
+        now.since(self.last_seen)
+            >= UNRESPONSIVE_AFTER + Duration::from_secs_f64(interval * UNRESPONSIVE_INTERVALS)
     }
 }
 
-/// Takes what is wished for out of a bucket, and half of what there is at most while it is scarce, so
-/// that boxes that ask next get some.
-fn grant(bucket: &mut TokenBucket, wish: u32, scarce: bool) -> u32 {
-    let there = bucket.tokens().max(0.0);
-    let most = if scarce { (there / 2.0).ceil().min(there.floor()) } else { there.floor() };
-    let granted = f64::from(wish).min(most);
+/// Takes up to `wanted` tokens out of a bucket and returns their number. While tokens are scarce it takes
+/// at most half of them, so that some remain for the next boxes.
+fn grant(bucket: &mut TokenBucket, wanted: u32, scarce: bool) -> u32 {
+    let available = bucket.tokens().max(0.0);
+    let max_granted =
+        if scarce { (available / 2.0).ceil().min(available.floor()) } else { available.floor() };
+    let granted = f64::from(wanted).min(max_granted);
     bucket.spend(granted, 0.0);
     granted as u32
 }
--- a/crates/decide/src/quota/mod.rs
+++ b/crates/decide/src/quota/mod.rs
@@ -1,19 +1,20 @@
-//! Customers' quotas over all boxes together.
+//! Customers' quotas, enforced over all boxes together.
 //!
 //! Load pattern: a customer's callers are spread over all boxes, a few at each, and each box sees a
-//! hundredth of what the customer asks. On most days a customer stays well below its limit; then one
-//! sends ten times its usual from everywhere at once, and the bound must hold over any window,
-//! also while boxes are cut off, restarted or slow.
+//! hundredth of the customer's requests. On most days a customer stays well below its limit. Then it
+//! sends ten times its typical rate through all boxes at once, and the limit must hold over any window,
+//! also while boxes are partitioned, restarted or slow.
 //!
-//! For each customer one box, the first by rendezvous, keeps a bucket of credit ([`coordinator`]); a
-//! second one steps in for boxes that can't reach it. Each box spends ahead of the keeper's word
-//! while credit is plentiful and tells what it spent ([`accounts`]), so that no request waits and the
-//! keeper knows within a round trip. Once credit is scarce, boxes get it in advance, and a box
-//! without credit refuses at once. A box that reaches no keeper lives on the share of the customer's
-//! credit that it had before, which its keeper holds back for as long as it does not hear it.
+//! For each customer one box, the first by rendezvous hashing, is the coordinator and holds a token
+//! bucket ([`coordinator`]). The second one is the standby for boxes that cannot reach the coordinator.
+//! While tokens are plentiful, a box admits requests before the coordinator grants them and reports
+//! what it spent ([`accounts`]), so that no request waits and the coordinator has the figure within a
+//! round trip. Once tokens are scarce, boxes request them in advance, and a box without tokens refuses
+//! at once. A box that reaches neither coordinator nor standby spends its last assigned share of the
+//! customer's rate, which the coordinator reserves for as long as it receives nothing from that box.
 //!
-//! Sums of the window that each box tells all others were weighed against that: at 113 boxes
-//! with 9 requests a second each they are 1,000 datagrams a second at each box.
+//! The alternative in which each box broadcasts its sum over the window was rejected: at 113 boxes
+//! with 9 requests a second each it costs 1,000 datagrams a second at each box.
 
 pub mod accounts;
 pub mod bucket;
@@ -24,64 +25,66 @@
 pub use accounts::{Admission, DueRequest, TokenAccounts};
 pub use coordinator::{CoordinatorRole, CoordinatorStatus, QuotaCoordinator};
 
-/// For how long a box may live on the share that it was last told, and its keeper holds that back.
-pub(crate) const SHARE_TIME: Duration = Duration::from_secs(30);
+/// Time for which a box may spend its last assigned share while it is cut off, and for which the
+/// coordinator reserves that share.
+pub(crate) const SHARE_VALIDITY: Duration = Duration::from_secs(30);
 
-/// What a customer may ask, over all boxes together.
+/// The rate limit of a customer, over all boxes together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaLimit {
-    /// Requests a second.
+    /// Sustained rate in requests a second.
     pub per_second: f64,
-    /// Requests above that at once.
+    /// Number of requests by which a customer may exceed the rate at once.
     pub burst: f64,
 }
 
-/// What the operators allow above a customer's limit, for what boxes can't know of each other.
+/// The excess over a customer's limit that the operators tolerate, since boxes have incomplete
+/// information about each other.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaSlack {
-    /// Requests within a window.
+    /// Number of requests above the limit within a window.
     pub requests: f64,
-    /// The window in which requests are counted.
+    /// Length of the window in which requests are counted.
     pub window: Duration,
 }
 
-/// What a box tells a keeper, and wishes of it.
+/// A request for tokens from a box to a coordinator, with a report of the tokens that it spent.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaRequest {
-    /// Another number for each ask of a box: the answer repeats it.
+    /// Number that is unique among the requests of a box. The grant repeats it.
     pub number: u64,
-    /// Requests that it admitted ahead of the keeper's word and has not told of.
+    /// Number of requests that the box admitted without a grant and has not reported before.
     pub debt: u32,
-    /// Requests that it was granted and did not use in time.
+    /// Number of granted requests that the box did not use in time.
     pub unused: u32,
-    /// Requests that it wants to admit soon.
+    /// Number of requests that the box wants to admit soon.
     pub wanted: u32,
-    /// Its share of the customer's credit, 0 to 1.
+    /// The box's share of the customer's rate, from 0 to 1.
     pub share: f64,
-    /// Whether a keeper told it that share. A box that has just begun brings an equal one.
+    /// Whether a coordinator assigned that share. A box that has just started reports an equal share.
     pub is_share_assigned: bool,
 }
 
-/// The box that asks a keeper.
+/// The box that sends a [`QuotaRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuotaRequester {
-    /// A number for the box that outlasts its restarts.
+    /// Identifier of the box that stays the same across restarts.
     pub box_key: u64,
-    /// Another number after each of its starts.
+    /// Identifier of the box's process, different after each start.
     pub incarnation: u64,
 }
 
-/// A keeper's answer.
+/// A coordinator's answer to a [`QuotaRequest`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaGrant {
-    /// The ask that it answers.
+    /// Number of the request that this answers.
     pub number: u64,
-    /// Requests that the box may admit.
+    /// Number of requests that the box may admit.
     pub granted: u32,
-    /// Whether credit runs low, so that no box may spend ahead.
+    /// Whether tokens are scarce, so that no box may admit requests without a grant.
     pub scarce: bool,
-    /// When to ask again, if not all that was wished is granted.
+    /// Time after which the box may request tokens again, if it was granted less than it wanted.
     pub wait: Duration,
-    /// The box's share of the customer's credit from now on, 0 to 1.
+    /// The box's share of the customer's rate from now on, from 0 to 1.
     pub share: f64,
 }
