--- a/crates/bench/src/crashes/mod.rs
+++ b/crates/bench/src/crashes/mod.rs
@@ -5,7 +5,7 @@
 mod scenario;
 
 use serde::Serialize;
-use wingbridge_decide::crashes::{REFUSED_FROM, REPEATED_BELOW};
+use wingbridge_decide::crashes::{NO_RETRY_THRESHOLD, REFUSAL_THRESHOLD};
 
 pub use fleet::CrashRun;
 use fleet::play;
@@ -30,8 +30,8 @@
 
 const KEPT: CrashWay = CrashWay {
     name: "as it is",
-    refused_from: REFUSED_FROM,
-    repeated_below: REPEATED_BELOW,
+    refused_from: REFUSAL_THRESHOLD,
+    repeated_below: NO_RETRY_THRESHOLD,
     told: true,
     stored: true,
     marks: true,
--- a/crates/decide/src/crashes/mod.rs
+++ b/crates/decide/src/crashes/mod.rs
@@ -1,69 +1,71 @@
-//! Which requests end the targets that run them.
+//! Detection of poison requests: requests that end the targets that run them.
 //!
-//! Load pattern: one request ends each target that begins to run it, and comes again, at any box,
-//! under another id. Each box sees one or two of its tries; the targets are back after seconds and
-//! end again. Targets also end for other reasons, with sound requests open at them.
+//! Load pattern: one request ends each target that starts to run it, and is repeated, at any box, under
+//! another id. Each box sees one or two of its attempts. The targets are back after seconds and end
+//! again. Targets also end for other reasons while harmless requests are open at them.
 //!
-//! So boxes tell each other under which requests which targets ended, as sets that can be merged in
-//! any order and as often as one likes. A request under which [`REFUSED_FROM`] targets ended is refused
-//! by every box; a success of it takes all back, since a request that ends its targets never has one.
+//! Boxes therefore report to each other under which requests which targets ended, as sets that can be
+//! merged in any order and any number of times. A request under which [`REFUSAL_THRESHOLD`] targets ended
+//! is refused by every box. A success of the request clears its record, since a request that ends its
+//! targets never succeeds.
 //!
-//! A box may not see how an attempt ends: its caller hangs up, or its time is over. The target's name
-//! is kept for a while as a mark, and counts once the target is known to have ended.
+//! A box may not see how an attempt ends, because its caller hangs up or its deadline passes. Such an
+//! attempt is kept for a while and counts if its target turns out to have ended.
 
-mod open_attempts;
 mod record;
+mod unresolved_attempts;
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::crashes::open_attempts::OpenAttemptRing;
 use crate::crashes::record::RequestRecord;
+use crate::crashes::unresolved_attempts::UnresolvedAttempts;
 use crate::fingerprint::Fingerprint;
 use crate::names::TargetKey;
 use crate::time::TimePoint;
 
-/// Targets that ended under a request from which on it goes to no target. Of 86 sound requests that
-/// were open at targets which another one ended, 3 were hit twice and none three times (request lines of
-/// 40 boxes in a storm of 18 ended targets).
-pub const REFUSED_FROM: usize = 3;
-/// Targets that ended under a request from which on a box makes no further attempt of one try:
-/// a sound one that was hit once is served by its second attempt.
-pub const REPEATED_BELOW: usize = 2;
-/// A request is refused for this long after the last target that ended under it, and twice as long
-/// with each further one. Asked for without pause, it ends two targets in the first hour after the third.
-pub const REFUSED_FOR: Duration = Duration::from_secs(600);
-/// Doublings of that time, at most: some five hours.
-const DOUBLINGS: u32 = 5;
-/// While there are too many, requests of which nothing was new for this long go first.
-const REMEMBERED_FOR: Duration = Duration::from_secs(3600);
-/// Requests that are remembered, at most: some 200 KB. Each has ended a target or was open at one
-/// that ended, so that no caller fills this without ending as many.
-const REQUESTS_KEPT: usize = 1024;
-/// What is new is told again for this long: boxes that were cut off for seconds hear of it then.
-const RETOLD_FOR: Duration = Duration::from_secs(30);
+/// Number of targets that ended under a request from which on the request is sent to no target. Of 86
+/// harmless requests that were open at targets which a poison request ended, 3 were hit twice and none
+/// three times (at 40 boxes, while 18 targets ended).
+pub const REFUSAL_THRESHOLD: usize = 3;
+/// Number of targets that ended under a request from which on a box does not retry it. A harmless request
+/// that was hit once is served by its second attempt.
+pub const NO_RETRY_THRESHOLD: usize = 2;
+/// Time for which a request is refused after the last target that ended under it. It doubles with each
+/// further target. A poison request that is repeated continuously ends two targets in the first hour
+/// after the third.
+pub const REFUSAL_TIME: Duration = Duration::from_secs(600);
+/// Upper bound on the number of doublings of [`REFUSAL_TIME`], which limits a refusal to some five hours.
+const MAX_DOUBLINGS: u32 = 5;
+/// Requests without a change for this long are removed first when there are too many.
+const RECORD_RETENTION: Duration = Duration::from_secs(3600);
+/// Upper bound on the number of requests with a record, some 200 KB. Each of them has ended a target or
+/// was open at one that ended, so no caller fills this without ending as many targets.
+const MAX_REQUESTS: usize = 1024;
+/// Time for which a change is reported again, so that boxes that were cut off for seconds receive it.
+const REPEAT_TIME: Duration = Duration::from_secs(30);
 
 /// Whether a request may be sent to a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashVerdict {
-    /// No target is known to have ended under it.
+    /// No target is known to have ended under the request.
     Clear,
-    /// So many ended, too few to refuse it.
+    /// Targets ended under the request, fewer than [`REFUSAL_THRESHOLD`], or the refusal has expired.
     Suspected {
-        /// Targets that ended.
+        /// Number of targets that ended under the request.
         ended: usize,
     },
-    /// It goes to no target for `wait`.
+    /// The request is sent to no target for `wait`.
     Refused {
-        /// Targets that ended.
+        /// Number of targets that ended under the request.
         ended: usize,
-        /// Time until it may be asked again.
+        /// Time until the request is accepted again.
         wait: Duration,
     },
 }
 
 impl CrashVerdict {
-    /// Targets that ended under the request.
+    /// Returns the number of targets that ended under the request.
     pub fn ended(self) -> usize {
         match self {
             CrashVerdict::Clear => 0,
@@ -72,93 +74,97 @@
     }
 }
 
-/// A target that ended while it had a request.
+/// A target that ended while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TargetEnd {
-    /// The target's life that ended.
+    /// Key of the incarnation of the target that ended.
     pub target: TargetKey,
-    /// How long ago.
+    /// Time since the target ended.
     pub age: Duration,
 }
 
-/// What is known of one request, as boxes tell it.
+/// The record of one request, as boxes report it to each other.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashReport {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Targets that ended under it.
+    /// Targets that ended under the request.
     pub ends: Vec<TargetEnd>,
-    /// How long ago it succeeded, if that took back what was known before.
+    /// Time since the request succeeded, if a success cleared an earlier record.
     pub succeeded: Option<Duration>,
 }
 
-/// What became of a request by something new.
+/// A change of whether a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashChange {
-    /// It is refused from now on.
+    /// The request is refused from now on.
     Refused {
-        /// The request.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
-        /// Targets that ended under it.
+        /// Number of targets that ended under the request.
         ended: usize,
-        /// For how long.
+        /// Time for which the request is refused.
         wait: Duration,
     },
-    /// It is taken again: it succeeded.
+    /// The request succeeded and is accepted again.
     Cleared {
-        /// The request.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
     },
 }
 
-/// What a box knows of requests that end targets.
+/// The records of all requests under which targets ended, as known to one box.
 #[derive(Debug, Default)]
 pub struct CrashLedger {
     requests: HashMap<Fingerprint, RequestRecord>,
-    marks: OpenAttemptRing,
+    unresolved: UnresolvedAttempts,
 }
 
 impl CrashLedger {
-    /// Whether a request may be sent.
+    /// Returns whether a request may be sent to a target.
     pub fn verdict(&self, now: TimePoint, fingerprint: Fingerprint) -> CrashVerdict {
         self.requests.get(&fingerprint).map_or(CrashVerdict::Clear, |record| record.verdict(now))
     }
 
-    /// Requests that are refused now.
+    /// Returns the number of requests that are refused at `now`.
     pub fn refused_count(&self, now: TimePoint) -> usize {
         let is_refused =
             |record: &&RequestRecord| matches!(record.verdict(now), CrashVerdict::Refused { .. });
         self.requests.values().filter(is_refused).count()
     }
 
-    /// A target ended under a request: it closed the connection and takes no other one.
+    /// Records that a target ended under a request: it closed the connection and accepts no new one.
     pub fn record_crash(
         &mut self,
         now: TimePoint,
         fingerprint: Fingerprint,
         target: TargetKey,
     ) -> Vec<CrashChange> {
-        self.marks.add(now, fingerprint, target);
+        self.unresolved.add(now, fingerprint, target);
         self.record_target_ended(now, target)
     }
 
-    /// An attempt ended and this box doesn't know how.
+    /// Records that an attempt ended with an outcome that this box has not seen.
     pub fn record_unknown_outcome(
         &mut self,
         now: TimePoint,
         fingerprint: Fingerprint,
         target: TargetKey,
     ) {
-        self.marks.add(now, fingerprint, target);
+        self.unresolved.add(now, fingerprint, target);
     }
 
-    /// A target has ended: what it had of this box's requests a moment before counts.
+    /// Records that a target has ended. This box's attempts that had an unknown outcome at that target a
+    /// moment before count as crashes.
     pub fn record_target_ended(&mut self, now: TimePoint, target: TargetKey) -> Vec<CrashChange> {
-        let marked = self.marks.take(now, target);
-        marked.into_iter().filter_map(|mark| self.add_end(now, mark.fingerprint, target)).collect()
+        let attempts = self.unresolved.take(now, target);
+        attempts
+            .into_iter()
+            .filter_map(|attempt| self.add_end(now, attempt.fingerprint, target))
+            .collect()
     }
 
-    /// A target ran a request to a good end.
+    /// Records that a target completed a request.
     pub fn record_success(
         &mut self,
         now: TimePoint,
@@ -168,49 +174,50 @@
         record.record_success(now)
     }
 
-    /// Takes what a peer told. Targets of which it tells have ended, so that marks of this box count.
-    pub fn merge_report(&mut self, now: TimePoint, news: &CrashReport) -> Vec<CrashChange> {
+    /// Merges a peer's report. The targets in it have ended, so this box's unresolved attempts at them
+    /// count as crashes as well.
+    pub fn merge_report(&mut self, now: TimePoint, report: &CrashReport) -> Vec<CrashChange> {
         let mut changes = Vec::new();
-        let record = self.record(now, news.fingerprint);
-        if let Some(age) = news.succeeded {
-            changes.extend(record.take_success(now.before(age)));
+        let record = self.record(now, report.fingerprint);
+        if let Some(age) = report.succeeded {
+            changes.extend(record.merge_success(now.before(age)));
         }
-        for end in &news.ends {
+        for end in &report.ends {
             changes.extend(record.add(now, now.before(end.age), end.target));
         }
-        for end in &news.ends {
+        for end in &report.ends {
             changes.extend(self.record_target_ended(now, end.target));
         }
         changes
     }
 
-    /// What is new since the last call.
+    /// Returns the records that this box has changed since the last call.
     pub fn take_unreported(&mut self, now: TimePoint) -> Vec<CrashReport> {
         let unreported = self
             .requests
             .values_mut()
             .filter_map(|record| record.take_unreported().then_some(record));
-        unreported.map(|record| record.news(now)).collect()
+        unreported.map(|record| record.report(now)).collect()
     }
 
-    /// What is told again and again, `most` requests at most: those that are refused, by the number of targets that
-    /// ended, and those of which something was new lately.
-    pub fn reports_to_repeat(&self, now: TimePoint, most: usize) -> Vec<CrashReport> {
-        let mut told: Vec<&RequestRecord> =
-            self.requests.values().filter(|record| record.is_retold(now, RETOLD_FOR)).collect();
-        told.sort_by_key(|record| std::cmp::Reverse(record.rank()));
-        told.into_iter().take(most).map(|record| record.news(now)).collect()
+    /// Returns the records that are reported repeatedly: those of refused requests and those with a recent
+    /// change, at most `max` of them, those with the most ended targets first.
+    pub fn reports_to_repeat(&self, now: TimePoint, max: usize) -> Vec<CrashReport> {
+        let mut repeated: Vec<&RequestRecord> =
+            self.requests.values().filter(|record| record.is_repeated(now, REPEAT_TIME)).collect();
+        repeated.sort_by_key(|record| std::cmp::Reverse(record.rank()));
+        repeated.into_iter().take(max).map(|record| record.report(now)).collect()
     }
 
-    /// What is known of requests that are refused now, `most` of them at most, those under which most targets
-    /// ended first.
-    pub fn refused_reports(&self, now: TimePoint, most: usize) -> Vec<CrashReport> {
-        let mut news = self.reports_to_repeat(now, REQUESTS_KEPT);
-        news.retain(|news| {
-            matches!(self.verdict(now, news.fingerprint), CrashVerdict::Refused { .. })
+    /// Returns the records of requests that are refused at `now`, at most `max` of them, those with the
+    /// most ended targets first.
+    pub fn refused_reports(&self, now: TimePoint, max: usize) -> Vec<CrashReport> {
+        let mut reports = self.reports_to_repeat(now, MAX_REQUESTS);
+        reports.retain(|report| {
+            matches!(self.verdict(now, report.fingerprint), CrashVerdict::Refused { .. })
         });
-        news.truncate(most);
-        news
+        reports.truncate(max);
+        reports
     }
 
     fn add_end(
@@ -225,14 +232,15 @@
         change
     }
 
-    /// The record of a request, a new one in place of the least known if there are too many.
+    /// Returns the record of a request. A new one replaces the record with the lowest rank if there are
+    /// too many.
     fn record(&mut self, now: TimePoint, fingerprint: Fingerprint) -> &mut RequestRecord {
-        if self.requests.len() >= REQUESTS_KEPT && !self.requests.contains_key(&fingerprint) {
-            self.requests.retain(|_, record| !record.is_over(now, REMEMBERED_FOR));
-            if self.requests.len() >= REQUESTS_KEPT {
-                let least = self.requests.iter().min_by_key(|(_, record)| record.rank());
-                let least = least.map(|(fingerprint, _)| *fingerprint);
-                least.and_then(|fingerprint| self.requests.remove(&fingerprint));
+        if self.requests.len() >= MAX_REQUESTS && !self.requests.contains_key(&fingerprint) {
+            self.requests.retain(|_, record| !record.is_expired(now, RECORD_RETENTION));
+            if self.requests.len() >= MAX_REQUESTS {
+                let lowest = self.requests.iter().min_by_key(|(_, record)| record.rank());
+                let lowest = lowest.map(|(fingerprint, _)| *fingerprint);
+                lowest.and_then(|fingerprint| self.requests.remove(&fingerprint));
             }
         }
         self.requests.entry(fingerprint).or_insert_with(|| RequestRecord::new(fingerprint))
--- a/crates/decide/src/crashes/record.rs
+++ b/crates/decide/src/crashes/record.rs
@@ -1,27 +1,29 @@
-//! What is known of one request.
+//! The record of one request.
 
 use std::time::Duration;
 
 use crate::crashes::{
-    CrashChange, CrashReport, CrashVerdict, DOUBLINGS, REFUSED_FOR, REFUSED_FROM, TargetEnd,
+    CrashChange, CrashReport, CrashVerdict, MAX_DOUBLINGS, REFUSAL_THRESHOLD, REFUSAL_TIME,
+    TargetEnd,
 };
 use crate::fingerprint::Fingerprint;
 use crate::names::TargetKey;
 use crate::time::TimePoint;
 
-/// Ended targets that are kept of one request, the last ones: the time of a refusal stops growing with
-/// them.
-const ENDS_KEPT: usize = REFUSED_FROM + DOUBLINGS as usize;
+/// Upper bound on the number of ended targets in a record, of which the latest are kept. The duration of a
+/// refusal does not grow beyond this number.
+const MAX_ENDS: usize = REFUSAL_THRESHOLD + MAX_DOUBLINGS as usize;
 
-/// What is known of one request. Merging two of them gives the same in any order.
+/// The targets that ended under one request, and its last success. Merging records gives the same result
+/// in any order.
 #[derive(Debug)]
 pub(super) struct RequestRecord {
     fingerprint: Fingerprint,
-    /// Targets that ended under it, and when, the earliest first.
+    /// Targets that ended under the request, with the time of their end, earliest first.
     ends: Vec<(TimePoint, TargetKey)>,
-    /// When it succeeded last; what is older doesn't count.
+    /// Time of the last success. Targets that ended before it do not count.
     succeeded: Option<TimePoint>,
-    /// When something new became known of it.
+    /// Time of the last change of this record.
     changed: TimePoint,
     unreported: bool,
 }
@@ -42,14 +44,14 @@
         let Some((last, _)) = self.ends.last() else {
             return CrashVerdict::Clear;
         };
-        let wait = refused_for(ended).saturating_sub(now.since(*last));
-        if ended < REFUSED_FROM || wait.is_zero() {
+        let wait = refusal_time(ended).saturating_sub(now.since(*last));
+        if ended < REFUSAL_THRESHOLD || wait.is_zero() {
             return CrashVerdict::Suspected { ended };
         }
         CrashVerdict::Refused { ended, wait }
     }
 
-    /// Adds a target that ended at `at`; the same one counts once.
+    /// Adds a target that ended at `at`. Each target counts once.
     pub(super) fn add(
         &mut self,
         now: TimePoint,
@@ -57,14 +59,14 @@
         target: TargetKey,
     ) -> Option<CrashChange> {
         let is_known = self.ends.iter().any(|(_, known)| *known == target);
-        let is_older = self.succeeded.is_some_and(|succeeded| at <= succeeded);
-        if is_known || is_older {
+        let is_outdated = self.succeeded.is_some_and(|succeeded| at <= succeeded);
+        if is_known || is_outdated {
             return None;
         }
         let before = self.verdict(now);
-        let place = self.ends.partition_point(|(known, _)| *known <= at);
-        self.ends.insert(place, (at, target));
-        if self.ends.len() > ENDS_KEPT {
+        let index = self.ends.partition_point(|(known, _)| *known <= at);
+        self.ends.insert(index, (at, target));
+        if self.ends.len() > MAX_ENDS {
             self.ends.remove(0);
         }
         self.changed = now;
@@ -77,26 +79,26 @@
         }
     }
 
-    /// It succeeded at one of this box's targets.
+    /// Records that the request succeeded at one of this box's targets.
     pub(super) fn record_success(&mut self, now: TimePoint) -> Option<CrashChange> {
         if self.ends.is_empty() {
             return None;
         }
         self.unreported = true;
-        self.take_success(now)
+        self.merge_success(now)
     }
 
-    /// It succeeded at `at`.
-    pub(super) fn take_success(&mut self, at: TimePoint) -> Option<CrashChange> {
+    /// Merges a success of the request at `at`.
+    pub(super) fn merge_success(&mut self, at: TimePoint) -> Option<CrashChange> {
         let is_newer = self.succeeded.is_none_or(|known| at > known);
         if !is_newer {
             return None;
         }
-        let was_refused = self.ends.len() >= REFUSED_FROM;
+        let was_refused = self.ends.len() >= REFUSAL_THRESHOLD;
         self.succeeded = Some(at);
         self.changed = self.changed.max(at);
         self.ends.retain(|(ended, _)| *ended > at);
-        let is_cleared = was_refused && self.ends.len() < REFUSED_FROM;
+        let is_cleared = was_refused && self.ends.len() < REFUSAL_THRESHOLD;
         is_cleared.then_some(CrashChange::Cleared { fingerprint: self.fingerprint })
     }
 
@@ -108,7 +110,7 @@
         std::mem::take(&mut self.unreported)
     }
 
-    pub(super) fn news(&self, now: TimePoint) -> CrashReport {
+    pub(super) fn report(&self, now: TimePoint) -> CrashReport {
         let end = |(at, target): &(TimePoint, TargetKey)| TargetEnd {
             target: *target,
             age: now.since(*at),
@@ -120,25 +122,27 @@
         }
     }
 
-    /// Whether it is told again: it is refused, or something of it was new lately.
-    pub(super) fn is_retold(&self, now: TimePoint, lately: Duration) -> bool {
+    /// Returns whether the record is reported repeatedly: the request is refused, or the record changed
+    /// within `period`.
+    pub(super) fn is_repeated(&self, now: TimePoint, period: Duration) -> bool {
         let is_refused = matches!(self.verdict(now), CrashVerdict::Refused { .. });
-        is_refused || now.since(self.changed) < lately
+        is_refused || now.since(self.changed) < period
     }
 
-    /// Whether it is of no use any more.
-    pub(super) fn is_over(&self, now: TimePoint, remembered: Duration) -> bool {
-        !self.is_retold(now, remembered)
+    /// Returns whether the record may be removed after a `retention` time without a change.
+    pub(super) fn is_expired(&self, now: TimePoint, retention: Duration) -> bool {
+        !self.is_repeated(now, retention)
     }
 
-    /// How much is known of it: the targets that ended, and when the last did.
+    /// Returns the order in which records are reported and kept: number of ended targets, then time of the
+    /// last change.
     pub(super) fn rank(&self) -> (usize, TimePoint) {
         (self.ends.len(), self.changed)
     }
 }
 
-/// How long a request is refused after the last of `ended` targets.
-fn refused_for(ended: usize) -> Duration {
-    let further = u32::try_from(ended.saturating_sub(REFUSED_FROM)).unwrap_or(DOUBLINGS);
-    REFUSED_FOR * 2_u32.pow(further.min(DOUBLINGS))
+/// Returns the time for which a request is refused after the last of `ended` targets.
+fn refusal_time(ended: usize) -> Duration {
+    let further = u32::try_from(ended.saturating_sub(REFUSAL_THRESHOLD)).unwrap_or(MAX_DOUBLINGS);
+    REFUSAL_TIME * 2_u32.pow(further.min(MAX_DOUBLINGS))
 }
--- a/crates/decide/tests/crashes.rs
+++ b/crates/decide/tests/crashes.rs
@@ -1,37 +1,38 @@
-//! Which requests are refused for the targets that ended under them.
+//! Tests of the records of poison requests: which requests are refused, for how long, and how records of
+//! several boxes are merged.
 
 use std::time::Duration;
 
 use proptest::prelude::*;
 use wingbridge_decide::crashes::{
-    CrashLedger, CrashReport, CrashVerdict, REFUSED_FOR, REFUSED_FROM, TargetEnd,
+    CrashLedger, CrashReport, CrashVerdict, REFUSAL_THRESHOLD, REFUSAL_TIME, TargetEnd,
 };
 use wingbridge_decide::{Fingerprint, TargetKey, TimePoint};
 
-const DEADLY: Fingerprint = Fingerprint(7);
+const POISON: Fingerprint = Fingerprint(7);
 const SECOND: Duration = Duration::from_secs(1);
 
 fn start() -> TimePoint {
     TimePoint::default() + Duration::from_secs(100_000)
 }
 
-/// What happens to a request, one second after the other.
+/// An event of a request. Events are one second apart.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// A target ends under it.
+    /// The target with this number ends under the request.
     Ends(u64),
-    /// This box doesn't see how its attempt at a target ends.
-    Unseen(u64),
-    /// A target is found to have ended.
-    Gone(u64),
-    /// A peer tells that a target ended under it, so many seconds ago.
-    Told(u64, u64),
-    /// A target runs it to a good end.
+    /// This box does not see the outcome of its attempt at the target.
+    Unresolved(u64),
+    /// The target is found to have ended.
+    TargetEnded(u64),
+    /// A peer reports that the target ended under the request, with the age of the end in seconds.
+    Reported(u64, u64),
+    /// A target completes the request.
     Succeeds,
-    /// A peer tells that it succeeded, so many seconds ago.
-    ToldSuccess(u64),
-    /// Nothing, for so many seconds.
-    Rest(u64),
+    /// A peer reports a success of the request, with its age in seconds.
+    ReportedSuccess(u64),
+    /// Nothing happens for this number of seconds.
+    Pause(u64),
 }
 
 struct LedgerCase {
@@ -41,106 +42,111 @@
     refused: bool,
 }
 
-use Step::{Ends, Gone, Rest, Succeeds, Told, ToldSuccess, Unseen};
+use Step::{Ends, Pause, Reported, ReportedSuccess, Succeeds, TargetEnded, Unresolved};
 
 const CASES: &[LedgerCase] = &[
-    LedgerCase { name: "nothing is known", steps: &[], ended: 0, refused: false },
-    LedgerCase { name: "two ended", steps: &[Ends(1), Ends(2)], ended: 2, refused: false },
-    LedgerCase { name: "three", steps: &[Ends(1), Ends(2), Ends(3)], ended: 3, refused: true },
+    LedgerCase { name: "no event", steps: &[], ended: 0, refused: false },
+    LedgerCase { name: "two ended targets", steps: &[Ends(1), Ends(2)], ended: 2, refused: false },
     LedgerCase {
-        name: "one target counts once, whoever tells",
-        steps: &[Ends(1), Told(1, 0), Ends(1), Told(1, 1), Ends(2)],
+        name: "three ended targets",
+        steps: &[Ends(1), Ends(2), Ends(3)],
+        ended: 3,
+        refused: true,
+    },
+    LedgerCase {
+        name: "each target counts once, whoever reports it",
+        steps: &[Ends(1), Reported(1, 0), Ends(1), Reported(1, 1), Ends(2)],
         ended: 2,
         refused: false,
     },
     LedgerCase {
-        name: "own and told ones",
-        steps: &[Told(1, 2), Ends(2), Told(3, 0)],
+        name: "targets seen by this box and reported by peers count together",
+        steps: &[Reported(1, 2), Ends(2), Reported(3, 0)],
         ended: 3,
         refused: true,
     },
     LedgerCase {
-        name: "a success takes all back",
+        name: "a success clears the record",
         steps: &[Ends(1), Ends(2), Ends(3), Succeeds],
         ended: 0,
         refused: false,
     },
     LedgerCase {
-        name: "a peer's as well",
-        steps: &[Ends(1), Ends(2), Ends(3), ToldSuccess(0)],
+        name: "a success reported by a peer clears the record",
+        steps: &[Ends(1), Ends(2), Ends(3), ReportedSuccess(0)],
         ended: 0,
         refused: false,
     },
     LedgerCase {
-        name: "an old success says nothing of what came later",
-        steps: &[Ends(1), Ends(2), Ends(3), ToldSuccess(60)],
+        name: "a success does not clear later ends",
+        steps: &[Ends(1), Ends(2), Ends(3), ReportedSuccess(60)],
         ended: 3,
         refused: true,
     },
     LedgerCase {
-        name: "what is told late is older than the success",
-        steps: &[Ends(1), Succeeds, Told(2, 5), Told(3, 5), Ends(4)],
+        name: "ends that are reported late and precede the success do not count",
+        steps: &[Ends(1), Succeeds, Reported(2, 5), Reported(3, 5), Ends(4)],
         ended: 1,
         refused: false,
     },
     LedgerCase {
-        name: "an attempt that was not seen counts once its target has ended",
-        steps: &[Unseen(1), Unseen(2), Unseen(3), Gone(1), Gone(3)],
+        name: "an attempt with an unknown outcome counts once its target has ended",
+        steps: &[Unresolved(1), Unresolved(2), Unresolved(3), TargetEnded(1), TargetEnded(3)],
         ended: 2,
         refused: false,
     },
     LedgerCase {
-        name: "and by a peer's word of that target",
-        steps: &[Unseen(1), Told(1, 0)],
+        name: "an attempt with an unknown outcome counts once a peer reports the end of its target",
+        steps: &[Unresolved(1), Reported(1, 0)],
         ended: 1,
         refused: false,
     },
     LedgerCase {
-        name: "not if the target ends much later",
-        steps: &[Unseen(1), Rest(11), Gone(1)],
+        name: "an attempt with an unknown outcome does not count if the target ends much later",
+        steps: &[Unresolved(1), Pause(11), TargetEnded(1)],
         ended: 0,
         refused: false,
     },
     LedgerCase {
-        name: "it is refused for minutes",
-        steps: &[Ends(1), Ends(2), Ends(3), Rest(590)],
+        name: "refused until the refusal time is over",
+        steps: &[Ends(1), Ends(2), Ends(3), Pause(590)],
         ended: 3,
         refused: true,
     },
     LedgerCase {
-        name: "and may be asked again",
-        steps: &[Ends(1), Ends(2), Ends(3), Rest(600)],
+        name: "accepted after the refusal time",
+        steps: &[Ends(1), Ends(2), Ends(3), Pause(600)],
         ended: 3,
         refused: false,
     },
     LedgerCase {
-        name: "one more target then has it refused for longer",
-        steps: &[Ends(1), Ends(2), Ends(3), Rest(600), Ends(4), Rest(1190)],
+        name: "one more ended target doubles the refusal time",
+        steps: &[Ends(1), Ends(2), Ends(3), Pause(600), Ends(4), Pause(1190)],
         ended: 4,
         refused: true,
     },
 ];
 
-fn told(target: u64, age: u64) -> CrashReport {
+fn reported_end(target: u64, age: u64) -> CrashReport {
     let end = TargetEnd { target: TargetKey(target), age: SECOND * age as u32 };
-    CrashReport { fingerprint: DEADLY, ends: vec![end], succeeded: None }
+    CrashReport { fingerprint: POISON, ends: vec![end], succeeded: None }
 }
 
-fn play(steps: &[Step]) -> (CrashLedger, TimePoint) {
+fn run(steps: &[Step]) -> (CrashLedger, TimePoint) {
     let (mut ledger, mut now) = (CrashLedger::default(), start());
     for step in steps {
         match *step {
-            Ends(target) => drop(ledger.record_crash(now, DEADLY, TargetKey(target))),
-            Unseen(target) => ledger.record_unknown_outcome(now, DEADLY, TargetKey(target)),
-            Gone(target) => drop(ledger.record_target_ended(now, TargetKey(target))),
-            Told(target, age) => drop(ledger.merge_report(now, &told(target, age))),
-            Succeeds => drop(ledger.record_success(now, DEADLY)),
-            ToldSuccess(age) => {
+            Ends(target) => drop(ledger.record_crash(now, POISON, TargetKey(target))),
+            Unresolved(target) => ledger.record_unknown_outcome(now, POISON, TargetKey(target)),
+            TargetEnded(target) => drop(ledger.record_target_ended(now, TargetKey(target))),
+            Reported(target, age) => drop(ledger.merge_report(now, &reported_end(target, age))),
+            Succeeds => drop(ledger.record_success(now, POISON)),
+            ReportedSuccess(age) => {
                 let succeeded = Some(SECOND * age as u32);
-                let news = CrashReport { fingerprint: DEADLY, ends: Vec::new(), succeeded };
-                drop(ledger.merge_report(now, &news));
+                let report = CrashReport { fingerprint: POISON, ends: Vec::new(), succeeded };
+                drop(ledger.merge_report(now, &report));
             }
-            Rest(seconds) => now = now + SECOND * seconds as u32,
+            Pause(seconds) => now = now + SECOND * seconds as u32,
         }
         now = now + SECOND;
     }
@@ -148,10 +154,10 @@
 }
 
 #[test]
-fn requests_are_refused_for_the_targets_that_ended_under_them() {
+fn a_request_is_refused_after_three_targets_ended_under_it() {
     for case in CASES {
-        let (ledger, now) = play(case.steps);
-        let verdict = ledger.verdict(now, DEADLY);
+        let (ledger, now) = run(case.steps);
+        let verdict = ledger.verdict(now, POISON);
         assert_eq!(verdict.ended(), case.ended, "{}", case.name);
         let refused = matches!(verdict, CrashVerdict::Refused { .. });
         assert_eq!(refused, case.refused, "{}", case.name);
@@ -160,62 +166,63 @@
 }
 
 #[test]
-fn what_is_new_is_told_once_and_what_is_refused_again_and_again() {
-    let (mut ledger, now) = play(&[Ends(1), Ends(2), Ends(3)]);
-    let told = ledger.take_unreported(now);
-    assert_eq!((told.len(), told[0].ends.len()), (1, 3));
+fn changes_are_reported_once_and_refusals_repeatedly() {
+    let (mut ledger, now) = run(&[Ends(1), Ends(2), Ends(3)]);
+    let reports = ledger.take_unreported(now);
+    assert_eq!((reports.len(), reports[0].ends.len()), (1, 3));
     assert_eq!(ledger.take_unreported(now), []);
-    let later = now + REFUSED_FOR / 2;
+    let later = now + REFUSAL_TIME / 2;
     assert_eq!(ledger.reports_to_repeat(later, 10).len(), 1);
-    assert_eq!(ledger.reports_to_repeat(now + REFUSED_FOR * 2, 10), []);
-    // A peer that takes it tells it by its own beacons, and not at once.
+    assert_eq!(ledger.reports_to_repeat(now + REFUSAL_TIME * 2, 10), []);
+    // A peer that receives the report repeats it in its own heartbeats, and does not relay it at once.
     let mut peer = CrashLedger::default();
     assert_eq!(
-        peer.merge_report(now, &told[0]).len(),
+        peer.merge_report(now, &reports[0]).len(),
         1,
-        "it is refused there, which is told to operators"
+        "the peer refuses the request as well, which is logged"
     );
     assert_eq!(peer.take_unreported(now), []);
-    assert_eq!(peer.reports_to_repeat(now, 10), told);
+    assert_eq!(peer.reports_to_repeat(now, 10), reports);
 }
 
-/// Callers that hang up, and targets that end under them, fill no memory: 40,000 requests under which
-/// targets end are remembered as the last thousand, those that are refused among them.
+/// Guards against records without bound, caused by callers that hang up and targets that end under their
+/// requests: of 40,000 such requests the last thousand are kept, together with those that are refused.
 #[test]
-fn memory_is_bounded_and_keeps_what_is_refused() {
-    let (mut ledger, now) = play(&[Ends(1), Ends(2), Ends(3)]);
+fn records_are_bounded_and_keep_refused_requests() {
+    let (mut ledger, now) = run(&[Ends(1), Ends(2), Ends(3)]);
     for number in 0..40_000 {
         ledger.record_unknown_outcome(now, Fingerprint(1_000 + number), TargetKey(1_000 + number));
         ledger.record_crash(now, Fingerprint(100_000 + number), TargetKey(100_000 + number));
     }
     assert_eq!(ledger.reports_to_repeat(now, usize::MAX).len(), 1024);
-    assert!(matches!(ledger.verdict(now, DEADLY), CrashVerdict::Refused { ended: 3, .. }));
+    assert!(matches!(ledger.verdict(now, POISON), CrashVerdict::Refused { ended: 3, .. }));
 }
 
+/// An event that peers report. Its debug text determines the shuffled order.
 #[derive(Debug, Clone, Copy)]
-enum Word {
+enum Event {
     End { target: u64, age_ms: u64 },
     Success { age_ms: u64 },
 }
 
-fn word() -> impl Strategy<Value = Word> {
-    let end = (0_u64..6, 0_u64..5_000).prop_map(|(target, age_ms)| Word::End {
+fn event() -> impl Strategy<Value = Event> {
+    let end = (0_u64..6, 0_u64..5_000).prop_map(|(target, age_ms)| Event::End {
         target,
-        // A target ends once, so that all tell the same time of it.
+        // A target ends once, so all reports have the same time of its end.
         age_ms: target * 700 + age_ms / 5_000,
     });
-    let success = (0_u64..5_000).prop_map(|age_ms| Word::Success { age_ms });
+    let success = (0_u64..5_000).prop_map(|age_ms| Event::Success { age_ms });
     prop_oneof![4 => end, 1 => success]
 }
 
-fn news_of(word: Word) -> CrashReport {
-    match word {
-        Word::End { target, age_ms } => {
+fn report_of(event: Event) -> CrashReport {
+    match event {
+        Event::End { target, age_ms } => {
             let end = TargetEnd { target: TargetKey(target), age: Duration::from_millis(age_ms) };
-            CrashReport { fingerprint: DEADLY, ends: vec![end], succeeded: None }
+            CrashReport { fingerprint: POISON, ends: vec![end], succeeded: None }
         }
-        Word::Success { age_ms } => CrashReport {
-            fingerprint: DEADLY,
+        Event::Success { age_ms } => CrashReport {
+            fingerprint: POISON,
             ends: Vec::new(),
             succeeded: Some(Duration::from_millis(age_ms)),
         },
@@ -223,33 +230,34 @@
 }
 
 proptest! {
-    /// Boxes hear the same in another order, twice, or by way of a third one, and judge alike.
+    /// Boxes that receive the same reports in another order, twice, or through a third box, reach the same
+    /// verdict.
     #[test]
-    fn the_order_and_number_of_words_make_no_difference(
-        words in prop::collection::vec(word(), 0..24),
+    fn order_and_repetition_of_reports_do_not_change_the_verdict(
+        events in prop::collection::vec(event(), 0..24),
         order in any::<u64>(),
     ) {
         let now = start();
-        let mut straight = CrashLedger::default();
-        let mut mixed = CrashLedger::default();
-        for word in &words {
-            straight.merge_report(now, &news_of(*word));
+        let mut in_order = CrashLedger::default();
+        let mut reordered = CrashLedger::default();
+        for event in &events {
+            in_order.merge_report(now, &report_of(*event));
         }
-        let mut shuffled = words.clone();
-        shuffled.sort_by_key(|word| {
-            let text = format!("{word:?}{order}");
+        let mut shuffled = events.clone();
+        shuffled.sort_by_key(|event| {
+            let text = format!("{event:?}{order}");
             wingbridge_decide::names::stable_hash(&text)
         });
-        for word in shuffled.iter().chain(&words) {
-            mixed.merge_report(now, &news_of(*word));
+        for event in shuffled.iter().chain(&events) {
+            reordered.merge_report(now, &report_of(*event));
         }
         let mut third = CrashLedger::default();
-        for news in mixed.reports_to_repeat(now, 10) {
-            third.merge_report(now, &news);
+        for report in reordered.reports_to_repeat(now, 10) {
+            third.merge_report(now, &report);
         }
-        let verdict = straight.verdict(now, DEADLY);
-        prop_assert_eq!(mixed.verdict(now, DEADLY), verdict);
-        prop_assert_eq!(third.verdict(now, DEADLY), verdict);
-        prop_assert_eq!(verdict.ended() >= REFUSED_FROM, matches!(verdict, CrashVerdict::Refused { .. }));
+        let verdict = in_order.verdict(now, POISON);
+        prop_assert_eq!(reordered.verdict(now, POISON), verdict);
+        prop_assert_eq!(third.verdict(now, POISON), verdict);
+        prop_assert_eq!(verdict.ended() >= REFUSAL_THRESHOLD, matches!(verdict, CrashVerdict::Refused { .. }));
     }
 }
--- a/crates/gateway/src/requests/mod.rs
+++ b/crates/gateway/src/requests/mod.rs
@@ -9,7 +9,7 @@
 
 use futures::stream::{FuturesUnordered, StreamExt};
 use wingbridge_decide::TargetKey;
-use wingbridge_decide::crashes::{CrashVerdict, REPEATED_BELOW};
+use wingbridge_decide::crashes::{CrashVerdict, NO_RETRY_THRESHOLD};
 use wingbridge_decide::steer::{
     HomeRegions, LoadReport, PickError, RetryUse, SteerOutcome, SteerPick, SteerRequest,
 };
@@ -396,7 +396,7 @@
         if Instant::now() >= self.until() {
             return Some("its time is over");
         }
-        if self.context.crashes.verdict(self.outgoing.fingerprint).ended() >= REPEATED_BELOW {
+        if self.context.crashes.verdict(self.outgoing.fingerprint).ended() >= NO_RETRY_THRESHOLD {
             return Some(ENDS_TARGETS);
         }
         let (context, service) = (&self.context, &self.plan.service);
