--- a/crates/bench/src/decide/baselines.rs
+++ b/crates/bench/src/decide/baselines.rs
@@ -257,14 +257,14 @@
         if good {
             target.failures = 0;
             if target.out_until.take().is_some() {
-                self.notice(index, HealthState::Healthy, out);
+                self.change_state(index, HealthState::Healthy, out);
             }
             return;
         }
         target.failures += 1;
         if target.failures >= PROBES_IN_A_ROW && target.out_until.is_none() {
             target.out_until = Some(now);
-            self.notice(index, HealthState::Ejected, out);
+            self.change_state(index, HealthState::Ejected, out);
         }
     }
 
@@ -278,10 +278,10 @@
         target.ejections += 1;
         target.failures = 0;
         target.out_until = Some(now + EJECTION * target.ejections);
-        self.notice(index, HealthState::Ejected, out);
+        self.change_state(index, HealthState::Ejected, out);
     }
 
-    fn notice(&self, index: usize, to: HealthState, out: &mut Vec<BoxCommand>) {
+    fn change_state(&self, index: usize, to: HealthState, out: &mut Vec<BoxCommand>) {
         let target = self.targets[index].address.clone();
         let service = self.service.clone();
         let from = HealthState::Healthy;
@@ -321,7 +321,7 @@
         for index in 0..self.targets.len() {
             if self.targets[index].out_until.is_some_and(|until| until <= now) {
                 self.targets[index].out_until = None;
-                self.notice(index, HealthState::Healthy, out);
+                self.change_state(index, HealthState::Healthy, out);
             }
         }
         if self.kind == BaselineKind::Deviation {
--- a/crates/bench/src/decide/world.rs
+++ b/crates/bench/src/decide/world.rs
@@ -226,11 +226,11 @@
                 self.drop_attempt(request);
                 let _: Conclusion = conclusion;
             }
-            BoxCommand::HealthChanged(notice) => {
-                let target = self.addresses[&notice.target];
-                let kept_out = notice.to == HealthState::Ejected;
+            BoxCommand::HealthChanged(transition) => {
+                let target = self.addresses[&transition.target];
+                let kept_out = transition.to == HealthState::Ejected;
                 if kept_out {
-                    let (time, why) = (self.now, notice.reason);
+                    let (time, why) = (self.now, transition.reason);
                     self.record.ejections.push(EjectionNote { time, box_number, target, why });
                 }
                 self.out[box_number][target] = kept_out;
--- a/crates/decide/src/core/evidence.rs
+++ b/crates/decide/src/core/evidence.rs
@@ -1,7 +1,7 @@
 //! Turns the outcomes of attempts into evidence about targets, and sends it in batches.
 
 use crate::core::health::change_health;
-use crate::core::{BoxCore, REPORT_INTERVAL, locate};
+use crate::core::{BoxCore, MAX_BATCH_AGE, locate};
 use crate::evidence::{EvidenceBatch, SampleKind, TargetSamples};
 use crate::floor::EjectionRank;
 use crate::health::{Ejection, HealthState, TargetHealth};
@@ -76,7 +76,8 @@
         self.add_evidence(now, service, open, kind, commands);
     }
 
-    /// Adds a sample to the batch of the service, and records it as a trial result if the target is on trial.
+    /// Adds a sample to the batch of the service and to the self-check of the box and, if the target is on trial, to
+    /// the results of the trial.
     pub(super) fn add_evidence(
         &mut self,
         now: TimePoint,
@@ -110,8 +111,7 @@
 
     /// Sends the batches that are due, and adds them to the local detector.
     pub(super) fn send_reports(&mut self, now: TimePoint, commands: &mut Vec<BoxCommand>) {
-        let is_due =
-            |batch: &PendingBatch| batch.urgent || now.since(batch.since) >= REPORT_INTERVAL;
+        let is_due = |batch: &PendingBatch| batch.urgent || now.since(batch.since) >= MAX_BATCH_AGE;
         let due = self.batches.iter().filter(|(_, batch)| is_due(batch));
         let due: Vec<Name> = due.map(|(name, _)| name.clone()).collect();
         for service in due {
--- a/crates/decide/src/core/mod.rs
+++ b/crates/decide/src/core/mod.rs
@@ -25,9 +25,9 @@
 use crate::setup::ServiceSetup;
 use crate::time::TimePoint;
 
-/// Time for which evidence is collected before it is sent to the outlier detectors. A batch with bad outcomes is
-/// sent with the next window instead.
-const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum time for which a batch of evidence is collected before it is sent to the outlier detectors. A batch with
+/// bad outcomes is sent with the next window instead.
+const MAX_BATCH_AGE: Duration = Duration::from_millis(100);
 /// Time between two probes of a draining target.
 const PROBE_INTERVAL: Duration = Duration::from_secs(2);
 /// Assumed latency of a service until enough latencies are recorded.
--- a/crates/decide/src/detector/counts.rs
+++ b/crates/decide/src/detector/counts.rs
@@ -7,7 +7,7 @@
 use crate::detector::target::MonitoredTarget;
 use crate::time::TimePoint;
 
-/// Weight of the minimum baseline rate in an estimate, as a value of outcomes. It dominates where siblings
+/// Weight of the minimum baseline rate in an estimate, as a number of outcomes. It dominates where siblings
 /// have few outcomes.
 const PRIOR_WEIGHT: f32 = 20.0;
 
--- a/crates/decide/src/detector/hypotheses.rs
+++ b/crates/decide/src/detector/hypotheses.rs
@@ -10,7 +10,7 @@
 /// arrays of length [`FAILURE_MODES`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum FailureMode {
-    /// The attempt failed.
+    /// The attempt failed or was answered with a server error.
     Error = 0,
     /// The attempt is or was open for longer than the overdue threshold.
     Overdue = 1,
--- a/crates/decide/src/pick.rs
+++ b/crates/decide/src/pick.rs
@@ -48,7 +48,8 @@
     first.or_else(|| best_allowed(service, context))
 }
 
-/// Returns whether the request may be sent to the target. A target on trial gets repeatable requests only.
+/// Returns whether the request may be sent to the target. A target on trial gets repeatable requests only, unless the
+/// floor guard does not enforce its ejection.
 fn allowed(service: &ServiceState, index: usize, context: &PickContext<'_>) -> bool {
     if context.tried.contains(&index) {
         return false;
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -1,4 +1,4 @@
-//! The exchange between boxes: configuration, membership, who judges, who watches.
+//! The exchange between boxes: configuration, membership, which boxes run the outlier detectors, which watch the store.
 //!
 //! All that must agree is a map from keys to versions in which only the higher
 //! version counts ([`SpreadMap`]). Merging is associative, commutative and
--- a/crates/spread/src/members.rs
+++ b/crates/spread/src/members.rs
@@ -14,8 +14,8 @@
 /// Fleets up to this size pool evidence over all data centres. Larger ones pool
 /// it in each data centre, which there sees enough, and saves the rest its messages.
 pub const SMALL_FLEET: usize = 200;
-/// Detectors of a service in a box's own data centre; a second one covers for the
-/// first while the box list still shows one that is gone.
+/// Number of boxes that run the outlier detector of a service in the local data centre. The second one covers for the
+/// first while the member list still contains a box that has stopped.
 const LOCAL_DETECTORS: usize = 2;
 /// Boxes of each data centre that watch the store.
 const WATCHERS: usize = 2;
@@ -101,7 +101,8 @@
         self.by_centre.keys()
     }
 
-    /// The boxes that run a detector for `service` for one in `data_centre`, best first.
+    /// Returns the boxes that run the outlier detector of `service` for a box in `data_centre`, by descending
+    /// rendezvous weight.
     pub fn detectors(&self, service: &str, data_centre: &str) -> Vec<Arc<str>> {
         let mut detectors = highest(self.of_centre(data_centre), service, LOCAL_DETECTORS);
         if self.members.len() <= SMALL_FLEET {
