--- a/crates/decide/src/fingerprint.rs
+++ b/crates/decide/src/fingerprint.rs
@@ -1,11 +1,11 @@
-//! What makes two requests the same one, asked again.
+//! Fingerprints, by which a request that is sent again is recognized.
 
 use std::fmt;
 
-/// The identity of a request's content between boxes, the same in every process and version.
+/// A hash of a request's content that is the same in every box, process and version.
 ///
-/// It is taken by a cryptographic hash: of a weaker one a hostile caller could make a request
-/// that is taken for another caller's.
+/// It is computed with a cryptographic hash. With a weaker one, a hostile caller could make a request that has
+/// the fingerprint of another caller's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u64);
 
--- a/crates/decide/src/flaps.rs
+++ b/crates/decide/src/flaps.rs
@@ -1,15 +1,15 @@
-//! How often something was ejected lately, and how long it stays out for it.
+//! The number of recent ejections of a target, and the back-off that follows from it.
 
 use std::time::Duration;
 
 use crate::time::TimePoint;
 
-/// Time without a new ejection after which one earlier ejection is forgotten.
-const FLAP_MEMORY: Duration = Duration::from_secs(600);
-/// Doublings at most, far beyond any longest back-off.
-const MOST_DOUBLINGS: u32 = 16;
+/// Time since the last ejection after which one ejection is no longer counted.
+const FORGET_INTERVAL: Duration = Duration::from_secs(600);
+/// Maximum number of doublings of the back-off. It exceeds any configured upper bound long before.
+const MAX_DOUBLINGS: u32 = 16;
 
-/// Ejections that are not yet forgotten.
+/// The number of ejections that are still counted.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct FlapCount {
     count: u32,
@@ -17,30 +17,30 @@
 }
 
 impl FlapCount {
-    /// Counts one more ejection. `least` is what another part has counted.
-    pub(crate) fn record(&mut self, now: TimePoint, least: u32) {
-        self.count = least.max(self.remembered(now) + 1);
+    /// Counts one more ejection. `min` is the count of another component, below which the result is not set.
+    pub(crate) fn record(&mut self, now: TimePoint, min: u32) {
+        self.count = min.max(self.remembered(now) + 1);
         self.last = now;
     }
 
-    /// Takes over what another part has counted for the same ejection.
-    pub(crate) fn raise(&mut self, least: u32) {
-        self.count = self.count.max(least);
+    /// Raises the count to `min`, the count of another component for the same ejection.
+    pub(crate) fn raise(&mut self, min: u32) {
+        self.count = self.count.max(min);
     }
 
-    /// How many they are.
+    /// Returns the number of ejections.
     pub(crate) fn count(&self) -> u32 {
         self.count
     }
 
-    /// How long the last ejection lasts: `first`, doubled for each one before it.
-    pub(crate) fn backoff(&self, first: Duration, most: Duration) -> Duration {
-        let doublings = self.count.saturating_sub(1).min(MOST_DOUBLINGS);
-        first.saturating_mul(1 << doublings).min(most)
+    /// Returns the duration of the last ejection: `first`, doubled for each earlier one, up to `max`.
+    pub(crate) fn backoff(&self, first: Duration, max: Duration) -> Duration {
+        let doublings = self.count.saturating_sub(1).min(MAX_DOUBLINGS);
+        first.saturating_mul(1 << doublings).min(max)
     }
 
     fn remembered(&self, now: TimePoint) -> u32 {
-        let forgotten = now.since(self.last).as_secs() / FLAP_MEMORY.as_secs();
+        let forgotten = now.since(self.last).as_secs() / FORGET_INTERVAL.as_secs();
         self.count.saturating_sub(u32::try_from(forgotten).unwrap_or(u32::MAX))
     }
 }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,11 +1,10 @@
-//! The decision core: who is failing, who gets the next request, what is
+//! The decision core: which targets are failing, which target gets the next request, and which requests are
 //! retried, queued or refused.
 //!
-//! There is no I/O here, no thread, no clock and no global state. Time and the
-//! seed of the random source are handed in, events come in, commands go out, and
-//! the same events give the same commands. The proxy drives [`BoxCore`], the
-//! agent drives [`OutlierDetector`], the measurements drive both; nothing decides
-//! beside them.
+//! The core does no I/O and has no threads, no clock and no global state. The caller passes in the time, the
+//! seed of the random source and events, and receives commands; the same events always give the same
+//! commands. The proxy drives [`BoxCore`], the agent drives [`OutlierDetector`], and the benchmarks drive
+//! both. No decision is made anywhere else.
 
 pub mod budget;
 pub mod core;
--- a/crates/decide/src/self_check.rs
+++ b/crates/decide/src/self_check.rs
@@ -1,18 +1,22 @@
-//! Whether this box fails rather than its targets.
+//! Detection of a fault in this box itself, rather than in its targets.
 
 use std::time::Duration;
 
 use crate::time::TimePoint;
 
+/// Half-life of the weight of past attempts.
 const HALF_LIFE: Duration = Duration::from_secs(3);
-const LEAST_ATTEMPTS: f64 = 20.0;
-const SICK_RATE: f64 = 0.8;
-const WELL_RATE: f64 = 0.4;
+/// Minimum number of recent attempts for a suspicion.
+const MIN_ATTEMPTS: f64 = 20.0;
+/// Share of failed attempts above which the box suspects itself.
+const SUSPECT_RATE: f64 = 0.8;
+/// Share of failed attempts at or below which the suspicion ends.
+const TRUST_RATE: f64 = 0.4;
 
-/// The share of this box's attempts that failed lately, over all services.
+/// The share of this box's recent attempts that failed, over all services.
 ///
-/// It only raises a suspicion: whether other boxes fail as well, so that it is
-/// the targets and not the box, is known to the agent.
+/// It only raises a suspicion. The agent decides, since it has the data of other boxes: if their attempts fail
+/// as well, the targets are at fault and not this box.
 #[derive(Debug, Default)]
 pub(crate) struct SelfCheck {
     attempts: f64,
@@ -22,13 +26,13 @@
 }
 
 impl SelfCheck {
-    /// Counts an attempt.
+    /// Counts an attempt that ended.
     pub(crate) fn record(&mut self, failed: bool) {
         self.attempts += 1.0;
         self.failed += f64::from(u8::from(failed));
     }
 
-    /// Forgets what time has passed over, and says what changed.
+    /// Decays the counts, and returns whether the box suspects itself if that has changed.
     pub(crate) fn tick(&mut self, now: TimePoint) -> Option<bool> {
         let age = now.since(self.decayed).as_secs_f64() / HALF_LIFE.as_secs_f64();
         let factor = (-age).exp2();
@@ -37,10 +41,10 @@
         self.decayed = now;
         let rate = self.failed / self.attempts.max(1.0);
         let suspected = if self.suspected {
-            // With nothing to go by it is not held sick for ever.
-            rate > WELL_RATE
+            // No minimum of attempts applies here, so that the suspicion also ends without any.
+            rate > TRUST_RATE
         } else {
-            self.attempts >= LEAST_ATTEMPTS && rate > SICK_RATE
+            self.attempts >= MIN_ATTEMPTS && rate > SUSPECT_RATE
         };
         let changed = suspected != self.suspected;
         self.suspected = suspected;
--- a/crates/decide/src/sketch.rs
+++ b/crates/decide/src/sketch.rs
@@ -1,42 +1,43 @@
-//! A histogram of latencies that forgets: four buckets to the factor of two.
+//! A decaying histogram of latencies with four buckets per octave (factor of two).
 
 use std::time::Duration;
 
 use crate::time::TimePoint;
 
-/// Number of buckets: 64 µs to about half an hour.
+/// Number of buckets, which cover 64 µs to about 18 minutes.
 pub const BUCKETS: usize = 96;
+/// Lower bound of the first bucket, in microseconds.
 const FIRST_MICROS: f64 = 64.0;
 const BUCKETS_PER_OCTAVE: f64 = 4.0;
-/// Age alone does not take the memory below this.
-const KEPT: f32 = 60.0;
+/// Total below which the counts do not decay.
+const MIN_DECAYED_TOTAL: f32 = 60.0;
 
-/// The number of a latency's bucket.
+/// The index of a bucket of the histogram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LatencyBucket(pub u8);
 
 impl LatencyBucket {
-    /// The bucket of `latency`.
+    /// Returns the bucket of `latency`.
     pub fn of(latency: Duration) -> LatencyBucket {
         let micros = (latency.as_micros() as f64).max(FIRST_MICROS);
-        let number = (micros / FIRST_MICROS).log2() * BUCKETS_PER_OCTAVE;
-        LatencyBucket(number.min((BUCKETS - 1) as f64) as u8)
+        let index = (micros / FIRST_MICROS).log2() * BUCKETS_PER_OCTAVE;
+        LatencyBucket(index.min((BUCKETS - 1) as f64) as u8)
     }
 
-    /// The longest latency in the bucket.
+    /// Returns the upper bound of the bucket.
     pub fn upper(self) -> Duration {
         let octaves = (f64::from(self.0) + 1.0) / BUCKETS_PER_OCTAVE;
         Duration::from_micros((FIRST_MICROS * octaves.exp2()) as u64)
     }
 
-    /// The bucket `octaves` factors of two further up.
+    /// Returns the bucket that is `octaves` octaves higher.
     pub fn raised(self, octaves: f64) -> LatencyBucket {
-        let number = f64::from(self.0) + octaves * BUCKETS_PER_OCTAVE;
-        LatencyBucket(number.min((BUCKETS - 1) as f64) as u8)
+        let index = f64::from(self.0) + octaves * BUCKETS_PER_OCTAVE;
+        LatencyBucket(index.min((BUCKETS - 1) as f64) as u8)
     }
 }
 
-/// Counts per bucket, halved after each half-life.
+/// Counts for each bucket, which decay with a half-life.
 #[derive(Debug, Clone)]
 pub struct LatencySketch {
     counts: Box<[f32; BUCKETS]>,
@@ -46,65 +47,66 @@
 }
 
 impl LatencySketch {
-    /// An empty sketch.
+    /// Returns an empty sketch.
     pub fn new(half_life: Duration) -> LatencySketch {
         let counts = Box::new([0.0; BUCKETS]);
         LatencySketch { counts, total: 0.0, half_life, decayed: TimePoint::default() }
     }
 
-    /// Adds `count` latencies of `bucket`.
+    /// Adds `count` latencies to `bucket`.
     pub fn add(&mut self, bucket: LatencyBucket, count: u32) {
         let index = usize::from(bucket.0).min(BUCKETS - 1);
         self.counts[index] += count as f32;
         self.total += count as f32;
     }
 
-    /// Forgets what time has passed over.
+    /// Decays the counts by the time that has passed since the last decay.
     pub fn decay(&mut self, now: TimePoint) {
         let age = now.since(self.decayed);
-        // Often enough for any quantile, seldom enough to cost nothing.
+        // An eighth of the half-life keeps quantiles accurate at negligible cost.
         if age < self.half_life / 8 {
             return;
         }
-        let aged = (-age.as_secs_f64() / self.half_life.as_secs_f64()).exp2() as f32;
-        // A service that is seldom asked keeps what little is known of it.
-        let factor = aged.max((KEPT / self.total.max(KEPT)).min(1.0));
+        let decay = (-age.as_secs_f64() / self.half_life.as_secs_f64()).exp2() as f32;
+        // A service with few requests keeps its few samples.
+        let factor = decay.max((MIN_DECAYED_TOTAL / self.total.max(MIN_DECAYED_TOTAL)).min(1.0));
         self.counts.iter_mut().for_each(|count| *count *= factor);
         self.total *= factor;
         self.decayed = now;
     }
 
-    /// How much is remembered.
+    /// Returns the sum of the decayed counts.
     pub fn total(&self) -> f32 {
         self.total
     }
 
-    /// The share of the latencies that are longer than `latency`, spread evenly over the
-    /// octaves of the bucket that it falls into; `None` when empty.
+    /// Returns the share of latencies that are longer than `latency`; `None` if the sketch is empty. Within the
+    /// bucket of `latency`, the latencies are assumed to be spread evenly on the logarithmic scale.
     pub fn share_above(&self, latency: Duration) -> Option<f64> {
         if self.total < 0.5 {
             return None;
         }
         let micros = (latency.as_micros() as f64).max(FIRST_MICROS);
-        let place = ((micros / FIRST_MICROS).log2() * BUCKETS_PER_OCTAVE).min(BUCKETS as f64);
-        let bucket = place as usize;
-        let later: f32 = self.counts.iter().skip(bucket + 1).sum();
-        let here = self.counts.get(bucket).copied().unwrap_or_default();
-        let rest = f64::from(here) * (1.0 - place.fract());
-        Some(((f64::from(later) + rest) / f64::from(self.total)).clamp(0.0, 1.0))
+        let position = ((micros / FIRST_MICROS).log2() * BUCKETS_PER_OCTAVE).min(BUCKETS as f64);
+        let bucket = position as usize;
+        let above: f32 = self.counts.iter().skip(bucket + 1).sum();
+        let in_bucket = self.counts.get(bucket).copied().unwrap_or_default();
+        let partial = f64::from(in_bucket) * (1.0 - position.fract());
+        Some(((f64::from(above) + partial) / f64::from(self.total)).clamp(0.0, 1.0))
     }
 
-    /// The bucket below which a share `q` of the latencies lies; `None` when empty.
+    /// Returns the lowest bucket at or below which a share `q` of the latencies lies; `None` if the sketch is
+    /// empty.
     pub fn quantile(&self, q: f64) -> Option<LatencyBucket> {
         if self.total < 0.5 {
             return None;
         }
-        let wanted = self.total * q as f32;
+        let threshold = self.total * q as f32;
         let mut sum = 0.0;
-        for (number, count) in self.counts.iter().enumerate() {
+        for (index, count) in self.counts.iter().enumerate() {
             sum += count;
-            if sum >= wanted {
-                return Some(LatencyBucket(number as u8));
+            if sum >= threshold {
+                return Some(LatencyBucket(index as u8));
             }
         }
         Some(LatencyBucket((BUCKETS - 1) as u8))
--- a/crates/decide/src/steer/ledger.rs
+++ b/crates/decide/src/steer/ledger.rs
@@ -1,63 +1,62 @@
 //! The retry budget that boxes share.
 //!
-//! The bound holds for all boxes together, over a sliding window. A share fixed for each
-//! box wastes most of it: a box gets one request a second, and failures come to a few at
-//! a time. So boxes of a data centre tell each other what they got and what they sent
-//! again in the last window, and each counts all of it. They tell sums and no steps: a
-//! message that is lost is made good by the next one, and a box that has just come, or
-//! was not heard for a while, knows at once what the others have spent. A box that hears
-//! nobody has its own requests and a small share of the slack, so the sum stays below the
-//! bound however boxes are cut off.
+//! The bound applies to all boxes together, over a sliding window. A fixed share for each box would waste
+//! most of it: a box gets about one request per second, and failures reach a few boxes at a time. So the
+//! boxes of a data centre report to each other how many requests and retries they had in the last window, and
+//! each box adds them up. They report totals instead of increments: the next message makes up for one that
+//! was lost, and a box that has just started, or received nothing for a while, has the complete state at
+//! once. A box that receives no reports has its own requests and a small share of the slack, so the total
+//! stays below the bound however the network is partitioned.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use crate::time::TimePoint;
 
-/// Length of a part of the window: how exactly old counts are dropped.
-const PART: Duration = Duration::from_millis(500);
-/// Part of the bound that is used: what peers did in the last moments is not known yet.
+/// Length of one interval of the window: the resolution with which old counts expire.
+const INTERVAL: Duration = Duration::from_millis(500);
+/// Part of the bound that is used. The rest allows for retries of peers that were not reported yet.
 const USED_PART: f64 = 0.85;
-/// Requests of a peer that was silent for this long earn nothing more: it may be cut off
-/// and use them itself. A box tells with each request, and gets about one a second.
-const SILENT_AFTER: Duration = Duration::from_secs(2);
+/// Time without a report after which a peer's requests no longer add to the budget: it may be partitioned
+/// from this box and spend that budget itself. A box reports with each request, about once a second.
+const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(2);
 
-/// Bounds on retries of all boxes together.
+/// Bounds on the retries of all boxes together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBounds {
-    /// Retries for each request, 0 to 1.
+    /// Retries allowed for each request, 0 to 1.
     pub share: f64,
-    /// Retries ahead of that.
+    /// Retries allowed in addition to that within the window, whatever the number of requests.
     pub slack: f64,
-    /// The window in which both count.
+    /// Length of the sliding window over which requests and retries are counted.
     pub window: Duration,
 }
 
-/// What a box got and sent again of one service within the last window.
+/// Requests and retries that a box counted for one service within the last window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct RetryCounts {
-    /// Requests.
+    /// Requests that the box received.
     pub requests: u32,
-    /// Sends beyond the first of a request.
+    /// Sends beyond the first one of a request.
     pub retries: u32,
-    /// Retries of boxes that the teller heard of within the window and hears no more. A
-    /// box that took the place of one of them would not know of them.
+    /// Retries of boxes that reported to the sender within the window and have become unresponsive. A box
+    /// that replaced one of them would not have received these counts.
     pub unresponsive_retries: u32,
 }
 
-/// The tallies of one service over the window.
+/// Counts of one service over the window.
 #[derive(Debug, Default)]
 pub struct RetryLedger {
-    parts: VecDeque<WindowPart>,
-    /// What each peer told last, by its incarnation.
+    intervals: VecDeque<WindowInterval>,
+    /// Last report of each peer and when it was received, by the peer's incarnation.
     peers: HashMap<u64, (RetryCounts, TimePoint)>,
-    /// Whether this box did something that it has not told yet.
-    untold: bool,
+    /// Whether this box has counted anything since its last report.
+    has_unreported: bool,
 }
 
-/// What this box did in a part of the window.
+/// Counts of this box in one interval of the window.
 #[derive(Debug)]
-struct WindowPart {
+struct WindowInterval {
     since: TimePoint,
     requests: u32,
     retries: u32,
@@ -66,79 +65,80 @@
 impl RetryLedger {
     /// Counts a request of this box.
     pub fn record_request(&mut self, now: TimePoint) {
-        self.part(now).requests += 1;
-        self.untold = true;
+        self.current_interval(now).requests += 1;
+        self.has_unreported = true;
     }
 
     /// Counts a retry of this box.
     pub fn record_retry(&mut self, now: TimePoint) {
-        self.part(now).retries += 1;
-        self.untold = true;
+        self.current_interval(now).retries += 1;
+        self.has_unreported = true;
     }
 
-    /// Takes what the peer of that incarnation told.
-    pub fn record_peer(&mut self, now: TimePoint, peer: u64, tally: RetryCounts) {
-        self.peers.insert(peer, (tally, now));
+    /// Stores the report of the peer with the incarnation `peer`, in place of its previous one.
+    pub fn record_peer(&mut self, now: TimePoint, peer: u64, counts: RetryCounts) {
+        self.peers.insert(peer, (counts, now));
     }
 
-    /// What this box tells its peers, if it did something since it last told. Of services
-    /// that rest nothing is told again and again: a large fleet has hundreds of them.
+    /// Returns the report of this box to its peers, if it counted anything since the last one. Idle services
+    /// are not reported again, since a large fleet has hundreds of them.
     pub fn take_unreported(&mut self, now: TimePoint, window: Duration) -> Option<RetryCounts> {
-        let untold = std::mem::take(&mut self.untold);
-        untold.then(|| self.own_counts(now, window))
+        let has_unreported = std::mem::take(&mut self.has_unreported);
+        has_unreported.then(|| self.own_counts(now, window))
     }
 
-    /// What this box did within the window, and what silent boxes did.
+    /// Returns the counts of this box within the window, and the retries of unresponsive boxes.
     pub fn own_counts(&mut self, now: TimePoint, window: Duration) -> RetryCounts {
-        self.forget_old(now, window);
-        let silent = self.peers.values().filter(|(_, told)| is_silent(now, *told));
+        self.expire(now, window);
+        let unresponsive =
+            self.peers.values().filter(|(_, received)| is_unresponsive(now, *received));
         RetryCounts {
-            requests: self.parts.iter().map(|part| part.requests).sum(),
-            retries: self.parts.iter().map(|part| part.retries).sum(),
-            unresponsive_retries: silent.map(|(tally, _)| tally.retries).sum(),
+            requests: self.intervals.iter().map(|interval| interval.requests).sum(),
+            retries: self.intervals.iter().map(|interval| interval.retries).sum(),
+            unresponsive_retries: unresponsive.map(|(counts, _)| counts.retries).sum(),
         }
     }
 
-    /// Whether one more retry is within the bounds, for a box that hears `heard` boxes of
-    /// `all`, itself counted in both.
+    /// Whether one more retry is within the bounds, for a box that receives the reports of `reporting` of
+    /// `all` boxes, itself included in both numbers.
     pub fn allows(
         &mut self,
         now: TimePoint,
         bounds: &RetryBounds,
-        heard: usize,
+        reporting: usize,
         all: usize,
     ) -> bool {
         let own = self.own_counts(now, bounds.window);
         let (mut requests, mut retries) = (own.requests, own.retries);
-        let mut silent = own.unresponsive_retries;
-        for (tally, told) in self.peers.values() {
-            if !is_silent(now, *told) {
-                requests = requests.saturating_add(tally.requests);
-                retries = retries.saturating_add(tally.retries);
-                silent = silent.max(tally.unresponsive_retries);
+        let mut unresponsive = own.unresponsive_retries;
+        for (counts, received) in self.peers.values() {
+            if !is_unresponsive(now, *received) {
+                requests = requests.saturating_add(counts.requests);
+                retries = retries.saturating_add(counts.retries);
+                unresponsive = unresponsive.max(counts.unresponsive_retries);
             }
         }
-        let slack = bounds.slack * heard as f64 / all.max(heard).max(1) as f64;
-        let most = bounds.share * f64::from(requests) + slack;
-        f64::from(retries) + f64::from(silent) + 1.0 <= most * USED_PART
+        let slack = bounds.slack * reporting as f64 / all.max(reporting).max(1) as f64;
+        let max = bounds.share * f64::from(requests) + slack;
+        f64::from(retries) + f64::from(unresponsive) + 1.0 <= max * USED_PART
     }
 
-    fn part(&mut self, now: TimePoint) -> &mut WindowPart {
-        if self.parts.back().is_none_or(|part| now.since(part.since) >= PART) {
-            self.parts.push_back(WindowPart { since: now, requests: 0, retries: 0 });
+    fn current_interval(&mut self, now: TimePoint) -> &mut WindowInterval {
+        if self.intervals.back().is_none_or(|last| now.since(last.since) >= INTERVAL) {
+            self.intervals.push_back(WindowInterval { since: now, requests: 0, retries: 0 });
         }
-        self.parts.back_mut().expect("one was just put there")
+        self.intervals.back_mut().expect("an interval was just added")
     }
 
-    fn forget_old(&mut self, now: TimePoint, window: Duration) {
-        let old = |part: &WindowPart| now.since(part.since) >= window + PART;
-        while self.parts.front().is_some_and(old) {
-            self.parts.pop_front();
+    fn expire(&mut self, now: TimePoint, window: Duration) {
+        let is_expired = |interval: &WindowInterval| now.since(interval.since) >= window + INTERVAL;
+        while self.intervals.front().is_some_and(is_expired) {
+            self.intervals.pop_front();
         }
-        self.peers.retain(|_, (_, told)| now.since(*told) < window + PART);
+        self.peers.retain(|_, (_, received)| now.since(*received) < window + INTERVAL);
     }
 }
 
-fn is_silent(now: TimePoint, told: TimePoint) -> bool {
-    now.since(told) >= SILENT_AFTER
+fn is_unresponsive(now: TimePoint, received: TimePoint) -> bool {
+    now.since(received) >= UNRESPONSIVE_AFTER
 }
--- a/crates/decide/src/steer/messages.rs
+++ b/crates/decide/src/steer/messages.rs
@@ -1,4 +1,4 @@
-//! What goes into the choice of a target and what comes out of it.
+//! Inputs and results of the choice of a target, and of the attempts that follow it.
 
 use std::time::Duration;
 
@@ -9,51 +9,51 @@
 use crate::steer::mechanism::MechanismSet;
 use crate::steer::open::OpenAge;
 
-/// How the core is set.
+/// Settings of the [`SteerCore`](crate::steer::SteerCore).
 #[derive(Debug, Clone)]
 pub struct SteerSetup {
-    /// This box's data centre.
+    /// Data centre of this box.
     pub data_centre: Name,
-    /// What a kilobyte to or from another data centre costs, in worth of requests.
+    /// Cost of a kilobyte that crosses to or from another data centre, in units of the value of one request.
     pub cross_cost: f64,
     /// Bounds on the retries of all boxes together.
     pub retries: RetryBounds,
-    /// Seeds the random choices.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// Parts of the pick that are switched off, for measurements.
+    /// Mechanisms of the choice that are in use; measurements switch some of them off.
     pub mechanisms: MechanismSet,
 }
 
-/// What a choice is made for.
+/// The request for which a target is chosen.
 #[derive(Debug, Clone)]
 pub struct SteerRequest<'a> {
-    /// The service.
+    /// Name of the service.
     pub service: &'a str,
-    /// The route that led there.
+    /// Route by which the request reached the service.
     pub route: &'a str,
-    /// Whether it may run more than once, and another attempt is left.
+    /// Whether the request may run more than once and another attempt is allowed.
     pub repeatable: bool,
-    /// Whether its answer is large.
+    /// Whether a large answer is expected.
     pub large: bool,
-    /// Bytes of its body.
+    /// Size of the request's body in bytes.
     pub body_bytes: usize,
-    /// The time within which its answer is worth most.
+    /// Time within which the answer has its full value; a later answer is worth less.
     pub goal: Duration,
-    /// The time that is left for it.
+    /// Time until the request's deadline.
     pub remaining: Duration,
-    /// Targets that were tried for it.
+    /// Targets that have already been tried for the request.
     pub tried: &'a [TargetKey],
-    /// The regions that it may be served in.
+    /// Regions in which the request may be served.
     pub homes: HomeRegions<'a>,
 }
 
 /// The regions that a request may be served in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum HomeRegions<'a> {
-    /// All of them.
+    /// Every region.
     #[default]
     Any,
-    /// These alone; with none it can't be served at all.
+    /// Only these regions. If there are none, the request can't be served at all.
     Only(&'a [Name]),
 }
 
@@ -67,41 +67,41 @@
     }
 }
 
-/// A chosen target, with what decided it.
+/// A chosen target, with the estimates that the choice was based on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SteerPick {
-    /// The target.
+    /// Identity of the target between boxes.
     pub key: TargetKey,
-    /// Its instance's name, which the target checks.
+    /// Name of the target's instance, which is sent with the request and checked by the target.
     pub id: Name,
-    /// Its address.
+    /// Address at which the target listens.
     pub address: Name,
-    /// Its data centre.
+    /// Data centre of the target.
     pub data_centre: Name,
-    /// How likely the attempt was taken to fail, 0 to 1.
+    /// Estimated probability that the attempt fails, 0 to 1.
     pub risk: f64,
-    /// Requests that it was taken to hold.
+    /// Estimated number of requests that the target is working on or has queued.
     pub busy: f64,
-    /// Whether it is a suspect that is tried again.
+    /// Whether the attempt is a trial of a target that got no request for a while.
     pub trial: bool,
-    /// The limit over all boxes that it has: nothing may be sent there without a permit.
+    /// Limit of the target over all boxes. If there is one, the attempt needs a permit.
     pub limit: Option<RequestRate>,
-    /// Whether it is cold, and has that limit while it is.
+    /// Whether the target is cold, so that a limit applies until it is warm.
     pub is_cold: bool,
 }
 
-/// What a retry is for. The budget is one for all, and some uses are worth more.
+/// The purpose of a retry. All uses share one budget, and some are worth more than others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryUse {
-    /// The attempt before it failed or was refused: without a retry the request is lost.
+    /// A further attempt after one that failed or was refused. Without it the request is lost.
     Repeat,
-    /// A second attempt beside one that is open for long, which may still answer.
+    /// A second attempt beside one that has been open for long and may still be answered.
     Hedge,
 }
 
 impl RetryUse {
-    /// The part of the budget that is there for it. What hedges leave is for requests that
-    /// are lost for certain without a retry.
+    /// Returns the share of the budget that this use may take. Hedges leave a part for requests that are
+    /// certainly lost without a retry.
     pub(crate) fn budget_share(self) -> f64 {
         match self {
             RetryUse::Repeat => 1.0,
@@ -110,99 +110,99 @@
     }
 }
 
-/// Why there is no choice.
+/// The reason why no target was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PickError {
-    /// The service has no target that takes work, or each was tried.
+    /// The service has no eligible target, or each one has been tried.
     NoTarget,
-    /// All targets of the service have said that they want nothing, or no more than they get: the
-    /// first of them for this long yet.
+    /// All targets of the service asked the box to back off or have used up their limits. The first of them
+    /// is eligible again after this time.
     BackingOff(Duration),
-    /// Each target is so full that the request can't be answered in time.
+    /// The queue of each target is so long that the request can't be answered in time.
     Overloaded,
-    /// Requests queue at each target, and this one has time to spare: it had better look
-    /// again soon, and let those pass that have little.
+    /// Requests queue at each target, and this request has time to spare. The caller should try again soon,
+    /// so that requests with less time go first.
     Saturated,
 }
 
-/// How an attempt ended, as far as it tells of the target.
+/// The outcome of an attempt, as far as it is evidence about the target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SteerOutcome {
-    /// A whole answer that speaks well of it, after this time.
+    /// A complete answer without a sign of failure arrived after this time.
     Good(Duration),
-    /// A whole answer that says that it failed.
+    /// A complete answer reported a failure.
     Failed,
-    /// No whole answer came back.
+    /// No complete answer arrived.
     Incomplete,
-    /// The request's time was over while it was open.
+    /// The request's deadline passed while the attempt was open.
     DeadlineExceeded,
-    /// The target refused before it ran anything.
+    /// The target refused the request before it ran anything.
     Shed,
-    /// The connection did not come up.
+    /// No connection to the target could be established.
     ConnectFailed,
-    /// Another target listens at the address.
+    /// Another instance listens at the target's address.
     WrongTarget,
-    /// Dropped by us, for reasons of our own.
+    /// This box cancelled the attempt for reasons that have nothing to do with the target.
     Cancelled,
 }
 
-/// What the end of an attempt, or its age, told of its target.
+/// The effect of an attempt's end, or of its age, on the estimates about its target.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct AttemptEffect {
-    /// Whether it counts as stalled, which peers should hear.
+    /// Whether the attempt counts as stalled. This is to be reported to peers.
     pub stalled: bool,
-    /// The time of a good answer without its wait, in multiples of what is usual for its
-    /// route, if that is known.
+    /// Ratio of a good answer's time, without the wait for a slot, to the typical time of its route, if that
+    /// is known.
     pub latency_ratio: Option<f64>,
-    /// The change if the target became a suspect by it, or is none any more.
+    /// The change, if the target became a suspect or stopped being one.
     pub change: Option<SuspicionChange>,
 }
 
-/// What a target says of its load.
+/// The load that a target reports in an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that it works on or that wait there.
+    /// Number of requests that the target is working on or has queued.
     pub held: u32,
-    /// Requests that it works on at once.
+    /// Number of requests that the target works on at once.
     pub slots: u32,
 }
 
-/// What some boxes saw of one target since they last told.
+/// Observations of one target that a peer reports: all since its last report.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct PeerSample {
-    /// Attempts that went well.
+    /// Number of successful attempts.
     pub good: u32,
-    /// Attempts that failed.
+    /// Number of failed attempts.
     pub bad: u32,
-    /// Attempts that are open for too long.
+    /// Number of attempts that have been open for longer than nearly all.
     pub overdue: u32,
-    /// Mean time of the good ones without their wait, in multiples of what is usual for
-    /// their routes, if it is known.
+    /// Mean ratio of the time of the successful attempts, without the wait for a slot, to the typical time
+    /// of their routes, if it is known.
     pub latency_ratio: Option<f64>,
-    /// What the target last said it holds.
+    /// Number of requests that the target was working on or had queued, as it last reported.
     pub held: Option<u32>,
-    /// Attempts that the peer has open there now. `None` from one that does not tell this box
-    /// all that it sees, but of failures and hardly of successes.
+    /// Number of attempts that the peer has open at the target. `None` from a peer that sends this box no full
+    /// reports: its reports contain failures and hardly any successes.
     pub open: Option<u32>,
-    /// Those of them whose age tells of the target.
+    /// Ages of the open attempts whose age is evidence about the target.
     pub informative: Vec<OpenAge>,
 }
 
-/// A target became a suspect, or is none any more.
+/// The event that a target became a suspect or stopped being one.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SuspicionChange {
-    /// The target.
+    /// Name of the target.
     pub id: Name,
-    /// Its service.
+    /// Service of the target.
     pub service: Name,
-    /// How likely the next attempt is to fail, 0 to 1.
+    /// Estimated probability that the next attempt fails, 0 to 1.
     pub risk: f64,
-    /// Whether it is a suspect now.
+    /// Whether the target is a suspect now.
     pub suspect: bool,
 }
 
 impl SteerOutcome {
-    /// What it says about failing, if it says anything by itself.
+    /// Returns the outcome as a sample for the failure estimate, if it is evidence by itself.
     pub(crate) fn as_sample(self) -> Option<OutcomeSample> {
         match self {
             SteerOutcome::Good(_) => Some(OutcomeSample::Good),
--- a/crates/decide/src/steer/notices.rs
+++ b/crates/decide/src/steer/notices.rs
@@ -1,4 +1,5 @@
-//! The core's part of notices: taking them, and telling what they keep out.
+//! The part of [`SteerCore`] that applies notices of targets and reports which targets they exclude from
+//! selection.
 
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
 use crate::time::TimePoint;
 
 impl SteerCore {
-    /// Takes what a target's answer to this box says of it.
+    /// Applies the notice in a target's answer to this box; returns what is new by it.
     pub fn record_notice(
         &mut self,
         now: TimePoint,
@@ -26,23 +27,23 @@
         }
     }
 
-    /// Takes a peer's word that a target has said that it leaves; returns whether that is new.
+    /// Records that a target is draining, as a peer reported; returns whether that is new.
     pub fn record_draining(&mut self, now: TimePoint, key: TargetKey) -> bool {
         self.record_notice(now, key, &TargetNotice { draining: true, backoff: None }).draining
     }
 
-    /// Takes what a target's answer to a request of this box, sent at `asked`, says of its limit.
+    /// Applies the limit in a target's answer to a request that this box sent at `sent_at`.
     pub fn receive_limit(
         &mut self,
         now: TimePoint,
         key: TargetKey,
-        asked: TimePoint,
-        said: LimitUpdate,
+        sent_at: TimePoint,
+        update: LimitUpdate,
     ) -> Option<LimitChange> {
-        self.change_limit(now, key, |notices| notices.receive_limit(now, asked, said))
+        self.change_limit(now, key, |notices| notices.receive_limit(now, sent_at, update))
     }
 
-    /// Takes what a peer tells of a target's limit that heard it `age` ago; `None` for the end of one.
+    /// Merges a target's limit that a peer received `age` ago. The rate is `None` if the limit was lifted.
     pub fn merge_limit(
         &mut self,
         now: TimePoint,
@@ -53,60 +54,60 @@
         self.change_limit(now, key, |notices| notices.merge_limit(now, rate, age))
     }
 
-    /// What a listed target said last of its limit.
+    /// Returns the last limit report of a listed target.
     pub fn limit_report(&self, key: TargetKey) -> Option<LimitReport> {
         self.pool_of(key)?[key].notices.limit_report()
     }
 
-    /// The limit of a target over all boxes, if it has one now, by its own word or since it is cold.
+    /// Returns the limit of a target over all boxes: the one that it reported, or the one that applies while
+    /// it is cold.
     pub fn limit(&self, now: TimePoint, key: TargetKey) -> Option<RequestRate> {
         self.pool_of(key)?[key].limit(now)
     }
 
-    /// The limit of a target that is cold; `None` if it is not, or not known.
+    /// Returns the limit that applies to a target while it is cold; `None` if it is not cold or not listed.
     pub fn cold_rate(&self, now: TimePoint, key: TargetKey) -> Option<RequestRate> {
         self.pool_of(key)?[key].cold_rate(now)
     }
 
-    /// Takes a peer's word that a target is cold and takes `rate` from all boxes together.
+    /// Records that a target is cold and accepts `rate` from all boxes together, as a peer reported.
     pub fn record_cold(&mut self, now: TimePoint, key: TargetKey, rate: RequestRate) {
         if let Some(record) = self.record_mut(key) {
             record.record_cold(now, rate);
         }
     }
 
-    /// Whether operators want nothing sent to a target's data centre.
+    /// Whether operators have evacuated a target's data centre.
     pub fn is_evacuated(&self, key: TargetKey) -> bool {
         self.pool_of(key).is_some_and(|pool| pool[key].is_evacuated())
     }
 
-    /// Notes that there is no permit for a target until then.
+    /// Records that no permit for the target is available before `until`.
     pub fn record_no_permit_until(&mut self, key: TargetKey, until: TimePoint) {
         if let Some(record) = self.record_mut(key) {
             record.record_no_permit_until(until);
         }
     }
 
-    /// The listed targets that have a limit now, with what they said last of it.
+    /// Returns the listed targets that reported a limit that is in force, with the report.
     pub fn limited_targets(&self) -> impl Iterator<Item = (TargetKey, LimitReport)> {
         let records = self.pools.values().flat_map(|pool| pool.all_records());
-        let words = records.filter_map(|record| Some((record, record.notices.limit_report()?)));
-        let limited = words.filter(|(_, word)| word.rate.is_some());
-        limited.map(|(record, word)| (record.setup.key(), word))
+        let reports = records.filter_map(|record| Some((record, record.notices.limit_report()?)));
+        let limited = reports.filter(|(_, report)| report.rate.is_some());
+        limited.map(|(record, report)| (record.setup.key(), report))
     }
 
-    /// A target's name, if it is listed.
+    /// Returns the name of a listed target.
     pub fn target_name(&self, key: TargetKey) -> Option<&Name> {
         Some(&self.pool_of(key)?[key].setup.id)
     }
 
-    /// The data centre of a listed target.
+    /// Returns the data centre of a listed target.
     pub fn data_centre_of(&self, key: TargetKey) -> Option<Name> {
         Some(self.pool_of(key)?[key].setup.data_centre.clone())
     }
 
-    /// Whether a target in the regions `homes` could be chosen for a request of `service` beside those
-    /// that were tried.
+    /// Whether a target of `service` in the regions `homes`, other than those in `tried`, is eligible.
     pub fn has_eligible_target(
         &self,
         now: TimePoint,
@@ -118,24 +119,25 @@
         pool.is_some_and(|pool| pool.eligible_targets(now, tried, homes).next().is_some())
     }
 
-    /// Why a target wants nothing at `now`, by its own word; `None` if it does, or is not known.
+    /// Returns the reason why a target must not be sent requests at `now`, by its own notices; `None` if there
+    /// is no such reason or the target is not listed.
     pub fn ineligibility(&self, now: TimePoint, key: TargetKey) -> Option<Ineligibility> {
         self.pool_of(key)?[key].notices.ineligibility(now)
     }
 
-    /// What is left out of each choice among the targets of `service`.
+    /// Counts the targets of `service` that are excluded from selection at `now`.
     pub fn excluded(&self, now: TimePoint, service: &str) -> ExcludedTargets {
         let pool = self.pools.get(service);
         let records = pool.into_iter().flat_map(|pool| pool.all_records());
-        count(now, records)
+        count_excluded(now, records)
     }
 
-    /// The same over all services.
+    /// Counts the targets of all services that are excluded from selection at `now`.
     pub fn all_excluded(&self, now: TimePoint) -> ExcludedTargets {
-        count(now, self.pools.values().flat_map(|pool| pool.all_records()))
+        count_excluded(now, self.pools.values().flat_map(|pool| pool.all_records()))
     }
 
-    /// Counts `time`, which the clock did not, into what is left of rests.
+    /// Shortens back-offs and waits for permits by `time`, which passed without being counted by the clock.
     pub fn advance_clocks(&mut self, time: Duration) {
         for pool in self.pools.values_mut() {
             pool.all_records_mut().for_each(|record| record.advance_clocks(time));
@@ -147,33 +149,36 @@
         &mut self,
         now: TimePoint,
         key: TargetKey,
-        take: impl FnOnce(&mut NoticeState) -> Option<LimitChange>,
+        apply: impl FnOnce(&mut NoticeState) -> Option<LimitChange>,
     ) -> Option<LimitChange> {
         let Some(record) = self.record_mut(key) else {
-            return self.unlisted.update(now, key, take);
+            return self.unlisted.update(now, key, apply);
         };
-        let change = take(&mut record.notices)?;
+        let change = apply(&mut record.notices)?;
         record.clear_permit_wait();
         Some(change)
     }
 }
 
-fn count<'a>(now: TimePoint, records: impl Iterator<Item = &'a TargetRecord>) -> ExcludedTargets {
-    let mut out = ExcludedTargets::default();
+fn count_excluded<'a>(
+    now: TimePoint,
+    records: impl Iterator<Item = &'a TargetRecord>,
+) -> ExcludedTargets {
+    let mut excluded = ExcludedTargets::default();
     for record in records {
         if record.is_replaced() {
-            out.replaced += 1;
+            excluded.replaced += 1;
             continue;
         }
         if record.is_evacuated() {
-            out.evacuated += 1;
+            excluded.evacuated += 1;
             continue;
         }
         match record.notices.ineligibility(now) {
-            Some(Ineligibility::Draining(_)) => out.draining += 1,
-            Some(Ineligibility::BackingOff { .. }) => out.backing_off += 1,
-            None => out.limited += usize::from(record.permit_wait(now).is_some()),
+            Some(Ineligibility::Draining(_)) => excluded.draining += 1,
+            Some(Ineligibility::BackingOff { .. }) => excluded.backing_off += 1,
+            None => excluded.limited += usize::from(record.permit_wait(now).is_some()),
         }
     }
-    out
+    excluded
 }
--- a/crates/decide/src/steer/relay.rs
+++ b/crates/decide/src/steer/relay.rs
@@ -1,46 +1,46 @@
-//! How news of failing targets reaches the boxes of other data centres.
+//! Relaying of updates about failing targets to the boxes of other data centres.
 //!
-//! Load pattern: some hundred failures a second over all boxes, each of interest to each box, where bytes
-//! between data centres are dear. With a datagram to each box elsewhere what crosses grows with the
-//! square of the boxes. So a box tells two boxes of each other data centre, and these tell the others
-//! of theirs, where bytes cost nothing: two, since one may be dead and nobody know it yet. Each
-//! piece of news has a number, by which a box drops what it has heard already: counted twice, one
-//! failure would weigh as two.
+//! All boxes together see some hundred failures per second, each of interest to every box, and traffic between
+//! data centres is expensive. If each box sent a datagram to every remote box, the traffic between data
+//! centres would grow with the square of the number of boxes. So a box sends each update to two boxes of each
+//! other data centre, and these relay it to the others of theirs, where traffic costs nothing. It sends to
+//! two, since one may have failed without having been detected yet. Each update has a number, by which a box
+//! drops updates that it has already received: counted twice, one failure would weigh as two.
 
 use std::collections::HashMap;
 
-/// Boxes of another data centre that are told, to tell the others of theirs.
+/// Number of boxes of each other data centre that receive an update and relay it within their data centre.
 pub const RELAYS: usize = 2;
-/// Numbers that are remembered below the newest one of a sender.
-const REMEMBERED: u64 = 64;
-/// Senders that are remembered; news of those that are forgotten may count twice.
-const SENDERS: usize = 4096;
+/// Number of update numbers below the newest one of a sender for which duplicates are detected.
+const DUPLICATE_WINDOW: u64 = 64;
+/// Maximum number of senders that are tracked. Updates of a sender that was dropped may count twice.
+const MAX_SENDERS: usize = 4096;
 
-/// Which news of which sender were heard.
+/// Detects updates that were received before, by sender and number.
 #[derive(Debug, Default)]
 pub struct DuplicateFilter {
-    /// The newest number, and a bit for each one below it.
-    heard: HashMap<u64, (u64, u64)>,
+    /// The newest number of each sender, and a bit for each of the numbers up to it.
+    received: HashMap<u64, (u64, u64)>,
 }
 
 impl DuplicateFilter {
-    /// Notes the news `number` of the incarnation `sender`; returns whether they are new.
+    /// Records the update `number` of the incarnation `sender`; returns whether it is new.
     pub fn insert(&mut self, sender: u64, number: u64) -> bool {
-        if self.heard.len() >= SENDERS && !self.heard.contains_key(&sender) {
-            self.heard.clear();
+        if self.received.len() >= MAX_SENDERS && !self.received.contains_key(&sender) {
+            self.received.clear();
         }
-        let (newest, bits) = self.heard.entry(sender).or_insert((number, 0));
+        let (newest, bits) = self.received.entry(sender).or_insert((number, 0));
         if number > *newest {
             let shift = number - *newest;
-            *bits = if shift >= REMEMBERED { 0 } else { *bits << shift };
+            *bits = if shift >= DUPLICATE_WINDOW { 0 } else { *bits << shift };
             *newest = number;
         }
-        let below = *newest - number;
-        if below >= REMEMBERED {
-            // Too old to tell; it has been told by others long since.
+        let distance = *newest - number;
+        if distance >= DUPLICATE_WINDOW {
+            // Too old to be tracked: it has almost certainly been received from another relay.
             return false;
         }
-        let bit = 1 << below;
+        let bit = 1 << distance;
         let is_new = *bits & bit == 0;
         *bits |= bit;
         is_new
--- a/crates/decide/src/steer/subset.rs
+++ b/crates/decide/src/steer/subset.rs
@@ -1,11 +1,12 @@
-//! The few targets that a data centre keeps to where a service has many more than its requests need.
+//! The target subset that a data centre uses where a service has many more targets than its requests need.
 //!
-//! Load pattern: six thousand targets get a thousand requests a second, one in six seconds each. Spread over
-//! all of them nobody ever knows anything of a target: a spell of failures is over before a second request
-//! comes. So the boxes of a data centre keep to as many of its targets as their requests need with room to
-//! spare, the same in each box without any word between them: the first by their keys, which are hashes. What
-//! one box sees of a target then serves the next request of another one, and one that fails is left out
-//! for the next by its key.
+//! With six thousand targets and a thousand requests per second, each target gets one request in six seconds.
+//! Spread over all of them, the boxes never have current data about any target: a failure episode is over
+//! before a second request reaches the target. So the boxes of a data centre use only as many of its targets
+//! as their requests need, with a reserve. Each box takes the first eligible targets in the order of their
+//! keys. The keys are hashes and the same in each box, so all boxes choose the same targets without
+//! communication. What one box observes of a target then serves the next request of another box, and a
+//! target that fails is replaced by the next one in the order.
 
 use std::time::Duration;
 
@@ -17,51 +18,55 @@
 use crate::steer::trial::TrialContext;
 use crate::time::TimePoint;
 
-/// Targets that are kept to have this many times the slots that requests of the service take on average:
-/// requests come unevenly, and boxes know each other's by hearsay.
-const ROOM: f64 = 6.0;
-/// No fewer targets are kept to: so many lose little by one that fails.
-const LEAST: usize = 40;
-/// Where the requests of this time are more than so many times the targets, they go to all of them: spread
-/// evenly they reach seven in ten within it, which operators ask for while many requests fail.
-const REACH_TIME: Duration = Duration::from_secs(2);
-const REACH: f64 = 1.2;
-/// A target that failed is left out of those for this long. There are others, and one that has failed fails
-/// again sooner than one of which nothing is known.
-const LEFT_OUT_FOR: Duration = Duration::from_secs(30);
+/// Ratio of the subset's slots to the slots that requests of the service take on average. The reserve is for
+/// bursts of requests, and for the error of a box's estimate of the other boxes' requests.
+const SLOT_RESERVE: f64 = 6.0;
+/// Minimum size of the subset. With this many targets, the failure of one affects few requests.
+const MIN_SUBSET_SIZE: usize = 40;
+/// Period over which [`MIN_REQUESTS_PER_TARGET`] counts. Operators require that in any period of this length
+/// with many failures a minimum share of the healthy targets gets requests.
+const REACH_PERIOD: Duration = Duration::from_secs(2);
+/// Requests for each target within [`REACH_PERIOD`] from which on the service uses all targets. Evenly spread,
+/// they then reach 70 % of the targets in that period.
+const MIN_REQUESTS_PER_TARGET: f64 = 1.2;
+/// Time for which a target that failed is excluded from the subset. Other targets are available, and a target
+/// that has failed fails again sooner than one about which nothing is known.
+const FAILURE_EXCLUSION: Duration = Duration::from_secs(30);
 
-/// The targets that a request may go to of those that are kept to; `None` where the data centre has no more
-/// than its requests need, or where each of them has requests waiting.
+/// Returns the targets of the subset that are eligible for the request. Returns `None` if the data centre has
+/// no more targets than its requests need, or if each target of the subset has requests waiting; then all
+/// targets are candidates.
 pub(crate) fn target_subset<'p>(
     now: TimePoint,
     pool: &'p TargetPool,
     request: &SteerRequest<'_>,
-    place: &TrialContext<'_>,
+    context: &TrialContext<'_>,
 ) -> Option<Vec<(TargetKey, &'p TargetRecord)>> {
-    if !place.mechanisms.has(Mechanism::TargetSubset) {
+    if !context.mechanisms.has(Mechanism::TargetSubset) {
         return None;
     }
-    let rate = pool.request_rate(now) * place.local_boxes as f64;
-    let listed = pool.target_count_in(place.data_centre) as f64;
-    let reaches_all = rate * REACH_TIME.as_secs_f64() >= listed * REACH;
+    let rate = pool.request_rate(now) * context.local_boxes as f64;
+    let listed = pool.target_count_in(context.data_centre) as f64;
+    let reaches_all = rate * REACH_PERIOD.as_secs_f64() >= listed * MIN_REQUESTS_PER_TARGET;
     if reaches_all {
         return None;
     }
     let needed = needed_targets(pool, rate);
-    let is_kept = |(_, record): &(TargetKey, &TargetRecord)| {
-        *record.setup.data_centre == *place.data_centre
-            && record.has_not_failed_for(now, LEFT_OUT_FOR)
+    let in_subset = |(_, record): &(TargetKey, &TargetRecord)| {
+        *record.setup.data_centre == *context.data_centre
+            && record.has_not_failed_for(now, FAILURE_EXCLUSION)
     };
-    let open = pool.eligible_targets(now, request.tried, request.homes);
-    let kept: Vec<_> = open.filter(is_kept).take(needed).collect();
-    let usual = pool.typical_time();
-    let has_room = |(_, record): &(TargetKey, &TargetRecord)| record.wait(now, usual).is_zero();
-    (kept.len() >= needed && kept.iter().any(has_room)).then_some(kept)
+    let eligible = pool.eligible_targets(now, request.tried, request.homes);
+    let subset: Vec<_> = eligible.filter(in_subset).take(needed).collect();
+    let typical = pool.typical_time();
+    let has_free_slot =
+        |(_, record): &(TargetKey, &TargetRecord)| record.wait(now, typical).is_zero();
+    (subset.len() >= needed && subset.iter().any(has_free_slot)).then_some(subset)
 }
 
-/// How many targets `rate` requests a second need.
+/// Returns the number of targets that `rate` requests per second need.
 fn needed_targets(pool: &TargetPool, rate: f64) -> usize {
     let slots = f64::from(pool.typical_slots().max(1));
-    let needed = rate * pool.typical_time().as_secs_f64() / slots * ROOM;
-    (needed.ceil() as usize).max(LEAST)
+    let needed = rate * pool.typical_time().as_secs_f64() / slots * SLOT_RESERVE;
+    (needed.ceil() as usize).max(MIN_SUBSET_SIZE)
 }
--- a/crates/decide/src/steer/unlisted.rs
+++ b/crates/decide/src/steer/unlisted.rs
@@ -1,5 +1,5 @@
-//! Notices of targets that are not listed: entries lapse while the store is away and come back, and
-//! a target may answer before its box has it listed.
+//! Notices of targets that are not listed. Entries of the listing expire while the store is unreachable and
+//! return later, and a target may answer before the box has received its entry.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,16 +8,17 @@
 use crate::steer::notice::{NoticeChange, NoticeState, TargetNotice};
 use crate::time::TimePoint;
 
-/// A target that is not listed for so long does not come back under the same life: entries that
-/// lapse return within seconds.
-const KEPT_FOR: Duration = Duration::from_secs(600);
-/// Targets that are remembered at most, some 64 bytes each; of more, those that were listed last.
-const KEPT: usize = 1024;
+/// Time after which a target that is not listed is assumed not to return under the same incarnation. Expired
+/// entries return within seconds.
+const RETENTION: Duration = Duration::from_secs(600);
+/// Maximum number of targets that are kept, at some 64 bytes each. Beyond this, the targets that have been
+/// unlisted for longest are dropped.
+const MAX_TARGETS: usize = 1024;
 
-/// What targets said that are not listed now.
+/// Notices of targets that are not listed now.
 #[derive(Debug, Default)]
 pub(crate) struct UnlistedNotices {
-    kept: HashMap<TargetKey, UnlistedTarget>,
+    targets: HashMap<TargetKey, UnlistedTarget>,
 }
 
 #[derive(Debug)]
@@ -27,16 +28,16 @@
 }
 
 impl UnlistedNotices {
-    /// Keeps what a target said that is listed no more.
+    /// Stores the notices of a target that is not listed any more.
     pub(crate) fn store(&mut self, now: TimePoint, key: TargetKey, notices: NoticeState) {
         if notices.is_empty() {
             return;
         }
         self.make_room(now);
-        self.kept.insert(key, UnlistedTarget { notices, since: now });
+        self.targets.insert(key, UnlistedTarget { notices, since: now });
     }
 
-    /// Takes a notice of a target that is not listed.
+    /// Applies a notice of a target that is not listed.
     pub(crate) fn apply(
         &mut self,
         now: TimePoint,
@@ -46,38 +47,38 @@
         self.update(now, key, |notices| notices.apply(now, notice))
     }
 
-    /// Changes what a target has said that is not listed.
+    /// Changes the notices of a target that is not listed, and returns the result of `update`.
     pub(crate) fn update<T>(
         &mut self,
         now: TimePoint,
         key: TargetKey,
-        take: impl FnOnce(&mut NoticeState) -> T,
+        update: impl FnOnce(&mut NoticeState) -> T,
     ) -> T {
         let mut notices = self.take(key);
-        let change = take(&mut notices);
+        let change = update(&mut notices);
         self.store(now, key, notices);
         change
     }
 
-    /// What a target said that is listed now.
+    /// Removes and returns the notices of a target, which is listed now.
     pub(crate) fn take(&mut self, key: TargetKey) -> NoticeState {
-        self.kept.remove(&key).map(|unlisted| unlisted.notices).unwrap_or_default()
+        self.targets.remove(&key).map(|target| target.notices).unwrap_or_default()
     }
 
-    /// Ends rests sooner by `time`, which the clock did not count.
+    /// Ends back-offs earlier by `time`, which passed without being counted by the clock.
     pub(crate) fn advance_clocks(&mut self, time: Duration) {
-        self.kept.values_mut().for_each(|unlisted| unlisted.notices.advance_clocks(time));
+        self.targets.values_mut().for_each(|target| target.notices.advance_clocks(time));
     }
 
     fn make_room(&mut self, now: TimePoint) {
-        if self.kept.len() < KEPT {
+        if self.targets.len() < MAX_TARGETS {
             return;
         }
-        self.kept.retain(|_, unlisted| now.since(unlisted.since) < KEPT_FOR);
-        let oldest = self.kept.iter().min_by_key(|(_, unlisted)| unlisted.since);
-        let oldest = oldest.map(|(key, _)| *key).filter(|_| self.kept.len() >= KEPT);
+        self.targets.retain(|_, target| now.since(target.since) < RETENTION);
+        let oldest = self.targets.iter().min_by_key(|(_, target)| target.since);
+        let oldest = oldest.map(|(key, _)| *key).filter(|_| self.targets.len() >= MAX_TARGETS);
         if let Some(key) = oldest {
-            self.kept.remove(&key);
+            self.targets.remove(&key);
         }
     }
 }
--- a/crates/decide/src/time.rs
+++ b/crates/decide/src/time.rs
@@ -1,30 +1,30 @@
-//! Points in time, handed in by the driver.
+//! Points in time, which the caller of the core passes in.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// Microseconds since a start that the driver chose.
+/// A point in time, as microseconds since an origin that the caller chose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct TimePoint(u64);
 
 impl TimePoint {
-    /// The point `micros` microseconds after the start.
+    /// Returns the point `micros` microseconds after the origin.
     pub const fn from_micros(micros: u64) -> TimePoint {
         TimePoint(micros)
     }
 
-    /// Microseconds since the start.
+    /// Returns the microseconds since the origin.
     pub fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The point `duration` earlier, or the start if that is before it.
+    /// Returns the point `duration` earlier, but no earlier than the origin.
     pub fn before(self, duration: Duration) -> TimePoint {
         let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         TimePoint(self.0.saturating_sub(micros))
     }
 
-    /// The time since `earlier`, or zero if that is later.
+    /// Returns the time since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: TimePoint) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
