--- a/crates/gateway/src/policies.rs
+++ b/crates/gateway/src/policies.rs
@@ -59,13 +59,13 @@
             RouteKind::AtMostOnce | RouteKind::Upload => &self.at_most_once,
             RouteKind::Download => &self.download,
         };
-        let offer = RouteDefaults {
+        let defaults = RouteDefaults {
             service: service.clone(),
             timeout: route.timeout.clamp(LEAST_TIME, MOST_TIME),
-            attempts: route.attempts.clamp(1, MOST_ATTEMPTS),
+            max_attempts: route.attempts.clamp(1, MOST_ATTEMPTS),
             priority: TOP_PRIORITY.saturating_sub(priority) as u8,
         };
-        program.plan(view(start, caller).with_route_defaults(offer))
+        program.plan(view(start, caller).with_route_defaults(defaults))
     }
 }
 
--- a/crates/gateway/src/requests/mod.rs
+++ b/crates/gateway/src/requests/mod.rs
@@ -160,7 +160,8 @@
     }
 
     fn pick(&mut self, left: Duration) -> Result<SteerPick, PickError> {
-        let repeatable = self.plan.policy.repeatable && self.runs + 1 < self.plan.policy.attempts;
+        let repeatable =
+            self.plan.policy.repeatable && self.runs + 1 < self.plan.policy.max_attempts;
         let request = SteerRequest {
             service: &self.plan.service,
             route: &self.plan.route.name,
@@ -246,7 +247,7 @@
     fn pick_hedge(&mut self) -> Option<SteerPick> {
         // A long body that was not held can't go to two targets.
         let allowed =
-            self.runs + self.open < self.plan.policy.attempts && self.outgoing.rest.is_none();
+            self.runs + self.open < self.plan.policy.max_attempts && self.outgoing.rest.is_none();
         // Two targets at once would be lost before the first one tells.
         let is_clear =
             self.context.crashes.verdict(self.outgoing.fingerprint) == CrashVerdict::Clear;
@@ -387,7 +388,7 @@
         if self.runs > 0 && !self.plan.policy.repeatable {
             return Some("it may run once only");
         }
-        if self.runs >= self.plan.policy.attempts {
+        if self.runs >= self.plan.policy.max_attempts {
             return Some("its attempts are used up");
         }
         if self.outgoing.is_spent() {
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,8 +1,9 @@
 //! An HTTP client for the platform's and the operators' end points: one request per
 //! connection, with bounded time. The path to targets has its own client, in the proxy.
 //!
-//! A response of unknown length is bounded by an idle timeout rather than by a total time:
-//! aborting a transfer that still makes progress would only cause all of it to be sent again.
+//! [`CallLimits`] separates an idle timeout from the total one, for responses whose length is
+//! not known beforehand: aborting a transfer that makes progress would only cause all of it to
+//! be sent again.
 
 use std::time::Duration;
 
--- a/crates/http/tests/raw_messages.rs
+++ b/crates/http/tests/raw_messages.rs
@@ -1,199 +1,207 @@
-//! Raw messages: where they end, and what is kept of them.
+//! Raw messages: detection of their end, and the headers and bytes that are kept.
 
 use async_std::task;
 use futures::io::Cursor;
 use wingbridge_http::raw::{BodyDecoder, BodyLength, RawReader, RawRequestHead, RawResponseHead};
 
-struct AnswerCase {
+struct ResponseCase {
     name: &'static str,
     method: &'static str,
     bytes: &'static str,
-    /// Status and body, or nothing if the answer can't be taken for whole.
-    wanted: Option<(u16, &'static str)>,
+    /// Status and body; `None` if the response is rejected.
+    expected: Option<(u16, &'static str)>,
 }
 
-const ANSWERS: &[AnswerCase] = &[
-    AnswerCase {
+const RESPONSES: &[ResponseCase] = &[
+    ResponseCase {
         name: "known length",
         method: "GET",
         bytes: "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
-        wanted: Some((200, "abc")),
+        expected: Some((200, "abc")),
     },
-    AnswerCase {
-        name: "cut short of its length",
+    ResponseCase {
+        name: "shorter than its length",
         method: "GET",
         bytes: "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc",
-        wanted: None,
+        expected: None,
     },
-    AnswerCase {
-        name: "no length, closed in order",
+    ResponseCase {
+        name: "no length, closed by the peer",
         method: "GET",
         bytes: "HTTP/1.1 200 OK\r\n\r\nabc",
-        wanted: Some((200, "abc")),
+        expected: Some((200, "abc")),
     },
-    AnswerCase {
+    ResponseCase {
         name: "chunks with extension and trailers",
         method: "GET",
         bytes: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nab\r\n1\r\nc\r\n0\r\nA: b\r\n\r\n",
-        wanted: Some((200, "abc")),
+        expected: Some((200, "abc")),
     },
-    AnswerCase {
-        name: "chunks without their end",
+    ResponseCase {
+        name: "chunks without the last chunk",
         method: "GET",
         bytes: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
-        wanted: None,
+        expected: None,
     },
-    AnswerCase {
-        name: "a chunk longer than it says",
+    ResponseCase {
+        name: "chunk longer than its size",
         method: "GET",
         bytes: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n0\r\n\r\n",
-        wanted: None,
+        expected: None,
     },
-    AnswerCase {
-        name: "interim answer first",
+    ResponseCase {
+        name: "interim response first",
         method: "POST",
         bytes: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 0\r\n\r\n",
-        wanted: Some((201, "")),
+        expected: Some((201, "")),
     },
-    AnswerCase {
-        name: "HEAD announces a length that does not follow",
+    ResponseCase {
+        name: "HEAD has a length and no body",
         method: "HEAD",
         bytes: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n",
-        wanted: Some((200, "")),
+        expected: Some((200, "")),
     },
-    AnswerCase {
-        name: "two lengths",
+    ResponseCase {
+        name: "two different lengths",
         method: "GET",
         bytes: "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nabc",
-        wanted: None,
+        expected: None,
     },
-    AnswerCase {
-        name: "length and chunks",
+    ResponseCase {
+        name: "length and chunked coding",
         method: "GET",
         bytes: "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-        wanted: None,
+        expected: None,
     },
-    AnswerCase {
-        name: "a length that is no number",
+    ResponseCase {
+        name: "length with a sign",
         method: "GET",
         bytes: "HTTP/1.1 200 OK\r\nContent-Length: +3\r\n\r\nabc",
-        wanted: None,
+        expected: None,
     },
-    AnswerCase { name: "no answer at all", method: "GET", bytes: "", wanted: None },
-    AnswerCase { name: "noise", method: "GET", bytes: "\u{1}\u{2}\u{3} 200\r\n\r\n", wanted: None },
-    AnswerCase {
-        name: "lines that end without a carriage return",
+    ResponseCase { name: "empty input", method: "GET", bytes: "", expected: None },
+    ResponseCase {
+        name: "noise",
+        method: "GET",
+        bytes: "\u{1}\u{2}\u{3} 200\r\n\r\n",
+        expected: None,
+    },
+    ResponseCase {
+        name: "line ends without a carriage return",
         method: "GET",
         bytes: "HTTP/1.1 200 OK\nContent-Length: 3\n\nabc",
-        wanted: Some((200, "abc")),
+        expected: Some((200, "abc")),
     },
-    AnswerCase {
-        name: "another protocol",
+    ResponseCase {
+        name: "protocol upgrade",
         method: "GET",
         bytes: "HTTP/1.1 101 Switching Protocols\r\n\r\n",
-        wanted: None,
+        expected: None,
     },
 ];
 
 #[test]
-fn answers_end_where_they_say_or_are_not_whole() {
-    for case in ANSWERS {
+fn incomplete_and_ambiguous_responses_are_rejected() {
+    for case in RESPONSES {
         let read = task::block_on(read_response(case.bytes.as_bytes(), case.method));
-        let wanted = case.wanted.map(|(status, body)| (status, body.as_bytes().to_vec()));
-        assert_eq!(read, wanted, "{}", case.name);
+        let expected = case.expected.map(|(status, body)| (status, body.as_bytes().to_vec()));
+        assert_eq!(read, expected, "{}", case.name);
     }
 }
 
 async fn read_response(bytes: &[u8], method: &str) -> Option<(u16, Vec<u8>)> {
     let mut reader = RawReader::new(Cursor::new(bytes.to_vec()));
-    let start: RawResponseHead = reader.read_response_head(method, 8192).await.ok()?;
-    let mut decoder = BodyDecoder::new(start.length);
+    let head: RawResponseHead = reader.read_response_head(method, 8192).await.ok()?;
+    let mut decoder = BodyDecoder::new(head.length);
     let mut body = Vec::new();
     while !decoder.is_done() {
         reader.read_body(&mut decoder, &mut body).await.ok()?;
     }
-    Some((start.status, body))
+    Some((head.status, body))
 }
 
 struct RequestCase {
     name: &'static str,
     bytes: &'static str,
-    /// Path, length and whether the caller closes; or nothing if it is refused.
-    wanted: Option<(&'static str, BodyLength, bool)>,
+    /// Path, length and whether the caller closes; `None` if the request is rejected.
+    expected: Option<(&'static str, BodyLength, bool)>,
 }
 
 const REQUESTS: &[RequestCase] = &[
     RequestCase {
-        name: "query stays out of the path",
+        name: "path without the query",
         bytes: "GET /a/b?c=/d HTTP/1.1\r\nHost: h\r\n\r\n",
-        wanted: Some(("/a/b", BodyLength::None, false)),
+        expected: Some(("/a/b", BodyLength::None, false)),
     },
     RequestCase {
-        name: "HTTP/1.0 closes",
+        name: "HTTP/1.0 closes the connection",
         bytes: "GET / HTTP/1.0\r\nHost: h\r\n\r\n",
-        wanted: Some(("/", BodyLength::None, true)),
+        expected: Some(("/", BodyLength::None, true)),
     },
     RequestCase {
         name: "chunked body",
         bytes: "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: Chunked\r\nConnection: x, Close\r\n\r\n",
-        wanted: Some(("/", BodyLength::Chunked, true)),
+        expected: Some(("/", BodyLength::Chunked, true)),
     },
     RequestCase {
-        name: "unknown coding",
+        name: "unknown transfer coding",
         bytes: "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
-        wanted: None,
+        expected: None,
     },
     RequestCase {
-        name: "two hosts",
+        name: "two Host headers",
         bytes: "GET / HTTP/1.1\r\nHost: h\r\nHost: i\r\n\r\n",
-        wanted: None,
+        expected: None,
     },
     RequestCase {
-        name: "no path",
+        name: "request target with a scheme",
         bytes: "GET http://h/ HTTP/1.1\r\nHost: h\r\n\r\n",
-        wanted: None,
+        expected: None,
     },
 ];
 
 #[test]
-fn requests_say_one_thing_or_are_refused() {
+fn ambiguous_request_heads_are_rejected() {
     for case in REQUESTS {
         let parsed = RawRequestHead::parse(case.bytes.as_bytes()).ok().flatten();
-        let read = parsed.as_ref().map(|(start, _)| (start.path(), start.length, start.closes));
-        assert_eq!(read, case.wanted, "{}", case.name);
+        let read = parsed.as_ref().map(|(head, _)| (head.path(), head.length, head.closes));
+        assert_eq!(read, case.expected, "{}", case.name);
     }
 }
 
 #[test]
-fn headers_of_one_connection_are_not_passed_on() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let bytes = b"GET / HTTP/1.1\r\nHost: h\r\nX-One: 1\r\nConnection: X-Two\r\nX-Two: 2\r\n\
         TE: trailers\r\nContent-Length: 0\r\nX-Own: 3\r\nX-Bytes: \xff\r\n\r\n";
-    let (start, _) = RawRequestHead::parse(bytes).expect("a request").expect("a whole one");
-    let passed = start.headers.forwarded(&["x-own"]);
-    let names: Vec<&str> = passed.iter().map(|field| field.name.as_str()).collect();
+    let (head, _) = RawRequestHead::parse(bytes).expect("valid head").expect("complete head");
+    let forwarded = head.headers.forwarded(&["x-own"]);
+    let names: Vec<&str> = forwarded.iter().map(|field| field.name.as_str()).collect();
     assert_eq!(names, ["Host", "X-One", "X-Bytes"]);
 }
 
 #[test]
-fn a_body_is_the_same_however_it_arrives() {
+fn chunked_body_decodes_alike_for_any_read_size() {
     let message = b"3\r\nabc\r\n10\r\n0123456789abcdef\r\n0\r\nT: x\r\n\r\nNEXT";
-    for step in 1..message.len() {
+    for size in 1..message.len() {
         let mut decoder = BodyDecoder::new(BodyLength::Chunked);
         let (mut input, mut body) = (Vec::new(), Vec::new());
-        for piece in message.chunks(step) {
+        for piece in message.chunks(size) {
             input.extend_from_slice(piece);
-            decoder.feed(&mut input, &mut body).expect("well formed");
+            decoder.feed(&mut input, &mut body).expect("valid chunked coding");
         }
-        assert!(decoder.is_done(), "in steps of {step}");
-        assert_eq!(body, b"abc0123456789abcdef", "in steps of {step}");
-        assert_eq!(input, b"NEXT", "what follows stays, in steps of {step}");
+        assert!(decoder.is_done(), "in pieces of {size} bytes");
+        assert_eq!(body, b"abc0123456789abcdef", "in pieces of {size} bytes");
+        assert_eq!(
+            input, b"NEXT",
+            "the next message stays in the input, in pieces of {size} bytes"
+        );
     }
 }
 
 #[test]
-fn a_head_over_the_limit_is_refused() {
+fn head_over_the_limit_is_rejected() {
     let bytes = format!("GET / HTTP/1.1\r\nHost: h\r\nX: {}\r\n\r\n", "x".repeat(500));
     let mut reader = RawReader::new(Cursor::new(bytes.into_bytes()));
-    let error = task::block_on(reader.read_request_head(200)).expect_err("it is too long");
+    let error = task::block_on(reader.read_request_head(200)).expect_err("head over the limit");
     assert_eq!(error.status(), 431);
 }
--- a/crates/http/tests/raw_answers.rs
+++ b/crates/http/tests/raw_responses.rs
@@ -1,4 +1,4 @@
-//! Answers as raw bytes: whole, passed on with their length known, or refused.
+//! Responses as raw bytes: which are accepted, with which body, and which are rejected.
 
 mod streams;
 
@@ -6,7 +6,7 @@
 
 use crate::streams::read_response;
 
-struct AnswerCase {
+struct ResponseCase {
     name: &'static str,
     method: &'static str,
     bytes: &'static [u8],
@@ -14,83 +14,83 @@
 }
 
 #[test]
-fn answers_are_whole_or_refused() {
-    let whole = |bytes: &[u8]| ResponseBody::Complete(bytes.to_vec());
+fn incomplete_and_ambiguous_responses_are_rejected() {
+    let complete = |bytes: &[u8]| ResponseBody::Complete(bytes.to_vec());
     let cases = [
-        AnswerCase {
+        ResponseCase {
             name: "plain",
             method: "GET",
             bytes: b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
-            expected: Ok((200, whole(b"abc"))),
+            expected: Ok((200, complete(b"abc"))),
         },
-        AnswerCase {
-            name: "short body",
+        ResponseCase {
+            name: "truncated body",
             method: "GET",
             bytes: b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
             expected: Err(ErrorKind::Truncated),
         },
-        AnswerCase {
-            name: "ends by closing",
+        ResponseCase {
+            name: "delimited by the close of the connection",
             method: "GET",
             bytes: b"HTTP/1.1 200 OK\r\n\r\nabc",
             expected: Err(ErrorKind::UnknownLength),
         },
-        AnswerCase {
-            name: "two lengths",
+        ResponseCase {
+            name: "two different lengths",
             method: "GET",
             bytes: b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nabc",
             expected: Err(ErrorKind::Malformed),
         },
-        AnswerCase {
-            name: "interim answers are passed over",
+        ResponseCase {
+            name: "interim responses are skipped",
             method: "GET",
             bytes: b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 1\r\n\r\na",
-            expected: Ok((201, whole(b"a"))),
+            expected: Ok((201, complete(b"a"))),
         },
-        AnswerCase {
-            name: "upgrade that nobody asked for",
+        ResponseCase {
+            name: "upgrade that was not requested",
             method: "GET",
             bytes: b"HTTP/1.1 101 Switching Protocols\r\n\r\n",
             expected: Err(ErrorKind::Malformed),
         },
-        AnswerCase {
+        ResponseCase {
             name: "HEAD has a length and no body",
             method: "HEAD",
             bytes: b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n",
             expected: Ok((200, ResponseBody::Absent(Some(99)))),
         },
-        AnswerCase {
+        ResponseCase {
             name: "204 has no body",
             method: "GET",
             bytes: b"HTTP/1.1 204 No Content\r\n\r\n",
             expected: Ok((204, ResponseBody::Absent(None))),
         },
-        AnswerCase {
-            name: "304 speaks of another body's length",
+        ResponseCase {
+            name: "304 has a length and no body",
             method: "GET",
             bytes: b"HTTP/1.1 304 Not Modified\r\nContent-Length: 5\r\n\r\n",
             expected: Ok((304, ResponseBody::Absent(Some(5)))),
         },
-        AnswerCase {
+        ResponseCase {
             name: "chunked",
             method: "GET",
             bytes: b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
-            expected: Ok((200, whole(b"ab"))),
+            expected: Ok((200, complete(b"ab"))),
         },
-        AnswerCase {
-            name: "chunked, cut",
+        ResponseCase {
+            name: "truncated chunked body",
             method: "GET",
             bytes: b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
             expected: Err(ErrorKind::Truncated),
         },
-        AnswerCase {
-            name: "closed before an answer",
+        ResponseCase {
+            name: "closed before a response",
             method: "GET",
             bytes: b"",
             expected: Err(ErrorKind::Truncated),
         },
-        AnswerCase {
-            name: "large: it waits, and its length is known",
+        ResponseCase {
+            name: "large body stays unread, with its length",
             method: "GET",
             bytes: b"HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\nabc",
             expected: Ok((200, ResponseBody::Unread(101))),
@@ -102,17 +102,17 @@
         ..MessageLimits::default()
     };
     for case in cases {
-        let answer = read_response(case.bytes, case.method, &limits);
-        let answer = answer.map(|answer| (answer.response.status() as u16, answer.body));
-        assert_eq!(answer.map_err(|error| error.kind()), case.expected, "case {}", case.name);
+        let result = read_response(case.bytes, case.method, &limits);
+        let result = result.map(|incoming| (incoming.response.status() as u16, incoming.body));
+        assert_eq!(result.map_err(|error| error.kind()), case.expected, "case {}", case.name);
     }
 }
 
 #[test]
-fn a_large_body_that_ends_early_is_an_error_and_not_an_end() {
+fn truncated_large_body_gives_an_error() {
     let bytes = b"HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\nabc";
     let limits = MessageLimits { max_body_bytes: 100, ..MessageLimits::default() };
-    let (read, error) = streams::read_waiting(bytes, &limits);
+    let (read, error) = streams::read_unread_body(bytes, &limits);
     assert_eq!(read, b"abc");
     assert_eq!(error, Some(std::io::ErrorKind::UnexpectedEof));
 }
--- a/crates/http/tests/streams/mod.rs
+++ b/crates/http/tests/streams/mod.rs
@@ -1,6 +1,6 @@
-//! Raw bytes through a connection on loopback.
+//! Helpers that send raw bytes over a loopback connection and read them as messages.
 
-#![allow(dead_code, reason = "each test file uses its part")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,13 +13,13 @@
     ResponseBody,
 };
 
-/// A reader at the other end of which `bytes` are written and the connection is closed.
+/// Returns a reader of a connection whose peer writes `bytes` and closes.
 async fn reader_of(bytes: &[u8]) -> MessageReader {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind loopback");
+    let address = listener.local_addr().expect("local address");
     let bytes = bytes.to_vec();
     task::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("a connection");
+        let (mut stream, _) = listener.accept().await.expect("accept a connection");
         stream.write_all(&bytes).await.expect("written");
     });
     MessageReader::new(TcpStream::connect(address).await.expect("connected"))
@@ -32,7 +32,7 @@
     task::block_on(async { reader_of(bytes).await.read_request(limits, async || Ok(())).await })
 }
 
-/// The bodies of all requests that are taken, and the kind of the refusal that ends them.
+/// Returns the bodies of all accepted requests, and the kind of the error that follows them.
 pub fn read_requests(bytes: &[u8], limits: &MessageLimits) -> (Vec<Vec<u8>>, Option<ErrorKind>) {
     task::block_on(async {
         let mut reader = reader_of(bytes).await;
@@ -47,9 +47,10 @@
     })
 }
 
-pub fn continues_asked(bytes: &[u8]) -> usize {
-    let asked = Arc::new(AtomicUsize::new(0));
-    let count = Arc::clone(&asked);
+/// Returns how many times `100 Continue` is requested while one request is read.
+pub fn continues_sent(bytes: &[u8]) -> usize {
+    let sent = Arc::new(AtomicUsize::new(0));
+    let count = Arc::clone(&sent);
     let read = async move {
         let limits = MessageLimits::default();
         let mut reader = reader_of(bytes).await;
@@ -57,10 +58,10 @@
             count.fetch_add(1, Ordering::SeqCst);
             Ok(())
         });
-        read.await.expect("a request")
+        read.await.expect("read the request")
     };
     task::block_on(read);
-    asked.load(Ordering::SeqCst)
+    sent.load(Ordering::SeqCst)
 }
 
 pub fn read_response(
@@ -71,12 +72,15 @@
     task::block_on(async { reader_of(bytes).await.read_response(method, limits).await })
 }
 
-/// What can be read of a body that waits, and the error that ends it.
-pub fn read_waiting(bytes: &[u8], limits: &MessageLimits) -> (Vec<u8>, Option<std::io::ErrorKind>) {
+/// Returns the bytes that can be read of a large body, and the error that ends it.
+pub fn read_unread_body(
+    bytes: &[u8],
+    limits: &MessageLimits,
+) -> (Vec<u8>, Option<std::io::ErrorKind>) {
     task::block_on(async {
         let mut reader = reader_of(bytes).await;
-        let answer = reader.read_response("GET", limits).await.expect("a head");
-        let ResponseBody::Unread(length) = answer.body else { panic!("it waits") };
+        let incoming = reader.read_response("GET", limits).await.expect("read the head");
+        let ResponseBody::Unread(length) = incoming.body else { panic!("the body was read") };
         let mut body = reader.into_body(length);
         let mut read = Vec::new();
         let result = body.read_to_end(&mut read).await;
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -1,4 +1,4 @@
-//! The bounded engine with what programs can say.
+//! The Rhai engine that runs policy programs, with its resource limits and registered functions.
 
 use std::time::Duration;
 
@@ -8,25 +8,27 @@
 use crate::plan::{PolicyDecision, PolicyPlan};
 use crate::request::{RequestView, RouteDefaults};
 
-const CALL_LEVELS: usize = 16;
-const EXPRESSION_DEPTH: usize = 32;
-const STRING_BYTES: usize = 16 * 1024;
-const COLLECTION_ITEMS: usize = 256;
-/// Longest deadline that a policy can give.
-const DEADLINE_MOST: Duration = Duration::from_secs(3600);
-const ATTEMPTS_MOST: i64 = 10;
+const MAX_CALL_LEVELS: usize = 16;
+const MAX_EXPRESSION_DEPTH: usize = 32;
+const MAX_STRING_BYTES: usize = 16 * 1024;
+/// Maximum number of items in an array or a map.
+const MAX_COLLECTION_ITEMS: usize = 256;
+/// Maximum deadline that a policy can set.
+const MAX_DEADLINE: Duration = Duration::from_secs(3600);
+/// Maximum number of attempts that a policy can set.
+const MAX_ATTEMPTS: i64 = 10;
 
-type Fallible<T> = Result<T, Box<EvalAltResult>>;
+type EvalResult<T> = Result<T, Box<EvalAltResult>>;
 
-/// An engine that runs policy programs and nothing else.
+/// Creates an engine that gives programs access to the request and nothing else.
 pub(crate) fn policy_engine() -> Engine {
     let mut engine = Engine::new();
     engine.set_max_operations(MAX_STEPS);
-    engine.set_max_call_levels(CALL_LEVELS);
-    engine.set_max_expr_depths(EXPRESSION_DEPTH, EXPRESSION_DEPTH);
-    engine.set_max_string_size(STRING_BYTES);
-    engine.set_max_array_size(COLLECTION_ITEMS);
-    engine.set_max_map_size(COLLECTION_ITEMS);
+    engine.set_max_call_levels(MAX_CALL_LEVELS);
+    engine.set_max_expr_depths(MAX_EXPRESSION_DEPTH, MAX_EXPRESSION_DEPTH);
+    engine.set_max_string_size(MAX_STRING_BYTES);
+    engine.set_max_array_size(MAX_COLLECTION_ITEMS);
+    engine.set_max_map_size(MAX_COLLECTION_ITEMS);
     engine.disable_symbol("eval");
     engine.disable_symbol("print");
     engine.disable_symbol("debug");
@@ -42,14 +44,15 @@
     engine.register_get("query", |request: &mut RequestView| request.query());
     engine.register_get("caller", |request: &mut RequestView| request.caller());
     engine.register_fn("header", |request: &mut RequestView, name: &str| request.header(name));
-    engine.register_get("offer", |request: &mut RequestView| request.offer());
+    engine.register_get("offer", |request: &mut RequestView| request.route_defaults());
     engine.register_type_with_name::<RouteDefaults>("Offer");
-    engine.register_get("service", |offer: &mut RouteDefaults| offer.service.to_string());
-    engine.register_get("millis", |offer: &mut RouteDefaults| {
-        i64::try_from(offer.timeout.as_millis()).unwrap_or(i64::MAX)
+    engine.register_get("service", |defaults: &mut RouteDefaults| defaults.service.to_string());
+    engine.register_get("millis", |defaults: &mut RouteDefaults| {
+        i64::try_from(defaults.timeout.as_millis()).unwrap_or(i64::MAX)
     });
-    engine.register_get("attempts", |offer: &mut RouteDefaults| i64::from(offer.attempts));
-    engine.register_get("priority", |offer: &mut RouteDefaults| i64::from(offer.priority));
+    engine
+        .register_get("attempts", |defaults: &mut RouteDefaults| i64::from(defaults.max_attempts));
+    engine.register_get("priority", |defaults: &mut RouteDefaults| i64::from(defaults.priority));
 }
 
 fn register_plan(engine: &mut Engine) {
@@ -57,43 +60,47 @@
     engine.register_fn("route", |service: &str| {
         PolicyDecision::Route(PolicyPlan::for_service(service))
     });
-    engine.register_fn("refuse", |status: i64, reason: &str| -> Fallible<PolicyDecision> {
+    engine.register_fn("refuse", |status: i64, reason: &str| -> EvalResult<PolicyDecision> {
         let status = u16::try_from(status).ok().filter(|status| (400..=599).contains(status));
         let status = status.ok_or("refuse: the status must be 400 to 599")?;
         Ok(PolicyDecision::Refuse { status, reason: reason.into() })
     });
     engine.register_fn("deadline", |decision: PolicyDecision, millis: i64| {
         let deadline = u64::try_from(millis).ok().map(Duration::from_millis);
-        let deadline = deadline.filter(|span| !span.is_zero() && *span <= DEADLINE_MOST);
+        let deadline = deadline.filter(|span| !span.is_zero() && *span <= MAX_DEADLINE);
         let deadline = deadline.ok_or("deadline: the milliseconds must be 1 to 3600000")?;
-        change(decision, |plan| plan.deadline = deadline)
+        update_plan(decision, |plan| plan.deadline = deadline)
     });
     engine.register_fn("repeatable", |decision: PolicyDecision| {
-        change(decision, |plan| plan.repeatable = true)
+        update_plan(decision, |plan| plan.repeatable = true)
     });
     engine.register_fn("attempts", |decision: PolicyDecision, attempts: i64| {
-        if !(1..=ATTEMPTS_MOST).contains(&attempts) {
+        if !(1..=MAX_ATTEMPTS).contains(&attempts) {
             return Err("attempts: must be 1 to 10".into());
         }
-        change(decision, |plan| plan.attempts = attempts as u32)
+        update_plan(decision, |plan| plan.max_attempts = attempts as u32)
     });
     engine.register_fn("priority", |decision: PolicyDecision, priority: i64| {
         let priority = u8::try_from(priority).map_err(|_| "priority: must be 0 to 255")?;
-        change(decision, |plan| plan.priority = priority)
+        update_plan(decision, |plan| plan.priority = priority)
     });
     engine.register_fn("caller_limit", |decision: PolicyDecision, limit: i64| {
         let limit = usize::try_from(limit).map_err(|_| "caller_limit: must be 0 or more")?;
-        change(decision, |plan| plan.caller_limit = limit)
+        update_plan(decision, |plan| plan.caller_limit = limit)
     });
     engine.register_fn("finish_without_caller", |decision: PolicyDecision| {
-        change(decision, |plan| plan.cancel_on_hangup = false)
+        update_plan(decision, |plan| plan.cancel_on_hangup = false)
     });
 }
 
-fn change(decision: PolicyDecision, set: impl FnOnce(&mut PolicyPlan)) -> Fallible<PolicyDecision> {
+/// Applies `update` to the plan of a route decision; fails for a refusal, which has no plan.
+fn update_plan(
+    decision: PolicyDecision,
+    update: impl FnOnce(&mut PolicyPlan),
+) -> EvalResult<PolicyDecision> {
     match decision {
         PolicyDecision::Route(mut plan) => {
-            set(&mut plan);
+            update(&mut plan);
             Ok(PolicyDecision::Route(plan))
         }
         PolicyDecision::Refuse { .. } => Err("only a route can be planned further".into()),
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,11 +1,11 @@
-//! Policy programs: short scripts that say how each kind of request is handled.
+//! Policy programs: short scripts that decide how each kind of request is handled.
 //!
 //! A program is written in Rhai and defines `fn plan(request)`, which returns
-//! `route("service")` with what else it wants to say, or `refuse(status, why)`.
-//! It is compiled and tried when it is submitted, runs within a bound on steps
-//! and sizes, and has no access to anything but the request. One that fails at
-//! run time gives a [`PolicyError`], which callers of this crate turn into "not
-//! run": the safe answer, since nothing has been sent anywhere.
+//! `route("service")`, optionally followed by settings such as `.attempts(3)`, or
+//! `refuse(status, reason)`. It is compiled and run on sample requests when it is submitted,
+//! runs within bounds on steps and sizes, and has access to nothing but the request. A failure
+//! at run time gives a [`PolicyError`], for which the callers of this crate report the request
+//! as not run. That is safe, since nothing has been sent to a target by then.
 
 mod engine;
 mod plan;
@@ -19,44 +19,44 @@
 pub use plan::{PolicyDecision, PolicyPlan};
 pub use request::{RequestView, RouteDefaults};
 
-/// Steps that one evaluation may take.
+/// Maximum number of Rhai operations of one evaluation.
 pub const MAX_STEPS: u64 = 20_000;
 
-/// A compiled and checked policy. Clones share it.
+/// A compiled and checked policy program. Clones share the compiled form.
 #[derive(Clone)]
 pub struct PolicyProgram {
     ast: Arc<AST>,
 }
 
 impl PolicyProgram {
-    /// Compiles a program, and tries it on requests of the usual methods.
+    /// Compiles a program and runs it on one sample request for each of the usual methods.
     ///
     /// # Errors
-    /// The program does not compile, has no `plan(request)`, or fails on one of
-    /// the requests it is tried on; with line and column.
+    /// The program does not compile, does not define `plan(request)`, or fails on one of the
+    /// sample requests. The error has line and column where Rhai gives them.
     pub fn compile(text: &str) -> Result<PolicyProgram, PolicyError> {
         let engine = shared_engine();
         let ast = engine
             .compile(text)
             .map_err(|error| PolicyError::at(error.position(), error.err_type().to_string()))?;
-        let planned = ast
+        let defines_plan = ast
             .iter_functions()
             .any(|function| function.name == "plan" && function.params.len() == 1);
-        if !planned {
+        if !defines_plan {
             return Err(PolicyError::at(Position::NONE, "it defines no 'fn plan(request)'".into()));
         }
         let program = PolicyProgram { ast: Arc::new(ast) };
         for method in ["GET", "HEAD", "POST", "PUT", "DELETE"] {
             let request = RequestView::new(method, "/", "", "caller", Vec::new());
-            program.plan(request).map_err(|fault| fault.on(method))?;
+            program.plan(request).map_err(|error| error.for_method(method))?;
         }
         Ok(program)
     }
 
-    /// What the policy says about a request.
+    /// Evaluates the program for a request.
     ///
     /// # Errors
-    /// The program failed, ran out of steps or returned something else.
+    /// The program failed, exceeded [`MAX_STEPS`] or returned something other than a decision.
     pub fn plan(&self, request: RequestView) -> Result<PolicyDecision, PolicyError> {
         let mut scope = Scope::new();
         let result =
@@ -71,14 +71,14 @@
     }
 }
 
-/// What is wrong with a program, and where.
+/// A failure of a policy program, with its position.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PolicyError {
-    /// Line, counted from 1, where known.
+    /// The line, counted from 1, where known.
     pub line: Option<usize>,
-    /// Column, counted from 1, where known.
+    /// The column, counted from 1, where known.
     pub column: Option<usize>,
-    /// What is wrong.
+    /// The cause of the failure, without the position.
     pub reason: String,
 }
 
@@ -89,15 +89,15 @@
 
     fn run_time(error: &EvalAltResult) -> PolicyError {
         let inner = innermost(error);
-        let mut bare = inner.to_string();
-        // The library appends the position, which stands in fields of its own here.
-        if let Some(end) = bare.find(" (line ") {
-            bare.truncate(end);
+        let mut reason = inner.to_string();
+        // Rhai appends the position, which has fields of its own here.
+        if let Some(end) = reason.find(" (line ") {
+            reason.truncate(end);
         }
-        PolicyError::at(inner.position(), bare)
+        PolicyError::at(inner.position(), reason)
     }
 
-    fn on(mut self, method: &str) -> PolicyError {
+    fn for_method(mut self, method: &str) -> PolicyError {
         self.reason = format!("{} (tried on {method} /)", self.reason);
         self
     }
@@ -117,12 +117,14 @@
 
 impl std::error::Error for PolicyError {}
 
-/// One engine for all programs: it is some hundred kilobytes, a program a few.
+/// Returns the engine that all programs share: an engine takes some hundred kilobytes of memory,
+/// a program a few.
 fn shared_engine() -> &'static Engine {
     static ENGINE: OnceLock<Engine> = OnceLock::new();
     ENGINE.get_or_init(engine::policy_engine)
 }
 
+/// Returns the error at the bottom of a chain of nested function calls.
 fn innermost(error: &EvalAltResult) -> &EvalAltResult {
     match error {
         EvalAltResult::ErrorInFunctionCall(_, _, inner, _) => innermost(inner),
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -1,51 +1,52 @@
-//! What a policy can decide.
+//! The decisions that a policy program can return.
 
 use std::time::Duration;
 
-const DEADLINE: Duration = Duration::from_secs(5);
-const ATTEMPTS: u32 = 2;
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(5);
+const DEFAULT_MAX_ATTEMPTS: u32 = 2;
 
-/// What becomes of a request.
+/// The decision of a policy program for one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PolicyDecision {
-    /// It goes to a service.
+    /// The request is sent to a service, as the plan specifies.
     Route(PolicyPlan),
-    /// It is refused and not run.
+    /// The request is refused and not run.
     Refuse {
         /// The status code for the caller, 400 to 599.
         status: u16,
-        /// One line for the caller.
+        /// One line of text for the caller.
         reason: String,
     },
 }
 
-/// How a request goes to a service.
+/// How a request is sent to a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PolicyPlan {
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// Time for it, at most; a caller may ask for less.
+    /// Maximum time for the request, all attempts included; a caller may set a shorter one.
     pub deadline: Duration,
-    /// Whether it may run more than once. A policy must say so.
+    /// Whether the request may run more than once. False unless the program sets it.
     pub repeatable: bool,
-    /// Attempts at most, the first counted.
-    pub attempts: u32,
-    /// Higher goes first when there is a queue.
+    /// Maximum number of attempts, including the first.
+    pub max_attempts: u32,
+    /// Priority in queues; requests with a higher value are served first.
     pub priority: u8,
-    /// Requests of one caller that may be open or queued in a box; 0 for no limit.
+    /// Maximum number of requests of one caller that are open or queued in a box; 0 for no limit.
     pub caller_limit: usize,
-    /// Whether it is cancelled at the target when the caller hangs up.
+    /// Whether the request is cancelled at the target when the caller disconnects.
     pub cancel_on_hangup: bool,
 }
 
 impl PolicyPlan {
-    /// A careful plan: not repeatable, five seconds.
+    /// Returns a plan for `service` with conservative defaults: not repeatable, a deadline of
+    /// five seconds.
     pub fn for_service(service: &str) -> PolicyPlan {
         PolicyPlan {
             service: service.to_string(),
-            deadline: DEADLINE,
+            deadline: DEFAULT_DEADLINE,
             repeatable: false,
-            attempts: ATTEMPTS,
+            max_attempts: DEFAULT_MAX_ATTEMPTS,
             priority: 0,
             caller_limit: 0,
             cancel_on_hangup: true,
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -1,35 +1,36 @@
-//! A request as policies see it.
+//! The view of a request that policy programs get.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a policy may ask of a request. Clones share it.
+/// The properties of a request that a policy program can read. Clones share them.
 #[derive(Debug, Clone)]
 pub struct RequestView {
     parts: Arc<RequestParts>,
-    offer: RouteDefaults,
+    route_defaults: RouteDefaults,
 }
 
-/// What a route table says of a request, where there is one: programs may take it as it is.
+/// The values that a route table gives for a request; programs may adopt them. Programs see
+/// them as `request.offer`.
 #[derive(Debug, Clone)]
 pub struct RouteDefaults {
-    /// The service.
+    /// The name of the service.
     pub service: Arc<str>,
-    /// The route's time.
+    /// The timeout of the route.
     pub timeout: Duration,
-    /// Attempts at most, the first counted.
-    pub attempts: u32,
-    /// Higher goes first.
+    /// Maximum number of attempts, including the first.
+    pub max_attempts: u32,
+    /// Priority in queues; requests with a higher value are served first.
     pub priority: u8,
 }
 
 impl Default for RouteDefaults {
-    /// What programs are tried on, and what they see where there is no route table.
+    /// Returns the values for trial runs at compile time and for boxes without a route table.
     fn default() -> RouteDefaults {
         RouteDefaults {
             service: "".into(),
             timeout: Duration::from_secs(1),
-            attempts: 1,
+            max_attempts: 1,
             priority: 0,
         }
     }
@@ -45,7 +46,7 @@
 }
 
 impl RequestView {
-    /// A view of a request; header names are in lower case.
+    /// Creates a view of a request, with the default [`RouteDefaults`].
     pub fn new(
         method: &str,
         path: &str,
@@ -60,16 +61,16 @@
             caller: caller.to_string(),
             headers,
         };
-        RequestView { parts: Arc::new(parts), offer: RouteDefaults::default() }
+        RequestView { parts: Arc::new(parts), route_defaults: RouteDefaults::default() }
     }
 
-    /// The same with what a route table says of it.
-    pub fn with_route_defaults(self, offer: RouteDefaults) -> RequestView {
-        RequestView { offer, ..self }
+    /// Returns the view with the values of a route table.
+    pub fn with_route_defaults(self, route_defaults: RouteDefaults) -> RequestView {
+        RequestView { route_defaults, ..self }
     }
 
-    pub(crate) fn offer(&self) -> RouteDefaults {
-        self.offer.clone()
+    pub(crate) fn route_defaults(&self) -> RouteDefaults {
+        self.route_defaults.clone()
     }
 
     pub(crate) fn method(&self) -> String {
@@ -88,7 +89,7 @@
         self.parts.caller.clone()
     }
 
-    /// The header's value, or an empty string.
+    /// Returns the first value of the header `name`, ignoring case, or an empty string.
     pub(crate) fn header(&self, name: &str) -> String {
         let found = self.parts.headers.iter().find(|(known, _)| known.eq_ignore_ascii_case(name));
         found.map(|(_, value)| value.clone()).unwrap_or_default()
--- a/crates/policy/tests/policy_programs.rs
+++ b/crates/policy/tests/policy_programs.rs
@@ -1,75 +1,75 @@
-//! Programs that are refused with line and column, and what sound ones say.
+//! Compilation errors with their positions, and the decisions of valid programs.
 
 use std::time::Duration;
 
 use proptest::prelude::*;
 use wingbridge_policy::{PolicyDecision, PolicyProgram, RequestView};
 
-struct FaultCase {
+struct ErrorCase {
     name: &'static str,
     text: &'static str,
     line: Option<usize>,
     column: Option<usize>,
-    says: &'static str,
+    reason_contains: &'static str,
 }
 
 #[test]
-fn faulty_programs_are_refused_with_their_place() {
+fn invalid_programs_are_rejected_with_their_position() {
     let cases = [
-        FaultCase {
+        ErrorCase {
             name: "syntax",
             text: "fn plan(request) {\n  route(\"a\"\n}",
             line: Some(3),
             column: Some(1),
-            says: "",
+            reason_contains: "",
         },
-        FaultCase {
-            name: "no plan",
+        ErrorCase {
+            name: "plan is not defined",
             text: "fn other() { 1 }",
             line: None,
             column: None,
-            says: "fn plan(request)",
+            reason_contains: "fn plan(request)",
         },
-        FaultCase {
-            // The library gives no place for a program that ran out of steps.
+        ErrorCase {
+            // Rhai gives no position for a program that exceeds the operation limit.
             name: "endless",
             text: "fn plan(request) {\n  loop { }\n}",
             line: None,
             column: None,
-            says: "Too many operations",
+            reason_contains: "Too many operations",
         },
-        FaultCase {
+        ErrorCase {
             name: "unknown function",
             text: "fn plan(request) {\n  rout(\"a\")\n}",
             line: Some(2),
             column: Some(3),
-            says: "rout",
+            reason_contains: "rout",
         },
-        FaultCase {
-            name: "bad status",
+        ErrorCase {
+            name: "status out of range",
             text: "fn plan(request) { refuse(200, \"no\") }",
             line: Some(1),
             column: None,
-            says: "400 to 599",
+            reason_contains: "400 to 599",
         },
-        FaultCase {
-            name: "wrong result",
+        ErrorCase {
+            name: "result is not a decision",
             text: "fn plan(request) { 42 }",
             line: None,
             column: None,
-            says: "",
+            reason_contains: "",
         },
     ];
     for case in cases {
-        let fault = PolicyProgram::compile(case.text).expect_err(case.name);
-        assert!(case.line.is_none() || fault.line == case.line, "{}: {fault}", case.name);
-        assert!(case.column.is_none() || fault.column == case.column, "{}: {fault}", case.name);
-        assert!(fault.reason.contains(case.says), "{}: {fault}", case.name);
+        let error = PolicyProgram::compile(case.text).expect_err(case.name);
+        assert!(case.line.is_none() || error.line == case.line, "{}: {error}", case.name);
+        assert!(case.column.is_none() || error.column == case.column, "{}: {error}", case.name);
+        assert!(error.reason.contains(case.reason_contains), "{}: {error}", case.name);
     }
 }
 
 #[test]
-fn a_policy_tells_kinds_of_requests_apart() {
+fn decision_depends_on_method_and_headers() {
     let text = r#"
         fn plan(request) {
             if request.method == "GET" {
@@ -78,28 +78,28 @@
             if request.header("x-key") == "" { return refuse(401, "a key is needed"); }
             route("orders").priority(9).finish_without_caller()
         }"#;
-    let program = PolicyProgram::compile(text).expect("a sound program");
+    let program = PolicyProgram::compile(text).expect("valid program");
     let view =
         |method| RequestView::new(method, "/x", "", "me", vec![("x-key".into(), "k".into())]);
-    let PolicyDecision::Route(plan) = program.plan(view("GET")).expect("a plan") else {
-        panic!("a route");
+    let PolicyDecision::Route(plan) = program.plan(view("GET")).expect("a decision") else {
+        panic!("expected a route");
     };
     assert_eq!(plan.service, "browse");
     assert_eq!(plan.deadline, Duration::from_millis(800));
-    assert!(plan.repeatable && plan.attempts == 3 && plan.caller_limit == 7);
-    let PolicyDecision::Route(plan) = program.plan(view("POST")).expect("a plan") else {
-        panic!("a route");
+    assert!(plan.repeatable && plan.max_attempts == 3 && plan.caller_limit == 7);
+    let PolicyDecision::Route(plan) = program.plan(view("POST")).expect("a decision") else {
+        panic!("expected a route");
     };
     assert!(!plan.repeatable && !plan.cancel_on_hangup && plan.priority == 9);
-    let bare = RequestView::new("POST", "/x", "", "me", Vec::new());
+    let without_key = RequestView::new("POST", "/x", "", "me", Vec::new());
     let refused = PolicyDecision::Refuse { status: 401, reason: "a key is needed".into() };
-    assert_eq!(program.plan(bare), Ok(refused));
+    assert_eq!(program.plan(without_key), Ok(refused));
 }
 
 proptest! {
-    /// Whatever is submitted, the check ends and does not panic.
+    /// Compilation of arbitrary text terminates and does not panic.
     #[test]
-    fn any_text_is_taken_or_refused(text in "[a-z(){};=+ \n\"0-9.]{0,200}") {
+    fn arbitrary_text_compiles_or_is_rejected(text in "[a-z(){};=+ \n\"0-9.]{0,200}") {
         let _ = PolicyProgram::compile(&text);
         let _ = PolicyProgram::compile(&format!("fn plan(request) {{ {text} }}"));
     }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -73,7 +73,7 @@
         service: Name::from(policy.service.as_str()),
         deadline: TimePoint::from_micros(context.clock.micros()) + time,
         repeatable: policy.repeatable,
-        attempts: policy.attempts,
+        attempts: policy.max_attempts,
         caller: caller_number(&caller),
         caller_limit: policy.caller_limit,
         priority: policy.priority,
