--- a/crates/decide/tests/stalls.rs
+++ b/crates/decide/tests/stalls.rs
@@ -58,7 +58,7 @@
         let mut core = core_with_history(20_000);
         let now = at(20_200);
         report_open(&mut core, now, "a", case.open, TYPICAL * case.age / 100);
-        let risk = core.risk(now, TargetKey::of("a")).expect("the target is listed");
+        let risk = core.risk(now, TargetKey::of("a")).expect("known");
         assert_eq!(risk >= MIN_SUSPECT_RISK, case.suspect, "{}: {risk}", case.name);
         let counts = shares(&mut core, now, &["a", "b"], false);
         assert!(!case.suspect || counts[0] < PICKS / 10, "{}: {counts:?}", case.name);
@@ -70,10 +70,10 @@
     let mut core = core_with_history(20_000);
     let now = at(20_200);
     report_open(&mut core, now, "a", 2, TYPICAL * 4);
-    assert!(core.risk(now, TargetKey::of("a")).expect("the target is listed") >= MIN_SUSPECT_RISK);
+    assert!(core.risk(now, TargetKey::of("a")).expect("known") >= MIN_SUSPECT_RISK);
     let answered = PeerSample { good: 2, open: Some(0), ..PeerSample::default() };
     core.merge_peer_sample(now, 9, TargetKey::of("a"), &answered);
-    assert!(core.risk(now, TargetKey::of("a")).expect("the target is listed") < MIN_SUSPECT_RISK);
+    assert!(core.risk(now, TargetKey::of("a")).expect("known") < MIN_SUSPECT_RISK);
 }
 
 /// Guards against time-outs being no evidence: four in ten of the requests that a stalled target lost were
@@ -83,7 +83,7 @@
     let mut core = core_with_history(20_000);
     let now = at(21_000);
     attempt(&mut core, now, now + TYPICAL * 6, "a", false);
-    let risk = core.risk(now + TYPICAL * 6, TargetKey::of("a")).expect("the target is listed");
+    let risk = core.risk(now + TYPICAL * 6, TargetKey::of("a")).expect("known");
     assert!(risk >= MIN_SUSPECT_RISK, "{risk}");
 }
 
@@ -104,7 +104,7 @@
             core.end(start + TYPICAL * 4, &handle, &short, SteerOutcome::DeadlineExceeded, 0);
         assert!(!effect.stalled && effect.change.is_none(), "{effect:?}");
     }
-    let risk = core.risk(at(24_000), TargetKey::of("a")).expect("the target is listed");
+    let risk = core.risk(at(24_000), TargetKey::of("a")).expect("known");
     assert!(risk < MIN_SUSPECT_RISK, "{risk}");
 }
 
@@ -113,10 +113,10 @@
     let mut core = core_with_history(20_000);
     let now = at(20_200);
     let at_healthy = core.begin(now, TargetKey::of("b"), &ROUTE.into());
-    let at_healthy_after = core.hedge_after(now, &at_healthy, LONG).expect("the target is listed");
+    let at_healthy_after = core.hedge_after(now, &at_healthy, LONG).expect("known");
     report_open(&mut core, now, "a", 2, TYPICAL * 3);
     let at_suspect = core.begin(now, TargetKey::of("a"), &ROUTE.into());
-    let suspect = core.hedge_after(now, &at_suspect, LONG).expect("the target is listed");
+    let suspect = core.hedge_after(now, &at_suspect, LONG).expect("known");
     assert!(suspect < at_healthy_after, "{suspect:?}, {at_healthy_after:?}");
     assert!(suspect >= TYPICAL / 2, "too early for a target that may still answer: {suspect:?}");
     assert!(at_healthy_after <= TYPICAL * 4, "too late before the time-out: {at_healthy_after:?}");
@@ -143,10 +143,10 @@
     let mut core = core_with_history(20_000);
     let now = at(20_200);
     let handle = core.begin(now, TargetKey::of("b"), &ROUTE.into());
-    let unhurried = core.hedge_after(now, &handle, LONG).expect("the target is listed");
+    let unhurried = core.hedge_after(now, &handle, LONG).expect("known");
     for case in TIME_CASES {
         let remaining = TYPICAL.mul_f64(case.remaining);
-        let after = core.hedge_after(now, &handle, remaining).expect("the target is listed");
+        let after = core.hedge_after(now, &handle, remaining).expect("known");
         match case.room {
             Some(room) => {
                 assert!(remaining - after >= TYPICAL.mul_f64(room), "{}: {after:?}", case.name)
--- a/crates/decide/tests/steer.rs
+++ b/crates/decide/tests/steer.rs
@@ -76,9 +76,9 @@
     for _ in 0..3 {
         bad(&mut core, now, "a");
     }
-    assert!(core.risk(now, TargetKey::of("a")).expect("the target is listed") > 0.7);
+    assert!(core.risk(now, TargetKey::of("a")).expect("known") > 0.7);
     good(&mut core, now, "a", 9);
-    let risk = core.risk(now, TargetKey::of("a")).expect("the target is listed");
+    let risk = core.risk(now, TargetKey::of("a")).expect("known");
     assert!(risk < MIN_SUSPECT_RISK, "{risk}");
 }
 
@@ -105,7 +105,7 @@
     bad(&mut core, now, "a");
     core.set_targets(now, vec![target("b", "near")]);
     assert_eq!(core.risk(now, TargetKey::of("a")), None);
-    let risk = core.risk(now, TargetKey::of("b")).expect("the target is listed");
+    let risk = core.risk(now, TargetKey::of("b")).expect("known");
     assert!(risk < MIN_SUSPECT_RISK, "a new instance is not a suspect: {risk}");
 }
 
@@ -239,7 +239,7 @@
         for step in steps {
             fleet.run_step(&step);
         }
-        let window = u64::try_from(WINDOW.as_millis()).expect("the window fits in 64 bits");
+        let window = u64::try_from(WINDOW.as_millis()).expect("short");
         let events = fleet.events;
         for (from, _) in &events {
             let within = |time: u64| time >= *from && time < from + window;
@@ -396,14 +396,14 @@
     let first = SteerTarget { born_ms: 1, ..target("a", "near") };
     let (old, new) = (first.key(), SteerTarget { born_ms: 2, ..first.clone() }.key());
     core.set_targets(now, vec![first.clone()]);
-    let unknown = core.risk(now, old).expect("the target is listed");
+    let unknown = core.risk(now, old).expect("listed");
     let bad = PeerSample { bad: 5, ..PeerSample::default() };
     core.merge_peer_sample(now, 9, old, &bad);
-    assert!(core.risk(now, old).expect("the target is listed") > 0.5);
+    assert!(core.risk(now, old).expect("listed") > 0.5);
     core.record_replaced(old);
     core.set_targets(now, vec![SteerTarget { born_ms: 2, ..first }]);
     assert_eq!(core.risk(now, old), None, "the earlier incarnation is not listed any more");
-    let fresh = core.risk(now, new).expect("the target is listed");
+    let fresh = core.risk(now, new).expect("listed");
     assert!(fresh <= unknown.max(0.1), "{fresh}");
     core.merge_peer_sample(now, 9, old, &bad);
     assert_eq!(
