--- a/crates/bench/src/steer/fleet.rs
+++ b/crates/bench/src/steer/fleet.rs
@@ -41,11 +41,11 @@
     pub goal: Duration,
     /// The time after which a request is given up.
     pub timeout: Duration,
-    /// Share of targets in a spell of failures at any moment.
-    pub spell_share: f64,
-    /// Mean length of a spell.
-    pub spell: Duration,
-    /// Share of requests that fail in a spell.
+    /// Share of targets in a failure episode at any moment.
+    pub episode_share: f64,
+    /// Mean length of an episode.
+    pub episode: Duration,
+    /// Share of requests that fail in an episode.
     pub failing: f64,
     /// Share of these that stall; the others come back as errors.
     pub stalling: f64,
@@ -88,8 +88,8 @@
             repeatable: random.random_bool(0.5),
             goal: from_ms(work_ms * random.random_range(2.8..4.5)),
             timeout: from_ms(work_ms * random.random_range(5.0..9.0)),
-            spell_share: random.random_range(0.05..0.3),
-            spell: from_ms(random.random_range(2_000.0..8_000.0)),
+            episode_share: random.random_range(0.05..0.3),
+            episode: from_ms(random.random_range(2_000.0..8_000.0)),
             failing: random.random_range(0.4..0.95),
             stalling,
         }
--- a/crates/bench/src/steer/pattern.rs
+++ b/crates/bench/src/steer/pattern.rs
@@ -1,4 +1,4 @@
-//! Load patterns: what happens to an emulated fleet besides its targets' spells.
+//! Load patterns: what happens to an emulated fleet besides its targets' episodes.
 //!
 //! Decisions that look alike under steady load differ at its worst. Each pattern has one thing
 //! happen at a known time, so that two versions, or one with a part switched off, can be played
--- a/crates/bench/src/steer/report.rs
+++ b/crates/bench/src/steer/report.rs
@@ -43,12 +43,12 @@
     pub repeatable: KindSums,
     /// Requests that run once.
     pub once: KindSums,
-    /// Suspicions of targets that were in a spell.
+    /// Suspicions of targets that were in an episode.
     pub right_suspicions: u64,
-    /// Suspicions of sound targets.
+    /// Suspicions of healthy targets.
     pub false_suspicions: u64,
-    /// Time from a spell's beginning until some box suspected its target, in milliseconds:
-    /// the median and the 99th percentile of the spells that were noticed.
+    /// Time from an episode's beginning until some box suspected its target, in milliseconds:
+    /// the median and the 99th percentile of the episodes that were noticed.
     pub noticed_ms: [u64; 2],
     /// All requests by the second in which they began.
     #[serde(default)]
@@ -65,7 +65,7 @@
     repeatable_services: Vec<bool>,
 }
 
-/// Times until spells were noticed, in milliseconds.
+/// Times until episodes were noticed, in milliseconds.
 #[derive(Debug, Clone)]
 struct NoticeTimes(Histogram<u64>);
 
@@ -73,7 +73,7 @@
     fn default() -> NoticeTimes {
         /// Digits that are kept: a percent is enough for times that vary by factors.
         const DIGITS: u8 = 2;
-        /// No spell that is played lasts longer, in milliseconds.
+        /// No episode that is played lasts longer, in milliseconds.
         const LONGEST: u64 = 600_000;
         let times = Histogram::new_with_bounds(1, LONGEST, DIGITS);
         NoticeTimes(times.expect("the bounds and two digits are allowed"))
@@ -131,16 +131,16 @@
         kind.in_goal += u64::from(served.is_some_and(|time| time <= goal));
     }
 
-    /// Counts a suspicion, of a target that is in a spell or of a sound one.
-    pub(super) fn note_suspicion(&mut self, in_spell: bool) {
-        if in_spell {
+    /// Counts a suspicion, of a target that is in an episode or of a healthy one.
+    pub(super) fn note_suspicion(&mut self, in_episode: bool) {
+        if in_episode {
             self.right_suspicions += 1;
         } else {
             self.false_suspicions += 1;
         }
     }
 
-    /// Counts a spell that was noticed after that time.
+    /// Counts an episode that was noticed after that time.
     pub(super) fn note_noticed(&mut self, after: Duration) {
         let millis = u64::try_from(after.as_millis()).unwrap_or(u64::MAX);
         self.noticed.0.saturating_record(millis.max(1));
--- a/crates/bench/src/steer/targets.rs
+++ b/crates/bench/src/steer/targets.rs
@@ -1,4 +1,4 @@
-//! Targets of the emulator: slots, a queue, spells of failures.
+//! Targets of the emulator: slots, a queue, failure episodes.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 /// Requests that wait at a target at most; more are refused.
 const QUEUE: usize = 8;
-/// Share of requests that fail at a sound target.
+/// Share of requests that fail at a healthy target.
 const SOUND_FAILING: f64 = 0.01;
 /// An error comes back after this long.
 const ERROR_TIME: Duration = Duration::from_millis(3);
@@ -35,10 +35,10 @@
     slots: usize,
     running: Vec<usize>,
     waiting: VecDeque<usize>,
-    in_spell: bool,
+    in_episode: bool,
     since: TimePoint,
     changes_at: TimePoint,
-    /// Whether some box has suspected it in this spell.
+    /// Whether some box has suspected it in this episode.
     noticed: bool,
 }
 
@@ -48,10 +48,10 @@
             slots: plan.slots as usize,
             running: Vec::new(),
             waiting: VecDeque::new(),
-            in_spell: random.random_bool(plan.spell_share),
+            in_episode: random.random_bool(plan.episode_share),
             since: TimePoint::default(),
             changes_at: TimePoint::default(),
-            // A spell at the start is older than the boxes.
+            // An episode at the start is older than the boxes.
             noticed: true,
         };
         target.changes_at = TimePoint::default() + target.draw_stay(plan, random);
@@ -63,30 +63,30 @@
         LoadReport { held: held as u32, slots: self.slots as u32 }
     }
 
-    /// Whether it is in a spell at `now`; spells begin and end by themselves.
-    pub(super) fn in_spell(
+    /// Whether it is in an episode at `now`; episodes begin and end by themselves.
+    pub(super) fn in_episode(
         &mut self,
         now: TimePoint,
         plan: &ServicePlan,
         random: &mut SmallRng,
     ) -> bool {
         while self.changes_at <= now {
-            self.in_spell = !self.in_spell;
+            self.in_episode = !self.in_episode;
             self.since = self.changes_at;
             self.noticed = false;
             self.changes_at = self.changes_at + self.draw_stay(plan, random);
         }
-        self.in_spell
+        self.in_episode
     }
 
-    /// For how long it is in a spell at `now`, if it is, and whether that is noticed first.
+    /// For how long it is in an episode at `now`, if it is, and whether that is noticed first.
     pub(super) fn notice(
         &mut self,
         now: TimePoint,
         plan: &ServicePlan,
         random: &mut SmallRng,
     ) -> Option<(Duration, bool)> {
-        if !self.in_spell(now, plan, random) {
+        if !self.in_episode(now, plan, random) {
             return None;
         }
         let first = !std::mem::replace(&mut self.noticed, true);
@@ -125,7 +125,7 @@
         plan: &ServicePlan,
         random: &mut SmallRng,
     ) -> WorkEnd {
-        let fails = self.in_spell(now, plan, random) && random.random_bool(plan.failing);
+        let fails = self.in_episode(now, plan, random) && random.random_bool(plan.failing);
         if fails && random.random_bool(plan.stalling) {
             return WorkEnd::Stalled;
         }
@@ -138,9 +138,9 @@
     }
 
     fn draw_stay(&self, plan: &ServicePlan, random: &mut SmallRng) -> Duration {
-        let spell = plan.spell.as_secs_f64();
-        let sound = spell * (1.0 - plan.spell_share) / plan.spell_share;
-        let mean = if self.in_spell { spell } else { sound };
+        let episode = plan.episode.as_secs_f64();
+        let healthy = episode * (1.0 - plan.episode_share) / plan.episode_share;
+        let mean = if self.in_episode { episode } else { healthy };
         let drawn = Exp::new(1.0 / mean).map_or(mean, |stay| stay.sample(random));
         Duration::from_secs_f64(drawn.max(0.001))
     }
--- a/crates/bench/src/steer/world/mod.rs
+++ b/crates/bench/src/steer/world/mod.rs
@@ -33,7 +33,7 @@
 const NEAR: Duration = Duration::from_micros(200);
 /// Time between two looks for a second attempt that could not be made.
 const LOOK_AGAIN: Duration = Duration::from_millis(100);
-/// Time between two looks for a target while all are crowded.
+/// Time between two looks for a target while all are saturated.
 const HOLD_STEP: Duration = Duration::from_millis(60);
 /// Attempts of a request at most.
 const ATTEMPTS: usize = 3;
--- a/crates/bench/src/steer/world/telling.rs
+++ b/crates/bench/src/steer/world/telling.rs
@@ -14,7 +14,7 @@
 use crate::steer::rests::RestWay;
 
 impl World<'_> {
-    /// Counts a suspicion, and the time since its target's spell began.
+    /// Counts a suspicion, and the time since its target's episode began.
     pub(super) fn note_suspect(&mut self, handle: &AttemptHandle, news: &AttemptEffect) {
         if !news.change.as_ref().is_some_and(|change| change.suspect) {
             return;
--- a/crates/ctl/src/explain/spells.rs
+++ b/crates/ctl/src/explain/episodes.rs
@@ -1,4 +1,4 @@
-//! Where in a target's spell of failures requests were lost.
+//! Lost requests by their position in a failure episode of their target.
 
 use std::collections::BTreeMap;
 
@@ -6,29 +6,28 @@
 
 use super::request_line::{LineEnd, RequestLine};
 
-/// Losses at one target that follow each other within this time belong to one spell, in
-/// milliseconds. Source: shorter than the time after which a spell's target is tried again
-/// and fails again.
-const SPELL_GAP_MS: i64 = 4000;
+/// Maximum time between losses at one target that belong to the same episode, in milliseconds. It is
+/// shorter than the time after which the target is tried again and fails again.
+const EPISODE_GAP_MS: i64 = 4000;
 
-/// Losses by where they fell in a spell.
+/// Counts of lost requests by their position in a failure episode.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct SpellReport {
-    /// Spells of one loss or more.
+pub struct EpisodeReport {
+    /// Number of episodes, of one loss or more.
     pub spells: usize,
-    /// The first loss of each.
+    /// Number of first losses of an episode.
     pub first: usize,
-    /// Sent before the first had ended: nobody could know.
+    /// Number of requests that were sent before the first loss had ended, so that it was not known yet.
     pub on_the_way: usize,
-    /// Sent later, by an ordinary choice.
+    /// Number of requests that were sent later, by an ordinary choice.
     pub later: usize,
-    /// Sent later, as a trial.
+    /// Number of requests that were sent later, as a trial.
     pub trials: usize,
 }
 
-/// Losses by target.
+/// The lost requests of each target.
 #[derive(Debug, Default)]
-pub(super) struct SpellCount {
+pub(super) struct EpisodeCount {
     losses: BTreeMap<String, Vec<Loss>>,
 }
 
@@ -39,7 +38,7 @@
     trial: bool,
 }
 
-impl SpellCount {
+impl EpisodeCount {
     pub(super) fn note(&mut self, line: &RequestLine) {
         if line.end != LineEnd::Failed || line.target.is_empty() {
             return;
@@ -49,8 +48,8 @@
         losses.push(Loss { started_ms, ended_ms, trial });
     }
 
-    pub(super) fn report(self) -> SpellReport {
-        let mut report = SpellReport::default();
+    pub(super) fn report(self) -> EpisodeReport {
+        let mut report = EpisodeReport::default();
         for mut losses in self.losses.into_values() {
             losses.sort_by_key(|loss| loss.started_ms);
             add_target(&mut report, &losses);
@@ -59,11 +58,11 @@
     }
 }
 
-fn add_target(report: &mut SpellReport, losses: &[Loss]) {
+fn add_target(report: &mut EpisodeReport, losses: &[Loss]) {
     let mut known_ms = i64::MAX;
     let mut last_ms = None;
     for loss in losses {
-        if last_ms.is_none_or(|last| loss.started_ms - last > SPELL_GAP_MS) {
+        if last_ms.is_none_or(|last| loss.started_ms - last > EPISODE_GAP_MS) {
             report.spells += 1;
             report.first += 1;
             known_ms = loss.ended_ms;
--- a/crates/ctl/src/explain/mod.rs
+++ b/crates/ctl/src/explain/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! One line of a request tells its own story. Which story is the usual one, and so what
 //! to mend first, shows only in all of them: by service and way of ending, by what was
-//! believed of the target, and by where in a target's spell of failures they fell. Lines of
+//! believed of the target, and by where in a failure episode of a target they fell. Lines of
 //! configurations and targets tell how long a change took through all boxes, and requests how
 //! old what they were decided by was. Requests under which targets ended are named one by one,
 //! and targets that wanted nothing with what kept them out of the choice. What all boxes sent to a target
@@ -10,6 +10,7 @@
 
 mod calibration;
 mod deadly;
+mod episodes;
 mod left_alone;
 mod limited;
 mod log_objects;
@@ -17,7 +18,6 @@
 mod moments;
 mod report;
 mod request_line;
-mod spells;
 mod spread;
 mod tables;
 
--- a/crates/ctl/src/explain/report.rs
+++ b/crates/ctl/src/explain/report.rs
@@ -8,13 +8,13 @@
 
 use super::calibration::{Calibration, CalibrationRow};
 use super::deadly::{DeadlyCount, DeadlyRow};
+use super::episodes::{EpisodeCount, EpisodeReport};
 use super::left_alone::{AloneCause, AloneCount, AloneLine, AloneRow};
 use super::limited::{LimitedCount, LimitedRow};
 use super::log_objects::{LogObject, log_objects};
 use super::losses::{LossCount, LossRow, ServiceRow};
 use super::moments::{MomentCount, MomentRow};
 use super::request_line::{BoxLine, LogLine, decode};
-use super::spells::{SpellCount, SpellReport};
 use super::spread::{LeavingReport, SpreadCount, VersionRow};
 
 /// Lines that can't be read and are named; all are counted.
@@ -37,8 +37,8 @@
     pub services: Vec<ServiceRow>,
     /// Those that were not served, by how they ended.
     pub losses: Vec<LossRow>,
-    /// Where in spells they were lost.
-    pub spells: SpellReport,
+    /// Where in failure episodes they were lost.
+    pub spells: EpisodeReport,
     /// Whether beliefs were right.
     pub calibration: Vec<CalibrationRow>,
     /// What each service got in each second.
@@ -92,7 +92,7 @@
     /// The data centre of each box, by where its lines come from.
     data_centres: HashMap<String, String>,
     losses: LossCount,
-    spells: SpellCount,
+    episodes: EpisodeCount,
     calibration: Calibration,
     moments: MomentCount,
     spread: SpreadCount,
@@ -127,7 +127,7 @@
                 self.requests += 1;
                 self.old_views += usize::from(line.view_age_ms > OLD_VIEW_MS);
                 self.losses.note(&line, data_centre);
-                self.spells.note(&line);
+                self.episodes.note(&line);
                 self.calibration.note(&line);
                 self.moments.note(&line);
                 self.deadly.note_request(box_name, &line);
@@ -160,7 +160,7 @@
             unread_lines: self.unread_lines,
             services,
             losses,
-            spells: self.spells.report(),
+            spells: self.episodes.report(),
             calibration: self.calibration.rows(),
             moments: self.moments.rows(),
             versions: self.spread.versions(),
--- a/crates/ctl/src/explain/tables.rs
+++ b/crates/ctl/src/explain/tables.rs
@@ -12,7 +12,7 @@
 
 /// Rows of losses that are shown to people; JSON has all.
 const LOSSES_SHOWN: usize = 20;
-/// Fewer requests say little of a belief; such rows are left out for people.
+/// Fewer requests say little of an estimate; such rows are left out for people.
 const CALIBRATION_FROM: usize = 20;
 /// Rows of seconds that are shown to people, those with the most losses; JSON has all.
 const MOMENTS_SHOWN: usize = 12;
@@ -26,7 +26,7 @@
 impl LogReport {
     /// Tables for people.
     pub fn as_text(&self) -> String {
-        let (spells, leaving) = (&self.spells, &self.leaving);
+        let (episodes, leaving) = (&self.spells, &self.leaving);
         [
             format!("{} requests", self.requests),
             self.unread_text(),
@@ -36,7 +36,11 @@
             format!(
                 "losses in {} spells of a target: {} first, {} on their way before that was known, \
                  {} sent later, {} later as trials",
-                spells.spells, spells.first, spells.on_the_way, spells.later, spells.trials
+                episodes.spells,
+                episodes.first,
+                episodes.on_the_way,
+                episodes.later,
+                episodes.trials
             ),
             format!("beliefs, rows of {CALIBRATION_FROM} requests or more:"),
             self.calibration_table(),
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -99,13 +99,13 @@
         LineCase { ended_ms: 2_500, ..STALLED },
         LineCase { ended_ms: 3_100, ..STALLED },
         LineCase { ended_ms: 4_000, risk: "0.300 trial", ..STALLED },
-        // Another spell, and another target.
+        // Another episode, and another target.
         LineCase { ended_ms: 9_000, ..STALLED },
         LineCase { ended_ms: 9_100, target: "t2", ..STALLED },
     ]);
-    let spells = &report.spells;
-    assert_eq!((spells.spells, spells.first, spells.on_the_way), (3, 3, 1));
-    assert_eq!((spells.later, spells.trials), (1, 1));
+    let episodes = &report.spells;
+    assert_eq!((episodes.spells, episodes.first, episodes.on_the_way), (3, 3, 1));
+    assert_eq!((episodes.later, episodes.trials), (1, 1));
 }
 
 #[test]
--- a/crates/gateway/src/requests/mod.rs
+++ b/crates/gateway/src/requests/mod.rs
@@ -34,7 +34,7 @@
 /// Why a request goes to no target.
 const ENDS_TARGETS: &str = "targets have ended under it";
 
-/// Time between two looks for a target while all are crowded, on average: a few of them
+/// Time between two looks for a target while all are saturated, on average: a few of them
 /// fit the work of one request.
 const HOLD_STEP: Duration = Duration::from_millis(60);
 
--- a/crates/gateway/src/sightings.rs
+++ b/crates/gateway/src/sightings.rs
@@ -30,7 +30,7 @@
     pub(crate) suspect: bool,
     /// Whether the attempt counts as a stall.
     pub(crate) stalled: bool,
-    /// The time of a good answer, in multiples of what is usual for its route.
+    /// The time of a good answer, as a multiple of the typical time of its route.
     pub(crate) latency_ratio: Option<f64>,
 }
 
--- a/crates/gateway/tests/lifecycle.rs
+++ b/crates/gateway/tests/lifecycle.rs
@@ -95,7 +95,7 @@
     assert_eq!(target.seen().len(), served, "what was refused went nowhere");
 }
 
-/// A request that was held for a crowded service was cut by the end of the process (grown
+/// A request that was held for a saturated service was cut by the end of the process (grown
 /// Dakar, scale-2, seed 301437178563).
 #[test]
 fn a_box_that_stops_holds_no_request_back() {
