--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -1,4 +1,4 @@
-//! Between messages on the wire and the types of the decision core.
+//! Conversions between wire messages and the types of the decision core.
 
 use crate::messages::{Evidence, ServiceEvidence, TargetEvidence, VerdictMessage};
 use wingbridge_decide::sketch::LatencyBucket;
@@ -7,10 +7,12 @@
     VerdictCause, VerdictKind, VerdictScope,
 };
 
+/// Width of the sample kind in a packed sample.
 const KIND_BITS: u32 = 2;
+/// Width of the latency bucket in a packed sample.
 const BUCKET_BITS: u32 = 8;
 
-/// The evidence of one box as batches.
+/// Converts a message into its source and one evidence batch for each service.
 pub fn batches_of(evidence: &Evidence) -> (EvidenceSource, Vec<EvidenceBatch>) {
     let source = EvidenceSource {
         box_id: evidence.box_id.as_str().into(),
@@ -19,17 +21,17 @@
     (source, evidence.services.iter().map(batch_of).collect())
 }
 
-/// A batch as it goes over the wire.
+/// Converts a batch into its message.
 pub fn service_evidence(batch: &EvidenceBatch) -> ServiceEvidence {
-    let targets = batch.targets.iter().map(|seen| TargetEvidence {
-        target: seen.target.0,
-        samples: seen.samples.iter().map(pack_sample).collect(),
-        load: (seen.load.clamp(0.0, 1000.0) * 100.0) as u32,
+    let targets = batch.targets.iter().map(|target| TargetEvidence {
+        target: target.target.0,
+        samples: target.samples.iter().map(pack_sample).collect(),
+        load: (target.load.clamp(0.0, 1000.0) * 100.0) as u32,
     });
     ServiceEvidence { service: batch.service.to_string(), targets: targets.collect() }
 }
 
-/// A verdict as it goes over the wire.
+/// Converts a verdict into its message.
 pub fn verdict_message(verdict: &Verdict) -> VerdictMessage {
     VerdictMessage {
         service: verdict.service.to_string(),
@@ -42,7 +44,7 @@
     }
 }
 
-/// A verdict from the wire.
+/// Converts a message into a verdict. An unknown scope or cause becomes the last one of its kind.
 pub fn verdict_of(message: &VerdictMessage) -> Verdict {
     let kind = if message.convicted { VerdictKind::Convicted } else { VerdictKind::Acquitted };
     Verdict {
@@ -69,10 +71,10 @@
 }
 
 fn batch_of(evidence: &ServiceEvidence) -> EvidenceBatch {
-    let targets = evidence.targets.iter().map(|seen| TargetSamples {
-        target: TargetKey(seen.target),
-        samples: seen.samples.iter().map(|packed| unpack_sample(*packed)).collect(),
-        load: seen.load as f32 / 100.0,
+    let targets = evidence.targets.iter().map(|target| TargetSamples {
+        target: TargetKey(target.target),
+        samples: target.samples.iter().map(|packed| unpack_sample(*packed)).collect(),
+        load: target.load as f32 / 100.0,
     });
     EvidenceBatch { service: evidence.service.as_str().into(), targets: targets.collect() }
 }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,19 +1,19 @@
-//! The one error of this crate.
+//! The error type of this crate.
 
 use std::{fmt, io};
 
-/// What went wrong between two processes.
+/// The kind of a [`WireError`], on which callers can decide.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ErrorKind {
-    /// The connection failed or closed.
+    /// The connection failed or was closed.
     Io,
-    /// The peer does not know the fleet key.
+    /// The peer did not prove that it has the fleet key.
     Unauthenticated,
-    /// A frame is not a message, or is over the bound.
+    /// A frame does not decode to a message, or exceeds the maximum length.
     Malformed,
 }
 
-/// An error with its kind and one line that says why.
+/// An error in the communication between two processes, with a reason of one line.
 #[derive(Debug)]
 pub struct WireError {
     kind: ErrorKind,
@@ -21,12 +21,12 @@
 }
 
 impl WireError {
-    /// Makes an error of `kind`.
+    /// Creates an error of `kind` with `reason` as its message.
     pub fn new(kind: ErrorKind, reason: impl Into<String>) -> WireError {
         WireError { kind, reason: reason.into() }
     }
 
-    /// The kind, to decide on.
+    /// Returns the kind of the error.
     pub fn kind(&self) -> ErrorKind {
         self.kind
     }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames over a connection: a length of four bytes, then one message.
+//! Framing of messages on a connection: a length prefix of four bytes, then one message.
 
 use async_std::net::TcpStream;
 use bytes::Bytes;
@@ -11,19 +11,19 @@
 use crate::error::{ErrorKind, WireError};
 use crate::messages::Frame;
 
-/// Longest frame: a value of the store's megabyte, several times over.
-pub const MAX_FRAME: usize = 8 << 20;
+/// Maximum length of a frame in bytes, several times the size of the largest store value (1 MB).
+pub const MAX_FRAME_BYTES: usize = 8 << 20;
 
-/// Reads frames.
+/// The receiving direction of a connection.
 pub struct FrameReader {
     frames: FramedRead<Compat<ReadHalf<TcpStream>>, LengthDelimitedCodec>,
 }
 
 impl FrameReader {
-    /// The next message, or `None` when the peer closed.
+    /// Returns the next message, or `None` after the peer has closed the connection.
     ///
     /// # Errors
-    /// The connection failed, or the frame is no message or too long.
+    /// Returns an error if the connection fails, or if the frame is too long or does not decode to a message.
     pub async fn next(&mut self) -> Result<Option<Frame>, WireError> {
         let Some(bytes) = self.frames.next().await else {
             return Ok(None);
@@ -34,16 +34,16 @@
     }
 }
 
-/// Writes frames.
+/// The sending direction of a connection.
 pub struct FrameWriter {
     frames: FramedWrite<Compat<WriteHalf<TcpStream>>, LengthDelimitedCodec>,
 }
 
 impl FrameWriter {
-    /// Writes one message and sends it off. Returns its length in bytes.
+    /// Writes one message and flushes it. Returns the length of the message in bytes.
     ///
     /// # Errors
-    /// The connection failed, or the message is over [`MAX_FRAME`].
+    /// Returns an error if the connection fails or the message is longer than [`MAX_FRAME_BYTES`].
     pub async fn send(&mut self, frame: &Frame) -> Result<usize, WireError> {
         let bytes = frame.encode_to_vec();
         let length = bytes.len();
@@ -52,7 +52,7 @@
     }
 }
 
-/// Splits a connection, after the handshake, into its two directions.
+/// Splits a connection into its two directions, after the handshake.
 pub fn split_stream(stream: TcpStream) -> (FrameReader, FrameWriter) {
     let (read, write) = stream.split();
     let reader = FrameReader { frames: FramedRead::new(read.compat(), codec()) };
@@ -60,29 +60,33 @@
     (reader, writer)
 }
 
-/// Writes one message of any type to `stream`, framed as [`FrameWriter`] frames its own.
+/// Writes one message of any type to `stream`, with the same framing as [`FrameWriter`].
 ///
 /// # Errors
-/// The connection failed, or the message is over [`MAX_FRAME`].
+/// Returns an error if the connection fails or the message is longer than [`MAX_FRAME_BYTES`].
 pub async fn send_message(stream: &TcpStream, message: &impl Message) -> Result<(), WireError> {
     let mut frames = FramedWrite::new(stream.compat_write(), codec());
     frames.send(Bytes::from(message.encode_to_vec())).await?;
     Ok(())
 }
 
-/// Reads one message from `stream`, on which nothing else follows.
+/// Reads one message from `stream`. No further message may follow, since buffered bytes are dropped.
 ///
 /// # Errors
-/// The connection failed or closed before, or the message is malformed or too long.
+/// Returns an error if the connection fails or is closed before a message, or if the message is malformed
+/// or too long.
 pub async fn receive_message<M: Message + Default>(stream: &TcpStream) -> Result<M, WireError> {
     let mut frames = FramedRead::new(stream.compat(), codec());
     let Some(bytes) = frames.next().await else {
-        return Err(WireError::new(ErrorKind::Malformed, "closed before a message"));
+        return Err(WireError::new(
+            ErrorKind::Malformed,
+            "connection closed before a message was received",
+        ));
     };
     let message = M::decode(bytes?);
     message.map_err(|error| WireError::new(ErrorKind::Malformed, error.to_string()))
 }
 
 fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME).new_codec()
+    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -1,351 +1,351 @@
-//! What boxes tell each other by datagrams, and the state that one fetches from another.
+//! Datagrams between boxes, and the requests by which a box fetches state from a peer.
 //!
-//! A datagram may be lost, repeated or late, so each stands for itself: whatever is
-//! missed is told again by a later one or fetched over a connection.
+//! A datagram may be lost, duplicated or delayed, so each one is complete in itself. What a box misses
+//! is sent again in a later datagram or fetched over a connection.
 
 use prost::{Message, Oneof};
 
 use crate::limits::{PermitMessage, TargetLimit};
 
-/// One datagram.
+/// A datagram from one box to another.
 #[derive(Clone, PartialEq, Message)]
 pub struct Datagram {
-    /// The sender's box.
+    /// Name of the sender.
     #[prost(string, tag = "1")]
     pub box_id: String,
-    /// Its data centre.
+    /// Data centre of the sender.
     #[prost(string, tag = "2")]
     pub data_centre: String,
-    /// Another number after each start of the sender.
+    /// Identifier of the sender's process, different after each start.
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
-    /// What is told.
+    /// Content of the datagram.
     #[prost(oneof = "DatagramBody", tags = "4, 5, 7, 8")]
     pub body: Option<DatagramBody>,
-    /// What the sender's link carries, in megabits a second; 0 if unknown.
+    /// Capacity of the sender's link in megabits a second, 0 if unknown.
     #[prost(uint32, tag = "6")]
     pub link_mbps: u32,
 }
 
-/// What a datagram tells.
+/// The content of a [`Datagram`].
 #[derive(Clone, PartialEq, Oneof)]
 pub enum DatagramBody {
-    /// The sender is alive, and how new its view of the store is.
+    /// The sender is running, with the version of its view of the store.
     #[prost(message, tag = "4")]
     Heartbeat(Heartbeat),
-    /// What the sender saw of targets.
+    /// Health samples from the sender's own traffic.
     #[prost(message, tag = "5")]
     PassiveSamples(PassiveSamples),
-    /// What the sender asks of customers' credit, and what it grants.
+    /// Requests for customers' tokens, and grants.
     #[prost(message, tag = "7")]
     Tokens(TokenMessage),
-    /// What the sender asks of permits to send to targets with a limit, and what it answers.
+    /// Requests for permits to send to targets with a limit, and replies.
     #[prost(message, tag = "8")]
     Permits(PermitMessage),
 }
 
-/// Customers' credit between a box and the boxes that keep it.
+/// Requests for customers' tokens and grants, between a box and a coordinator.
 #[derive(Clone, PartialEq, Message)]
 pub struct TokenMessage {
-    /// What the sender asks of the receiver.
+    /// Requests from the sender to the receiver.
     #[prost(message, repeated, tag = "1")]
     pub requests: Vec<TokenRequest>,
-    /// What the sender grants the receiver.
+    /// Grants from the sender to the receiver.
     #[prost(message, repeated, tag = "2")]
     pub grants: Vec<TokenGrant>,
 }
 
-/// What a box tells the keeper of a customer's credit, and wishes of it.
+/// A request for a customer's tokens, with a report of the tokens that the sender spent.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct TokenRequest {
-    /// The customer.
+    /// Name of the customer.
     #[prost(string, tag = "1")]
     pub customer: String,
-    /// Another number for each ask of a box.
+    /// Number that is unique among the requests of a box.
     #[prost(uint64, tag = "2")]
     pub number: u64,
-    /// Requests that were admitted and not told of before.
+    /// Number of requests that were admitted without a grant and not reported before.
     #[prost(uint32, tag = "3")]
     pub debt: u32,
-    /// Requests that the sender wants to admit soon.
+    /// Number of requests that the sender wants to admit soon.
     #[prost(uint32, tag = "4")]
     pub wanted: u32,
-    /// The sender's share of the customer's credit, in millionths.
+    /// The sender's share of the customer's rate, in millionths.
     #[prost(uint32, tag = "5")]
     pub share_ppm: u32,
-    /// Whether a keeper told the sender that share.
+    /// Whether a coordinator assigned that share to the sender.
     #[prost(bool, tag = "6")]
     pub is_share_assigned: bool,
-    /// Requests that the sender was granted and did not use in time.
+    /// Number of granted requests that the sender did not use in time.
     #[prost(uint32, tag = "7")]
     pub unused: u32,
 }
 
-/// A keeper's answer to a [`TokenRequest`].
+/// A coordinator's answer to a [`TokenRequest`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct TokenGrant {
-    /// The customer.
+    /// Name of the customer.
     #[prost(string, tag = "1")]
     pub customer: String,
-    /// The ask that it answers.
+    /// Number of the request that this answers.
     #[prost(uint64, tag = "2")]
     pub number: u64,
-    /// Requests that the receiver may admit.
+    /// Number of requests that the receiver may admit.
     #[prost(uint32, tag = "3")]
     pub granted: u32,
-    /// Whether credit runs low.
+    /// Whether tokens are scarce.
     #[prost(bool, tag = "4")]
     pub scarce: bool,
-    /// Milliseconds after which the receiver may ask again.
+    /// Milliseconds after which the receiver may request tokens again.
     #[prost(uint32, tag = "5")]
     pub wait_ms: u32,
-    /// The receiver's share of the customer's credit from now on, in millionths.
+    /// The receiver's share of the customer's rate from now on, in millionths.
     #[prost(uint32, tag = "6")]
     pub share_ppm: u32,
 }
 
-/// A sign of life.
+/// A periodic message by which boxes know that the sender is running.
 #[derive(Clone, PartialEq, Message)]
 pub struct Heartbeat {
-    /// Whether the receiver should answer with a beacon that lists peers.
+    /// Whether the receiver should answer with a heartbeat that lists peers.
     #[prost(bool, tag = "1")]
     pub wants_reply: bool,
-    /// Whether the sender is about to end.
+    /// Whether the sender is about to stop.
     #[prost(bool, tag = "2")]
     pub stopping: bool,
-    /// The sender's view of the store; absent while it has none.
+    /// Version of the sender's view of the store, absent while it has none.
     #[prost(message, optional, tag = "3")]
     pub view_version: Option<ViewVersion>,
-    /// Boxes that the sender knows. Left out where the receiver needs none.
+    /// Boxes that the sender knows. Empty where the receiver needs none.
     #[prost(message, repeated, tag = "4")]
     pub peers: Vec<PeerRecord>,
     /// Requests under which targets ended.
     #[prost(message, repeated, tag = "5")]
     pub crashes: Vec<CrashRecord>,
-    /// Limits of targets.
+    /// Limits that targets announced.
     #[prost(message, repeated, tag = "6")]
     pub limits: Vec<TargetLimit>,
 }
 
-/// How new a view of the store is.
+/// The version and age of a box's view of the store.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct ViewVersion {
-    /// The store's revision up to which all changes are in the view.
+    /// Revision of the store up to which the view contains all changes.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Milliseconds since the read that gave it began.
+    /// Milliseconds since the start of the read that gave this view.
     #[prost(uint64, tag = "2")]
     pub age_ms: u64,
-    /// A hash over the targets, to see whether others are known.
+    /// Hash of the listed targets, by which a receiver detects that its own listing differs.
     #[prost(fixed64, tag = "3")]
     pub digest: u64,
-    /// The store's revision of the configuration that the sender holds; 0 for none.
+    /// Revision of the sender's configuration in the store, 0 for none.
     #[prost(uint64, tag = "4")]
     pub config_revision: u64,
-    /// Milliseconds since the read that showed that no newer one was in the store.
+    /// Milliseconds since the read that found no newer configuration in the store.
     #[prost(uint64, tag = "5")]
     pub config_age_ms: u64,
 }
 
-/// A box that another one knows.
+/// A box that the sender of a heartbeat knows.
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerRecord {
-    /// Its IP number, as a text.
+    /// IP address of the box in text form.
     #[prost(string, tag = "1")]
     pub host: String,
-    /// Its data centre.
+    /// Data centre of the box.
     #[prost(string, tag = "2")]
     pub data_centre: String,
-    /// Its name.
+    /// Name of the box.
     #[prost(string, tag = "3")]
     pub box_id: String,
-    /// Its incarnation.
+    /// Incarnation of the box.
     #[prost(fixed64, tag = "4")]
     pub incarnation: u64,
-    /// Milliseconds since it was last heard of.
+    /// Milliseconds since the box was last seen.
     #[prost(uint32, tag = "5")]
     pub age_ms: u32,
-    /// What its link carries, in megabits a second; 0 if unknown.
+    /// Capacity of the box's link in megabits a second, 0 if unknown.
     #[prost(uint32, tag = "6")]
     pub link_mbps: u32,
 }
 
-/// What a box saw of targets since it last told.
+/// Health samples that a box took from its own traffic since its last report.
 #[derive(Clone, PartialEq, Message)]
 pub struct PassiveSamples {
-    /// One for each target.
+    /// One sample for each target.
     #[prost(message, repeated, tag = "1")]
     pub targets: Vec<PassiveSample>,
-    /// What the sender got and sent again, for each service.
+    /// The sender's requests and retries, by service.
     #[prost(message, repeated, tag = "2")]
     pub service_counts: Vec<ServiceCounts>,
-    /// What is known of news that may come by more than one way.
+    /// Identity of this update, present if it may arrive on more than one path.
     #[prost(message, optional, tag = "3")]
     pub update_id: Option<UpdateId>,
-    /// Requests under which targets ended, of which something is new.
+    /// Requests under which targets ended, if their records have changed.
     #[prost(message, repeated, tag = "4")]
     pub crashes: Vec<CrashRecord>,
 }
 
-/// What boxes of a data centre leave in the store of requests that they refuse.
+/// The refused requests of a data centre, as its boxes write them to the store.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct CrashNote {
-    /// When it was written, in milliseconds since 1970 by the writer's clock.
+    /// Time of the write in milliseconds since 1970, by the writer's clock.
     #[prost(uint64, tag = "1")]
     pub written_ms: u64,
-    /// The requests, as they were then.
+    /// Records of the requests at that time.
     #[prost(message, repeated, tag = "2")]
     pub crashes: Vec<CrashRecord>,
 }
 
-/// A request under which targets ended. All that the sender knows of it, so that a later record makes
-/// good what was lost.
+/// A request under which targets ended. It contains the sender's complete record, so that a later message
+/// makes up for a lost one.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct CrashRecord {
-    /// The request's fingerprint.
+    /// Fingerprint of the request.
     #[prost(fixed64, tag = "1")]
     pub fingerprint: u64,
-    /// The targets' keys.
+    /// Keys of the targets that ended.
     #[prost(fixed64, repeated, tag = "2")]
     pub targets: Vec<u64>,
-    /// How long ago each of them ended, in milliseconds.
+    /// Milliseconds since the end of each of these targets, in the same order.
     #[prost(uint64, repeated, tag = "3")]
     pub ages_ms: Vec<u64>,
-    /// One more than the milliseconds since it succeeded; 0 if it did not.
+    /// Milliseconds since the request succeeded, plus one; 0 if it did not.
     #[prost(uint64, tag = "4")]
     pub succeeded_plus_one: u64,
 }
 
-/// By which news are told apart that may come twice.
+/// The identity of an update, by which receivers drop duplicates.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct UpdateId {
-    /// Rises with each piece of news of a box.
+    /// Number that rises with each update of a box.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Whether the receiver is to tell the other boxes of its data centre.
+    /// Whether the receiver is to relay the update to the other boxes of its data centre.
     #[prost(bool, tag = "2")]
     pub relay: bool,
-    /// Whose news they are, if not the sender's: its name, and its incarnation.
+    /// Name of the box that the update comes from, if that is not the sender.
     #[prost(string, tag = "3")]
     pub origin_id: String,
-    /// 0 if they are the sender's.
+    /// Incarnation of the box that the update comes from, 0 if that is the sender.
     #[prost(fixed64, tag = "4")]
     pub origin_incarnation: u64,
 }
 
-/// What a box got and sent again of one service within the last window.
+/// Requests and retries of a box at one service within the last window.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ServiceCounts {
-    /// The service.
+    /// Name of the service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// Requests.
+    /// Number of requests.
     #[prost(uint32, tag = "2")]
     pub requests: u32,
-    /// Sends beyond the first of a request.
+    /// Number of attempts beyond the first one of a request.
     #[prost(uint32, tag = "3")]
     pub retries: u32,
-    /// Retries of boxes that the sender heard of within the window and hears no more.
+    /// Retries of boxes that were responsive within the window and are not any more.
     #[prost(uint32, tag = "4")]
     pub unresponsive_retries: u32,
 }
 
-/// What a box saw of one target.
+/// A health sample of one target.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct PassiveSample {
-    /// The target's key.
+    /// Key of the target.
     #[prost(fixed64, tag = "1")]
     pub target: u64,
-    /// Attempts that went well.
+    /// Number of successful attempts.
     #[prost(uint32, tag = "2")]
     pub good: u32,
-    /// Attempts that failed.
+    /// Number of failed attempts.
     #[prost(uint32, tag = "3")]
     pub bad: u32,
-    /// Attempts that are open for too long.
+    /// Number of attempts that have been open for too long.
     #[prost(uint32, tag = "4")]
     pub overdue: u32,
-    /// The time of a good one without its wait, in thousandths of what is usual for its
-    /// route; 0 if unknown.
+    /// Latency of a successful attempt, without its wait for a slot, in thousandths of the typical time of
+    /// its route; 0 if unknown.
     #[prost(uint32, tag = "5")]
     pub latency_permille: u32,
-    /// One more than the requests that the target last said it holds; 0 if it said nothing.
+    /// Number of requests that the target last reported to hold, plus one; 0 if it reported none.
     #[prost(uint32, tag = "6")]
     pub held_plus_one: u32,
-    /// One more than the attempts that the sender has open there; 0 if it tells none.
+    /// Number of the sender's open attempts at the target, plus one; 0 if the sender does not report it.
     #[prost(uint32, tag = "7")]
     pub open_plus_one: u32,
-    /// Whether another instance answers at its address.
+    /// Whether another instance answers at the target's address.
     #[prost(bool, tag = "8")]
     pub replaced: bool,
-    /// Those open attempts whose age tells of the target.
+    /// Open attempts whose age is evidence about the target.
     #[prost(message, repeated, tag = "9")]
     pub informative: Vec<OpenAttempt>,
-    /// Whether the target has said in an answer that it leaves.
+    /// Whether the target has announced in an answer that it is draining.
     #[prost(bool, tag = "10")]
     pub draining: bool,
-    /// What it said of its limit over all boxes, if that is new.
+    /// Limit over all boxes that the target announced, if that has changed.
     #[prost(message, optional, tag = "11")]
     pub limit: Option<TargetLimit>,
 }
 
-/// An open attempt, beside what is usual for its route.
+/// An open attempt, with the typical time of its route.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct OpenAttempt {
-    /// For how long it is open, its wait for a slot left out, in milliseconds.
+    /// Milliseconds for which the attempt has been open, without its wait for a slot.
     #[prost(uint32, tag = "1")]
     pub age_ms: u32,
-    /// The usual time of its route, in milliseconds.
+    /// Typical time of the attempt's route, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub typical_ms: u32,
 }
 
-/// What a box asks of a peer over a connection: one question, one reply.
+/// A question to a peer over a connection, which carries one question and one reply.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct ExchangeRequest {
-    /// What is asked for.
+    /// The question.
     #[prost(oneof = "ExchangeQuestion", tags = "1, 2")]
     pub question: Option<ExchangeQuestion>,
 }
 
-/// A question to a peer.
+/// The content of an [`ExchangeRequest`].
 #[derive(Clone, Copy, PartialEq, Eq, Oneof)]
 pub enum ExchangeQuestion {
-    /// Which targets the store lists; answered by [`TargetsReply`].
+    /// Asks for the targets that the store lists, answered by [`TargetsReply`].
     #[prost(message, tag = "1")]
     Targets(TargetsRequest),
-    /// Which configuration is in force; answered by [`ConfigReply`].
+    /// Asks for the configuration in force, answered by [`ConfigReply`].
     #[prost(message, tag = "2")]
     Config(ConfigRequest),
 }
 
-/// Asks for the listing of targets.
+/// A request for the listing of targets.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct TargetsRequest {
-    /// The hash over the targets that the asker knows; 0 to have all of them sent.
+    /// Hash of the targets that the requester has, 0 to request a complete listing.
     #[prost(fixed64, tag = "1")]
     pub digest: u64,
 }
 
-/// A listing of targets, or what became of the one that the asker knows.
+/// A listing of targets, complete or as a delta to the requester's listing.
 #[derive(Clone, PartialEq, Message)]
 pub struct TargetsReply {
-    /// How new it is; absent if the peer has none.
+    /// Version of the listing, absent if the peer has none.
     #[prost(message, optional, tag = "1")]
     pub version: Option<ViewVersion>,
-    /// The hash over the targets to which the rest is the difference; 0 if these are all.
+    /// Hash of the targets that this reply is a delta to, 0 if the listing is complete.
     #[prost(fixed64, tag = "2")]
     pub base: u64,
-    /// Names of targets that are gone.
+    /// Names of removed targets.
     #[prost(string, repeated, tag = "4")]
     pub removed: Vec<String>,
-    /// Data centres whose targets get nothing, in the order of their names.
+    /// Evacuated data centres, whose targets get no requests, in the order of their names.
     #[prost(string, repeated, tag = "5")]
     pub evacuated: Vec<String>,
-    /// Targets that are new or different, or all of them: compressed lists of [`TargetRecords`].
+    /// Targets that are new or have changed, or all of them, as compressed [`TargetRecords`].
     #[prost(bytes = "vec", repeated, tag = "6")]
     pub parts: Vec<Vec<u8>>,
-    /// Whether the peer sends to as many others as it can already, so that there are none.
+    /// Whether all of the peer's transfer slots are in use, so that the reply contains no targets.
     #[prost(bool, tag = "7")]
     pub busy: bool,
 }
@@ -358,44 +358,44 @@
     pub targets: Vec<TargetRecord>,
 }
 
-/// Asks for a configuration.
+/// A request for a configuration.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct ConfigRequest {
-    /// The store's revision of the configuration that the asker holds; 0 for none.
+    /// Revision of the requester's configuration in the store, 0 for none.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
 }
 
-/// A configuration, as steps from the one that the asker holds.
+/// A configuration, as a chain of deltas from the requester's one.
 #[derive(Clone, PartialEq, Message)]
 pub struct ConfigReply {
-    /// The store's revision of the configuration that the peer holds; 0 for none.
+    /// Revision of the peer's configuration in the store, 0 for none.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Milliseconds since the read that showed that no newer one was in the store.
+    /// Milliseconds since the read that found no newer configuration in the store.
     #[prost(uint64, tag = "2")]
     pub age_ms: u64,
-    /// Whether the peer sends to as many others as it can already, so that there are no steps.
+    /// Whether all of the peer's transfer slots are in use, so that the reply contains no deltas.
     #[prost(bool, tag = "3")]
     pub busy: bool,
-    /// Boxes to which the peer has sent this configuration, as texts.
+    /// Addresses in text form of boxes to which the peer has sent this configuration.
     #[prost(string, repeated, tag = "4")]
     pub seeders: Vec<String>,
-    /// To be taken one after the other. None if the peer holds nothing newer.
+    /// Deltas to apply in order. Empty if the peer has nothing newer.
     #[prost(message, repeated, tag = "5")]
     pub deltas: Vec<ConfigDelta>,
 }
 
-/// What makes one configuration of another one.
+/// A patch that makes one configuration of another one.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ConfigDelta {
-    /// The store's revision of the configuration before; 0 if that is the empty text.
+    /// Revision of the base configuration in the store, 0 if the base is the empty text.
     #[prost(uint64, tag = "1")]
     pub from: u64,
-    /// The store's revision of the configuration that it makes.
+    /// Revision of the resulting configuration in the store.
     #[prost(uint64, tag = "2")]
     pub to: u64,
-    /// A hash over the text that it makes.
+    /// Hash of the resulting text.
     #[prost(fixed64, tag = "3")]
     pub hash: u64,
     /// A compressed [`TextPatch`].
@@ -403,14 +403,14 @@
     pub patch: Vec<u8>,
 }
 
-/// A text as pieces of another one and what is new between them.
+/// A text, expressed as pieces of another text and inserted bytes.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct TextPatch {
-    /// Three numbers a piece: how many of the new bytes come next, and then where in the old
-    /// text how many bytes are taken from.
+    /// Three numbers for each piece: how many inserted bytes precede it, its offset in the old text, and
+    /// its length.
     #[prost(uint32, repeated, tag = "1")]
     pub pieces: Vec<u32>,
-    /// The new bytes, one piece after the other.
+    /// The inserted bytes of all pieces, concatenated.
     #[prost(bytes = "vec", tag = "2")]
     pub new: Vec<u8>,
 }
@@ -418,31 +418,31 @@
 /// A target as the store lists it.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct TargetRecord {
-    /// The instance's name.
+    /// Name of the instance.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// Where it listens.
+    /// Address at which the instance listens.
     #[prost(string, tag = "2")]
     pub address: String,
-    /// Its service.
+    /// Service of the instance.
     #[prost(string, tag = "3")]
     pub service: String,
-    /// Its data centre.
+    /// Data centre of the instance.
     #[prost(string, tag = "4")]
     pub data_centre: String,
-    /// Requests that it works on at once.
+    /// Number of requests that the instance processes concurrently.
     #[prost(uint32, tag = "5")]
     pub slots: u32,
-    /// Whether it leaves.
+    /// Whether the instance is draining.
     #[prost(bool, tag = "6")]
     pub draining: bool,
-    /// For how long it is still slow from its start, in milliseconds.
+    /// Milliseconds for which the instance is still slow after its start.
     #[prost(uint64, tag = "7")]
     pub cold_ms: u64,
-    /// When it started, in milliseconds of its own clock since 1970; 0 if it did not tell.
+    /// Start of the instance in milliseconds since 1970, by its own clock; 0 if it did not report it.
     #[prost(uint64, tag = "8")]
     pub born_ms: u64,
-    /// Whether it said that it is slow from its start.
+    /// Whether the instance reported that it is still slow after its start.
     #[prost(bool, tag = "9")]
     pub is_cold: bool,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,9 +1,9 @@
-//! Messages between wingbridge's own processes, and how they are framed.
+//! Messages between wingbridge's own processes, and their framing.
 //!
-//! `prost` encodes them by derive, so the build needs no generator; the length
-//! prefix and the buffering are `tokio-util`'s, over `futures-io` by its compat
-//! layer. Before the first frame both ends prove that they know the fleet key
-//! (see [`handshake`]); a stranger's bytes are never parsed as messages.
+//! `prost` derives the encoding from the message types, so the build needs no code generator. Length
+//! prefix and buffering come from `tokio-util`, over `futures-io` through its compat layer. Before the
+//! first frame both ends prove that they have the fleet key (see [`handshake`]). Bytes of an
+//! unauthenticated peer are never parsed as messages.
 
 pub mod convert;
 pub mod error;
@@ -14,6 +14,8 @@
 pub mod messages;
 
 pub use error::{ErrorKind, WireError};
-pub use frame::{FrameReader, FrameWriter, MAX_FRAME, receive_message, send_message, split_stream};
+pub use frame::{
+    FrameReader, FrameWriter, MAX_FRAME_BYTES, receive_message, send_message, split_stream,
+};
 pub use handshake::{FleetKey, HandshakeSide};
 pub use messages::*;
--- a/crates/wire/src/limits.rs
+++ b/crates/wire/src/limits.rs
@@ -1,73 +1,73 @@
-//! What boxes tell each other of targets that have named a limit over all boxes: the limit itself, and
-//! the permits to send there.
+//! Messages about targets that have announced a limit over all boxes: the limit itself, and permits to send
+//! requests to the target.
 
 use prost::Message;
 
-/// What a target said last of its limit, as far as the sender knows.
+/// The last limit that a target announced, as known to the sender.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct TargetLimit {
-    /// The target's key.
+    /// Key of the target.
     #[prost(fixed64, tag = "1")]
     pub target: u64,
-    /// Whether it has a limit; else it has none any more.
+    /// Whether the target has a limit. If not, it has withdrawn an earlier one.
     #[prost(bool, tag = "2")]
     pub limited: bool,
-    /// The limit, in millionths of a request a second.
+    /// Limit in millionths of a request a second.
     #[prost(uint64, tag = "3")]
     pub millionths: u64,
-    /// Milliseconds since a box heard it.
+    /// Milliseconds since a box received the announcement from the target.
     #[prost(uint64, tag = "4")]
     pub age_ms: u64,
 }
 
-/// Permits between a box and the boxes that keep them.
+/// Requests for permits and replies, between a box and a coordinator.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct PermitMessage {
-    /// What the sender asks of the receiver.
+    /// Requests from the sender to the receiver.
     #[prost(message, repeated, tag = "1")]
     pub requests: Vec<PermitRequest>,
-    /// What the sender answers the receiver.
+    /// Replies from the sender to the receiver.
     #[prost(message, repeated, tag = "2")]
     pub replies: Vec<PermitReply>,
 }
 
-/// An ask for one permit.
+/// A request for one permit.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct PermitRequest {
-    /// Another number for each ask of a box.
+    /// Number that is unique among the requests of a box.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// What the sender knows of the limit that the target names; absent if it never named one.
+    /// Limit of the target as known to the sender, absent if the target never announced one.
     #[prost(message, optional, tag = "2")]
     pub limit: Option<TargetLimit>,
-    /// The target's key.
+    /// Key of the target.
     #[prost(fixed64, tag = "3")]
     pub target: u64,
-    /// One more than what the target takes since it is cold, in millionths of a request a second; 0 if the
-    /// sender doesn't know it to be cold.
+    /// Rate that the target accepts while it is cold, in millionths of a request a second, plus one; 0 if the
+    /// target is not cold as far as the sender knows.
     #[prost(uint64, tag = "4")]
     pub cold_plus_one: u64,
 }
 
-/// The answer to a [`PermitRequest`].
+/// A reply to a [`PermitRequest`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct PermitReply {
-    /// The ask that it answers.
+    /// Number of the request that this answers.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// Whether the request may be sent.
     #[prost(bool, tag = "2")]
     pub granted: bool,
-    /// Milliseconds after which there may be a permit, if there is none.
+    /// Milliseconds after which a permit may be available, if it was denied.
     #[prost(uint32, tag = "3")]
     pub wait_ms: u32,
-    /// Whether the sender does not keep the permits of that target.
+    /// Whether the sender is not the coordinator for that target.
     #[prost(bool, tag = "5")]
     pub redirected: bool,
-    /// Who does by the sender's view, as a text; empty if it does not know yet.
+    /// Address in text form of the coordinator in the sender's view, empty if it has not determined one yet.
     #[prost(string, tag = "6")]
     pub coordinator: String,
-    /// What the sender knows of the limit.
+    /// Limit of the target as known to the sender.
     #[prost(message, optional, tag = "4")]
     pub limit: Option<TargetLimit>,
 }
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -1,221 +1,223 @@
-//! The messages. Tags are never reused; a field that is gone leaves its tag free.
+//! Messages between agents, and between an agent and its proxy. Tags are never reused: the tag of a removed
+//! field stays unassigned.
 
 use prost::{Message, Oneof};
 
-/// One message with the sender's clock.
+/// A message with the sender's clock.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
-    /// The sender's hybrid logical clock.
+    /// Time of the sender's hybrid logical clock.
     #[prost(fixed64, tag = "1")]
     pub clock: u64,
-    /// What is said.
+    /// Content of the message.
     #[prost(oneof = "FrameBody", tags = "2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15")]
     pub body: Option<FrameBody>,
 }
 
-/// What a message says.
+/// The content of a [`Frame`].
 #[derive(Clone, PartialEq, Oneof)]
 pub enum FrameBody {
-    /// First on each connection.
+    /// First message on each connection.
     #[prost(message, tag = "2")]
     Hello(Hello),
     /// Entries of configuration or membership.
     #[prost(message, tag = "3")]
     Entries(Entries),
-    /// What the sender holds, in short.
+    /// Hash over all of the sender's entries.
     #[prost(message, tag = "4")]
     Digest(Digest),
-    /// What the sender holds, per bucket.
+    /// Hash over the sender's entries, for each bucket of keys.
     #[prost(message, tag = "5")]
     Buckets(Buckets),
-    /// The stamps that the sender holds in some buckets.
+    /// Versions of the sender's entries in some buckets.
     #[prost(message, tag = "6")]
     Stamps(Stamps),
-    /// Asks for entries.
+    /// Request for entries.
     #[prost(message, tag = "7")]
     Fetch(Fetch),
-    /// What a box saw.
+    /// Observations of a box about its targets.
     #[prost(message, tag = "8")]
     Evidence(Evidence),
-    /// What a judge found.
+    /// Verdicts of an outlier detector.
     #[prost(message, tag = "9")]
     Verdicts(Verdicts),
-    /// A target is leaving.
+    /// A target is draining.
     #[prost(message, tag = "10")]
     Draining(TargetDraining),
-    /// What a proxy has put in force.
+    /// Versions of the entries that a proxy has put in force.
     #[prost(message, tag = "11")]
     InForce(Stamps),
-    /// A proxy's state, sent regularly.
+    /// State of a proxy, sent periodically.
     #[prost(message, tag = "12")]
     ProxyState(ProxyState),
-    /// Events of the time line.
+    /// Events of the event trace.
     #[prost(message, tag = "13")]
     Events(Events),
-    /// Whether the proxy may be ready.
+    /// Whether the proxy may report that it is ready.
     #[prost(message, tag = "14")]
     Readiness(Readiness),
-    /// All entries that the agent holds have been sent.
+    /// The agent has sent all of its entries.
     #[prost(message, tag = "15")]
     CaughtUp(CaughtUp),
 }
 
-/// Who is at the other end.
+/// The identity of the sender, as the first message on a connection.
 #[derive(Clone, PartialEq, Message)]
 pub struct Hello {
-    /// The box.
+    /// Name of the box.
     #[prost(string, tag = "1")]
     pub box_id: String,
-    /// Its data centre.
+    /// Data centre of the box.
     #[prost(string, tag = "2")]
     pub data_centre: String,
-    /// Another number after each start, so a box that returns is a new box.
+    /// Identifier that differs after each start, so a restarted box counts as a new one.
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
 }
 
-/// The order of two versions of one key: generation, then revision, then change.
-/// The generation counts the operators' changes of that key and is part of the
-/// value, so that a store that went back to an older state takes nothing back.
+/// The version of a key. Versions are ordered by generation, then revision, then change.
+///
+/// The generation counts the operators' changes of the key and is part of the value, so that a store that
+/// was restored to an older state does not revert any change.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Message)]
 pub struct Stamp {
-    /// Counts the changes of the key.
+    /// Number of changes of the key.
     #[prost(uint64, tag = "1")]
     pub generation: u64,
-    /// The store's revision of the key.
+    /// Revision of the key in the store.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// The change's id.
+    /// Identifier of the change.
     #[prost(string, tag = "3")]
     pub change: String,
 }
 
-/// One key's value.
+/// The value of a key.
 #[derive(Clone, PartialEq, Message)]
 pub struct Entry {
-    /// The key.
+    /// Name of the key.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Its version.
+    /// Version of the value.
     #[prost(message, required, tag = "2")]
     pub stamp: Stamp,
-    /// Whether the key is deleted.
+    /// Whether the key was deleted.
     #[prost(bool, tag = "3")]
     pub deleted: bool,
-    /// The value's text.
+    /// Text of the value.
     #[prost(string, tag = "4")]
     pub text: String,
-    /// Who changed it.
+    /// Author of the change.
     #[prost(string, tag = "5")]
     pub author: String,
-    /// When, in milliseconds since 1970, on the author's clock.
+    /// Time of the change in milliseconds since 1970, by the author's clock.
     #[prost(uint64, tag = "6")]
     pub changed_at: u64,
 }
 
-/// Several entries.
+/// A list of entries.
 #[derive(Clone, PartialEq, Message)]
 pub struct Entries {
     /// The entries.
     #[prost(message, repeated, tag = "1")]
     pub entries: Vec<Entry>,
-    /// Whether they are news that the receiver should push on.
+    /// Whether the entries are updates that the receiver should forward to its neighbours.
     #[prost(bool, tag = "2")]
     pub push: bool,
 }
 
-/// A hash over all that a box holds.
+/// A hash over all entries of a box.
 #[derive(Clone, PartialEq, Message)]
 pub struct Digest {
-    /// The hash.
+    /// Hash over all entries.
     #[prost(fixed64, tag = "1")]
     pub root: u64,
-    /// Whether most of what the box tries fails.
+    /// Whether most attempts of the box fail.
     #[prost(bool, tag = "2")]
     pub failing: bool,
-    /// Whether this answers a digest, so that it needs no answer.
+    /// Whether this is the answer to a digest, which needs no answer itself.
     #[prost(bool, tag = "3")]
     pub answer: bool,
 }
 
-/// A hash for each bucket of keys.
+/// Hashes over the entries of a box, one for each bucket of keys.
 #[derive(Clone, PartialEq, Message)]
 pub struct Buckets {
-    /// The hashes, by bucket.
+    /// Hash of each bucket, by bucket number.
     #[prost(fixed64, repeated, tag = "1")]
     pub hashes: Vec<u64>,
 }
 
-/// A key's version.
+/// A key with its version.
 #[derive(Clone, PartialEq, Message)]
 pub struct KeyStamp {
-    /// The key.
+    /// Name of the key.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Its version.
+    /// Version of the value.
     #[prost(message, required, tag = "2")]
     pub stamp: Stamp,
 }
 
-/// Versions of several keys.
+/// Versions of the keys in some buckets.
 #[derive(Clone, PartialEq, Message)]
 pub struct Stamps {
-    /// The versions.
+    /// Versions of the keys.
     #[prost(message, repeated, tag = "1")]
     pub stamps: Vec<KeyStamp>,
-    /// Which buckets they cover, whole.
+    /// Numbers of the buckets that the versions cover completely.
     #[prost(uint32, repeated, tag = "2")]
     pub buckets: Vec<u32>,
 }
 
-/// Asks for the entries of some keys.
+/// A request for the entries of some keys.
 #[derive(Clone, PartialEq, Message)]
 pub struct Fetch {
-    /// The keys.
+    /// Names of the requested keys.
     #[prost(string, repeated, tag = "1")]
     pub keys: Vec<String>,
 }
 
-/// What a box saw of its targets.
+/// Observations of a box about its targets.
 #[derive(Clone, PartialEq, Message)]
 pub struct Evidence {
-    /// The box.
+    /// Name of the box.
     #[prost(string, tag = "1")]
     pub box_id: String,
-    /// Its data centre.
+    /// Data centre of the box.
     #[prost(string, tag = "2")]
     pub data_centre: String,
-    /// What it saw, per service.
+    /// Observations by service.
     #[prost(message, repeated, tag = "3")]
     pub services: Vec<ServiceEvidence>,
 }
 
-/// What a box saw of one service.
+/// Observations of a box about one service.
 #[derive(Clone, PartialEq, Message)]
 pub struct ServiceEvidence {
-    /// The service.
+    /// Name of the service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// What it saw, per target.
+    /// Observations by target.
     #[prost(message, repeated, tag = "2")]
     pub targets: Vec<TargetEvidence>,
 }
 
-/// What a box saw of one target.
+/// Observations of a box about one target.
 #[derive(Clone, PartialEq, Message)]
 pub struct TargetEvidence {
-    /// The target's key.
+    /// Key of the target.
     #[prost(fixed64, tag = "1")]
     pub target: u64,
-    /// Samples, packed: kind in bits 0 and 1, latency bucket in bits 2 to 9, count above.
+    /// Packed samples: kind in bits 0 and 1, latency bucket in bits 2 to 9, count above.
     #[prost(uint32, repeated, tag = "2")]
     pub samples: Vec<u32>,
-    /// The highest load that it reported, in hundredths of its slots; 0 if it did not.
+    /// Highest load that the target reported, in hundredths of its slots; 0 if it reported none.
     #[prost(uint32, tag = "3")]
     pub load: u32,
 }
 
-/// What judges found.
+/// A list of verdicts.
 #[derive(Clone, PartialEq, Message)]
 pub struct Verdicts {
     /// The verdicts.
@@ -223,118 +225,119 @@
     pub verdicts: Vec<VerdictMessage>,
 }
 
-/// What a judge found about one target.
+/// The verdict of an outlier detector on one target.
 #[derive(Clone, PartialEq, Message)]
 pub struct VerdictMessage {
-    /// The service.
+    /// Name of the service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// The target's key.
+    /// Key of the target.
     #[prost(fixed64, tag = "2")]
     pub target: u64,
-    /// Whether it was convicted; else it was acquitted.
+    /// Whether the target was convicted. If not, it was acquitted.
     #[prost(bool, tag = "3")]
     pub convicted: bool,
-    /// For whom: 0 path, 1 data centre, 2 target.
+    /// Scope of the verdict: 0 for the path, 1 for the data centre, 2 for the target.
     #[prost(uint32, tag = "4")]
     pub scope: u32,
-    /// How often it was ejected lately.
+    /// Number of recent ejections of the target.
     #[prost(uint32, tag = "5")]
     pub flaps: u32,
-    /// The judge's clock, in microseconds.
+    /// Time of the verdict by the detector's clock, in microseconds.
     #[prost(uint64, tag = "6")]
     pub stamp: u64,
-    /// What speaks for it most: 0 errors, 1 stalls, 2 slowness.
+    /// Main cause: 0 for errors, 1 for stalls, 2 for slowness.
     #[prost(uint32, tag = "7")]
     pub cause: u32,
 }
 
-/// A target takes no new work.
+/// A notification that a target is draining and accepts no new requests.
 #[derive(Clone, PartialEq, Message)]
 pub struct TargetDraining {
-    /// The service.
+    /// Name of the service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// The target's key.
+    /// Key of the target.
     #[prost(fixed64, tag = "2")]
     pub target: u64,
-    /// Who saw it first, and its number there: the same news is passed on once.
+    /// Box that first observed it. Together with `number` it identifies the notification, so that each box
+    /// forwards it once.
     #[prost(string, tag = "3")]
     pub origin: String,
-    /// The number at the origin.
+    /// Number of the notification at its origin.
     #[prost(uint64, tag = "4")]
     pub number: u64,
 }
 
-/// A proxy's state, for operators.
+/// The state of a proxy, for operators.
 #[derive(Clone, PartialEq, Message)]
 pub struct ProxyState {
-    /// Targets that are not simply healthy, and why.
+    /// Targets in any other state than healthy, with the reason.
     #[prost(message, repeated, tag = "1")]
     pub targets: Vec<TargetState>,
-    /// Requests that are open or wait.
+    /// Number of requests that are open or queued.
     #[prost(uint64, tag = "2")]
     pub requests_held: u64,
-    /// Whether it takes requests.
+    /// Whether the proxy accepts requests.
     #[prost(bool, tag = "3")]
     pub ready: bool,
-    /// Whether most of what it tries fails.
+    /// Whether most attempts of the proxy fail.
     #[prost(bool, tag = "4")]
     pub failing: bool,
 }
 
-/// A target as one box holds it.
+/// The state of a target in one box.
 #[derive(Clone, PartialEq, Message)]
 pub struct TargetState {
-    /// The service.
+    /// Name of the service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// The target's address.
+    /// Address of the target.
     #[prost(string, tag = "2")]
     pub target: String,
-    /// Its state in the chart.
+    /// Name of the state in the target health state chart.
     #[prost(string, tag = "3")]
     pub state: String,
-    /// Milliseconds in that state.
+    /// Milliseconds since the target entered that state.
     #[prost(uint64, tag = "4")]
     pub for_ms: u64,
-    /// Why, in words.
+    /// Reason in words.
     #[prost(string, tag = "5")]
     pub reason: String,
-    /// For whom: path, data centre, target or hand.
+    /// Scope of the ejection: `path`, `data centre`, `target` or `hand`.
     #[prost(string, tag = "6")]
     pub scope: String,
-    /// Whether the box sends it nothing.
+    /// Whether the box sends no requests to the target.
     #[prost(bool, tag = "7")]
     pub excluded: bool,
-    /// Whether the floor kept it in service though it was to be ejected.
+    /// Whether the floor keeps the target in service although it was to be ejected.
     #[prost(bool, tag = "8")]
     pub kept_by_floor: bool,
 }
 
-/// Events of the time line, each as JSON.
+/// Events of the event trace.
 #[derive(Clone, PartialEq, Message)]
 pub struct Events {
-    /// The events.
+    /// The events, each one as JSON.
     #[prost(string, repeated, tag = "1")]
     pub events: Vec<String>,
 }
 
-/// Whether a proxy may be ready.
+/// Whether a proxy may report that it is ready.
 #[derive(Clone, PartialEq, Message)]
 pub struct Readiness {
-    /// Whether it may.
+    /// Whether the proxy may be ready.
     #[prost(bool, tag = "1")]
     pub allowed: bool,
-    /// Why not.
+    /// Reason, if it may not.
     #[prost(string, tag = "2")]
     pub reason: String,
 }
 
-/// All that the agent holds has been sent.
+/// A notification that the agent has sent all of its entries.
 #[derive(Clone, PartialEq, Message)]
 pub struct CaughtUp {
-    /// Whether the agent itself has asked several peers and the store.
+    /// Whether the agent itself has synchronized with several peers and the store.
     #[prost(bool, tag = "1")]
     pub complete: bool,
 }
--- a/crates/wire/tests/conversions.rs
+++ b/crates/wire/tests/conversions.rs
@@ -1,4 +1,4 @@
-//! What is packed for the wire comes back as it was.
+//! Tests of the conversions between wire messages and the types of the decision core.
 
 use proptest::prelude::*;
 use prost::Message;
@@ -23,31 +23,31 @@
 
 proptest! {
     #[test]
-    fn evidence_comes_back_as_it_was(
+    fn evidence_survives_encoding_and_decoding(
         targets in prop::collection::vec((any::<u64>(), prop::collection::vec(sample(), 0..5)), 0..5),
     ) {
-        let seen = |(key, samples): &(u64, Vec<Sample>)| TargetSamples {
+        let to_samples = |(key, samples): &(u64, Vec<Sample>)| TargetSamples {
             samples: samples.clone(),
             ..TargetSamples::new(TargetKey(*key))
         };
         let batch = EvidenceBatch {
             service: "huts".into(),
-            targets: targets.iter().map(seen).collect(),
+            targets: targets.iter().map(to_samples).collect(),
         };
         let evidence = Evidence {
             box_id: "box-1".into(),
             data_centre: "dc-1".into(),
             services: vec![service_evidence(&batch)],
         };
-        let decoded = Evidence::decode(&*evidence.encode_to_vec()).expect("our own encoding");
+        let decoded = Evidence::decode(&*evidence.encode_to_vec()).expect("decodes a message that was just encoded");
         let (source, batches) = batches_of(&decoded);
         prop_assert_eq!(&*source.box_id, "box-1");
         prop_assert_eq!(batches, vec![batch]);
     }
 
-    /// Bytes that are no message are refused, and nothing worse.
+    /// Guards against panics while decoding arbitrary bytes from the network.
     #[test]
-    fn any_bytes_are_taken_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_decode_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = Frame::decode(&*bytes);
     }
 }
