--- a/crates/decide/tests/peer_subset.rs
+++ b/crates/decide/tests/peer_subset.rs
@@ -1,4 +1,4 @@
-//! Who is told of all that a box sees.
+//! The peers to which a box sends full reports.
 
 use std::time::Duration;
 
@@ -10,61 +10,63 @@
 
 struct FleetCase {
     boxes: usize,
-    told: usize,
+    /// Number of peers that get full reports from each box.
+    full_reports: usize,
 }
 
 const FLEETS: &[FleetCase] = &[
-    FleetCase { boxes: 1, told: 0 },
-    FleetCase { boxes: 36, told: 35 },
-    FleetCase { boxes: 89, told: PEER_SUBSET_SIZE },
-    FleetCase { boxes: 300, told: PEER_SUBSET_SIZE },
+    FleetCase { boxes: 1, full_reports: 0 },
+    FleetCase { boxes: 36, full_reports: 35 },
+    FleetCase { boxes: 89, full_reports: PEER_SUBSET_SIZE },
+    FleetCase { boxes: 300, full_reports: PEER_SUBSET_SIZE },
 ];
 
 fn names(boxes: usize) -> Vec<Name> {
     (0..boxes).map(|number| Name::from(format!("box-{number}").as_str())).collect()
 }
 
-/// Whom a box tells, of all others.
-fn told_by(own: &Name, all: &[Name]) -> Vec<Name> {
+/// Returns the peers in `all` to which the box `own` sends full reports.
+fn full_report_peers(own: &Name, all: &[Name]) -> Vec<Name> {
     let others: Vec<Name> = all.iter().filter(|name| *name != own).cloned().collect();
     peer_subset(own, &others, |name| name).into_iter().cloned().collect()
 }
 
-/// What each box sends and takes in grew with the boxes of its data centre: at 443 boxes in five
-/// of them most days took more processor time than they may.
+/// With full reports to every peer, the data that a box sends and receives grew with the number of boxes in
+/// its data centre. With 443 boxes in five data centres, most days exceeded the bound on processor time.
 #[test]
-fn what_a_box_sends_does_not_grow_with_the_boxes() {
+fn full_reports_do_not_grow_with_the_number_of_boxes() {
     for case in FLEETS {
         let all = names(case.boxes);
-        let mut heard = vec![0; case.boxes];
+        let mut received = vec![0; case.boxes];
         for own in &all {
-            let told = told_by(own, &all);
-            assert_eq!(told.len(), case.told, "{} boxes", case.boxes);
-            for name in told {
-                heard[all.iter().position(|known| *known == name).expect("a box")] += 1;
+            let peers = full_report_peers(own, &all);
+            assert_eq!(peers.len(), case.full_reports, "{} boxes", case.boxes);
+            for name in peers {
+                received[all.iter().position(|known| *known == name).expect("unknown box")] += 1;
             }
         }
-        let (least, most) = (heard.iter().min(), heard.iter().max());
-        let least = least.copied().unwrap_or_default() as f64;
-        let most = most.copied().unwrap_or_default() as f64;
-        assert!(least >= case.told as f64 * 0.4, "{} boxes: {least}", case.boxes);
-        assert!(most <= case.told as f64 * 1.7, "{} boxes: {most}", case.boxes);
+        let (min, max) = (received.iter().min(), received.iter().max());
+        let min = min.copied().unwrap_or_default() as f64;
+        let max = max.copied().unwrap_or_default() as f64;
+        assert!(min >= case.full_reports as f64 * 0.4, "{} boxes: {min}", case.boxes);
+        assert!(max <= case.full_reports as f64 * 1.7, "{} boxes: {max}", case.boxes);
     }
 }
 
 #[test]
-fn listeners_stay_when_others_come_and_go() {
+fn peers_stay_the_same_when_another_box_leaves() {
     let all = names(89);
-    let before = told_by(&all[0], &all);
+    let before = full_report_peers(&all[0], &all);
     let fewer: Vec<Name> = all.iter().filter(|name| **name != before[0]).cloned().collect();
-    let after = told_by(&all[0], &fewer);
+    let after = full_report_peers(&all[0], &fewer);
     let kept = after.iter().filter(|name| before.contains(name)).count();
     assert_eq!(kept, before.len() - 1);
 }
 
-/// A box counts what those tell that tell it all, so its part of the slack is theirs.
+/// A box counts the retries of the boxes whose full reports it receives, so its share of the slack is in
+/// proportion to their number.
 #[test]
-fn the_slack_of_retries_goes_by_the_boxes_that_are_heard() {
+fn retry_slack_is_proportional_to_reporting_boxes() {
     let window = Duration::from_secs(10);
     let mut core = SteerCore::new(SteerSetup {
         data_centre: "near".into(),
@@ -76,7 +78,7 @@
     core.set_boxes(89, 443);
     let now = TimePoint::default() + window;
     let spent = (0..1000).filter(|_| core.spend_retry(now, "orders", RetryUse::Repeat)).count();
-    let part = 630.0 * reporting_boxes(89) as f64 / 443.0;
-    assert!(spent as f64 <= part, "{spent} of {part}");
-    assert!(spent as f64 >= part * 0.8, "{spent} of {part}");
+    let share = 630.0 * reporting_boxes(89) as f64 / 443.0;
+    assert!(spent as f64 <= share, "{spent} retries of a share of {share}");
+    assert!(spent as f64 >= share * 0.8, "{spent} retries of a share of {share}");
 }
--- a/crates/decide/tests/target_keys.rs
+++ b/crates/decide/tests/target_keys.rs
@@ -1,9 +1,10 @@
-//! Keys of targets between boxes.
+//! Keys that identify targets between boxes.
 //!
-//! The start of a life went into the key as the seed of a hash. For short names the seed is little more than added to the
-//! name's bytes, so that two targets whose names differ as their starts do had one key: `t-3` of 3 and `t-7` of 7. They
-//! shared one record, and the second of them was taken for new with each listing: a rest that it had
-//! asked for was lost, and it got 13 requests of one box within 2.2 s.
+//! The start of an incarnation used to be the seed of the key's hash. For short names the seed is little more
+//! than added to the bytes of the name, so that targets whose names and starts differ by the same amount had
+//! the same key, such as `t-3` started at 3 and `t-7` started at 7. They shared one record, and the second of
+//! them counted as new with each listing: its back-off was lost, and one box sent it 13 requests within
+//! 2.2 s.
 
 use std::collections::HashMap;
 
@@ -11,32 +12,32 @@
 use wingbridge_decide::TargetKey;
 
 #[test]
-fn targets_whose_names_differ_as_their_starts_do_have_keys_of_their_own() {
+fn keys_differ_when_names_and_starts_differ_by_the_same_amount() {
     let mut known: HashMap<TargetKey, (String, u64)> = HashMap::new();
     for born_ms in 0..64 {
         for number in 0..64 {
             let id = format!("t-{number}");
             let key = TargetKey::of_incarnation(&id, born_ms);
             if let Some(other) = known.insert(key, (id.clone(), born_ms)) {
-                panic!("{id} of {born_ms} has the key of {other:?}");
+                panic!("{id} started at {born_ms} has the key of {other:?}");
             }
         }
     }
 }
 
 #[test]
-fn a_life_whose_start_is_not_known_has_the_key_of_its_name() {
+fn incarnation_without_known_start_has_the_key_of_its_name() {
     assert_eq!(TargetKey::of_incarnation("t-3", 0), TargetKey::of("t-3"));
 }
 
 proptest! {
     #[test]
-    fn any_two_lives_have_keys_of_their_own(
+    fn incarnations_have_distinct_keys(
         first in ("[a-z0-9-]{1,20}", any::<u64>()),
         second in ("[a-z0-9-]{1,20}", any::<u64>()),
     ) {
         prop_assume!(first != second);
-        let key = |life: &(String, u64)| TargetKey::of_incarnation(&life.0, life.1);
+        let key = |target: &(String, u64)| TargetKey::of_incarnation(&target.0, target.1);
         prop_assert_ne!(key(&first), key(&second));
     }
 }
