--- a/crates/chart/src/lib.rs
+++ b/crates/chart/src/lib.rs
@@ -1,16 +1,16 @@
-//! State charts kept in files, checked at start-up and interpreted.
+//! State charts that are read from files, validated at start-up and interpreted.
 //!
-//! A life cycle that operators ask about at night should stand in one page that
-//! can be read without the code around it. The chart file is that page, and the
-//! code has no second copy of it: it asks [`StateChart::next`]. What the file
-//! says wrongly is found when the process starts and not when the event comes.
+//! A chart file describes a life cycle in one place that operators can read without the code.
+//! It is the only definition of the transitions: the code looks them up with
+//! [`StateChart::next`]. Errors in the file are detected when the process starts, not when an
+//! event occurs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 use serde::Deserialize;
 
-/// A checked chart: which state follows which on what event.
+/// A validated chart: the next state for each pair of state and event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StateChart {
     start: usize,
@@ -18,62 +18,67 @@
 }
 
 impl StateChart {
-    /// Reads a chart in TOML. `states` and `events` are the names that the code
-    /// knows, in the order of its numbers; the file must use just these.
+    /// Parses a chart in TOML. `states` and `events` are the names of the states and events of
+    /// the code, in the order of their indices; the chart must define all of the states and may
+    /// use no other names.
     ///
     /// # Errors
-    /// A chart that can't be read, names an unknown state or event, leaves one
-    /// of the states out or unreachable, or has a state that nothing leaves.
+    /// The text is not a chart, uses an unknown state or event, lacks one of the states, or has
+    /// a state that can't be reached or can't be left.
     pub fn parse(text: &str, states: &[&str], events: &[&str]) -> Result<StateChart, ChartError> {
         let raw: RawChart =
-            toml::from_str(text).map_err(|error| ChartError::Unreadable(error.to_string()))?;
+            toml::from_str(text).map_err(|error| ChartError::Invalid(error.to_string()))?;
         let start = index_of(states, &raw.start).ok_or(ChartError::UnknownState(raw.start))?;
         let mut next = vec![vec![None; events.len()]; states.len()];
         for (name, transitions) in raw.states {
             let Some(state) = index_of(states, &name) else {
                 return Err(ChartError::UnknownState(name));
             };
-            for (event, to) in transitions {
+            for (event, next_state) in transitions {
                 let Some(event) = index_of(events, &event) else {
                     return Err(ChartError::UnknownEvent { state: name, event });
                 };
-                let target = index_of(states, &to).ok_or(ChartError::UnknownState(to))?;
+                let target =
+                    index_of(states, &next_state).ok_or(ChartError::UnknownState(next_state))?;
                 next[state][event] = Some(target);
             }
         }
         let chart = StateChart { start, next };
         chart.check_exits(states)?;
-        chart.check_reach(states)?;
+        chart.check_reachability(states)?;
         Ok(chart)
     }
 
-    /// The number of the state that everything starts in.
+    /// Returns the index of the initial state.
     pub fn start(&self) -> usize {
         self.start
     }
 
-    /// The state after `event` in `state`, or `None` if the event changes nothing there.
+    /// Returns the state that follows `state` on `event`; `None` if the event has no transition there.
+    ///
+    /// # Panics
+    /// `state` or `event` is out of range.
     pub fn next(&self, state: usize, event: usize) -> Option<usize> {
         self.next[state][event]
     }
 
     fn check_exits(&self, states: &[&str]) -> Result<(), ChartError> {
         for (state, transitions) in self.next.iter().enumerate() {
-            let leaves = transitions.iter().flatten().any(|&next| next != state);
-            if !leaves {
+            let has_exit = transitions.iter().flatten().any(|&next| next != state);
+            if !has_exit {
                 return Err(ChartError::DeadEnd(states[state].to_string()));
             }
         }
         Ok(())
     }
 
-    fn check_reach(&self, states: &[&str]) -> Result<(), ChartError> {
+    fn check_reachability(&self, states: &[&str]) -> Result<(), ChartError> {
         let mut reached = BTreeSet::from([self.start]);
-        let mut open = vec![self.start];
-        while let Some(state) = open.pop() {
+        let mut pending = vec![self.start];
+        while let Some(state) = pending.pop() {
             for &next in self.next[state].iter().flatten() {
                 if reached.insert(next) {
-                    open.push(next);
+                    pending.push(next);
                 }
             }
         }
@@ -84,36 +89,40 @@
     }
 }
 
-/// What is wrong with a chart file.
+/// An error in a chart file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChartError {
-    /// The file is not a chart in TOML.
-    Unreadable(String),
-    /// A state that the code does not know.
+    /// The file is not a chart in TOML; with the parser's message.
+    Invalid(String),
+    /// The chart uses a state that the code does not define.
     UnknownState(String),
-    /// An event that the code does not know.
+    /// The chart uses an event that the code does not define.
     UnknownEvent {
-        /// The state that lists it.
+        /// The state that lists the event.
         state: String,
-        /// Its name.
+        /// The name of the event.
         event: String,
     },
-    /// A state that no event leaves.
+    /// The state has no transition to another state.
     DeadEnd(String),
-    /// A state that no event leads to.
+    /// The state can't be reached from the initial state.
     Unreachable(String),
 }
 
 impl fmt::Display for ChartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ChartError::Unreadable(why) => write!(f, "the chart can't be read: {why}"),
+            ChartError::Invalid(reason) => write!(f, "invalid state chart: {reason}"),
             ChartError::UnknownState(state) => write!(f, "unknown state '{state}'"),
             ChartError::UnknownEvent { state, event } => {
-                write!(f, "state '{state}' lists the unknown event '{event}'")
+                write!(f, "unknown event '{event}' in state '{state}'")
+            }
+            ChartError::DeadEnd(state) => {
+                write!(f, "state '{state}' has no transition to another state")
+            }
+            ChartError::Unreachable(state) => {
+                write!(f, "state '{state}' can't be reached from the initial state")
             }
-            ChartError::DeadEnd(state) => write!(f, "no event leaves state '{state}'"),
-            ChartError::Unreachable(state) => write!(f, "no event leads to state '{state}'"),
         }
     }
 }
--- a/crates/chart/tests/faulty_charts.rs
+++ b/crates/chart/tests/invalid_charts.rs
@@ -1,4 +1,4 @@
-//! Charts that must be refused at start-up, each with the reason.
+//! Validation of charts, with the error for each kind of fault.
 
 use wingbridge_chart::{ChartError, StateChart};
 
@@ -12,7 +12,7 @@
 const EVENTS: &[&str] = &["push", "pull"];
 
 #[test]
-fn faulty_charts_are_refused() {
+fn invalid_charts_are_rejected() {
     let cases = [
         ChartCase {
             name: "sound",
@@ -25,7 +25,7 @@
             expected: Err(ChartError::DeadEnd("shut".into())),
         },
         ChartCase {
-            name: "state left out",
+            name: "missing state",
             text: "start='open'\n[states.open]\npush='shut'\n",
             expected: Err(ChartError::DeadEnd("shut".into())),
         },
@@ -52,16 +52,16 @@
 }
 
 #[test]
-fn an_unreachable_state_is_refused() {
+fn unreachable_state_is_rejected() {
     let text = "start='a'\n[states.a]\npush='b'\n[states.b]\npush='a'\n[states.c]\npush='a'\n";
     let result = StateChart::parse(text, &["a", "b", "c"], EVENTS);
     assert_eq!(result, Err(ChartError::Unreachable("c".into())));
 }
 
 #[test]
-fn events_move_between_states() {
+fn events_give_the_next_state() {
     let text = "start='open'\n[states.open]\npush='shut'\n[states.shut]\npull='open'\n";
-    let chart = StateChart::parse(text, STATES, EVENTS).expect("a sound chart");
+    let chart = StateChart::parse(text, STATES, EVENTS).expect("a valid chart");
     assert_eq!(chart.start(), 0);
     assert_eq!(chart.next(0, 0), Some(1));
     assert_eq!(chart.next(0, 1), None);
--- a/crates/process/src/clock.rs
+++ b/crates/process/src/clock.rs
@@ -1,25 +1,26 @@
-//! The clock that drivers hand to the cores.
+//! The clock that provides the decision cores with the current time.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Microseconds since 1970 as they were at the start, carried on by a clock that
-/// never goes back. Boxes' points in time can be compared as far as their dates agree.
+/// A monotonic clock that starts at the system time. Time stamps of different boxes are
+/// comparable as far as the boxes' system clocks agree.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessClock {
-    wall: u64,
+    wall_micros: u64,
     start: Instant,
 }
 
 impl ProcessClock {
-    /// A clock that starts now.
+    /// Creates a clock that starts at the current system time.
     pub fn start() -> ProcessClock {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let wall = u64::try_from(wall.as_micros()).unwrap_or(u64::MAX);
-        ProcessClock { wall, start: Instant::now() }
+        let wall_micros = u64::try_from(wall.as_micros()).unwrap_or(u64::MAX);
+        ProcessClock { wall_micros, start: Instant::now() }
     }
 
-    /// Microseconds since 1970.
+    /// Returns the time in microseconds since the Unix epoch. It never decreases, even if the
+    /// system clock is set back.
     pub fn micros(&self) -> u64 {
-        self.wall + u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX)
+        self.wall_micros + u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 }
--- a/crates/process/src/exit.rs
+++ b/crates/process/src/exit.rs
@@ -1,21 +1,22 @@
-//! Exit codes: 0 done, 1 failed, 2 used wrongly, and for `wingctl` 3 in part.
+//! Exit codes: 0 for success, 1 for a failure, 2 for an invalid setting, and 3 for partial
+//! success (`wingctl`).
 
 use std::process::ExitCode;
 
 use crate::settings::SettingError;
 
-/// How a program ended when nothing went wrong with it.
+/// The outcome of a program that ended without an error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// All was done.
+    /// The task was completed (exit code 0).
     Done,
-    /// It was done in part, or is not yet in force everywhere.
+    /// The task was completed in part, or a change is not in force in every box yet (exit code 3).
     Partial,
-    /// What was checked did not hold.
+    /// The checked condition does not hold (exit code 1).
     CheckFailed,
 }
 
-/// Prints what went wrong, if anything did, and maps it to an exit code.
+/// Maps `result` to an exit code, and prints the error if it is one.
 pub fn exit_code(program: &str, result: eyre::Result<Outcome>) -> ExitCode {
     match result {
         Ok(Outcome::Done) => ExitCode::SUCCESS,
@@ -23,8 +24,8 @@
         Ok(Outcome::Partial) => ExitCode::from(3),
         Err(error) => {
             eprintln!("{program}: {error:#}");
-            let usage = error.downcast_ref::<SettingError>().is_some();
-            ExitCode::from(if usage { 2 } else { 1 })
+            let is_setting_error = error.downcast_ref::<SettingError>().is_some();
+            ExitCode::from(if is_setting_error { 2 } else { 1 })
         }
     }
 }
--- a/crates/process/src/io_pool.rs
+++ b/crates/process/src/io_pool.rs
@@ -1,13 +1,14 @@
-//! The pool of threads that connections and requests run on.
+//! The thread pool that serves connections and requests.
 //!
-//! Without this, async-std takes a thread for each core. At a box's rate (some 200
-//! requests a second) the pool is nearly always idle, and each wake-up then goes to
-//! another sleeping thread: with one thread the proxy adds a fifth as much for 99 in
-//! 100 requests (docs/MEASURED.md). A box that is asked for more sets `--io-threads`.
+//! By default, async-std starts one thread per core. At the request rate of a box (about 200
+//! requests per second) the pool is nearly always idle, and each wake-up goes to another
+//! sleeping thread: with one thread the latency that the proxy adds at the 99th percentile is a
+//! fifth (docs/MEASURED.md). A box with a higher rate sets `--io-threads`.
 
 use async_global_executor::GlobalExecutorConfig;
 
-/// Sizes the pool. It must come before the first task; later calls change nothing.
+/// Sets the number of threads of the pool. It must be called before the first task is spawned;
+/// later calls have no effect.
 pub fn start_io_pool(threads: usize) {
     let config = GlobalExecutorConfig::default()
         .with_thread_name_fn(|| "io".to_string())
--- a/crates/process/src/lib.rs
+++ b/crates/process/src/lib.rs
@@ -1,4 +1,4 @@
-//! What every wingbridge process shares: settings, logs, metrics, signals, timers.
+//! Infrastructure shared by all wingbridge processes: settings, logs, metrics, signals, timers.
 
 pub mod clock;
 pub mod exit;
--- a/crates/process/src/log_ring.rs
+++ b/crates/process/src/log_ring.rs
@@ -1,9 +1,9 @@
-//! Log lines on their way to standard output: bounded, and never waited for.
+//! A bounded, non-blocking queue of log lines with a writer thread.
 //!
-//! A process must not stand still because nobody reads its output, nor fill memory or
-//! its processor share with lines when something goes wrong everywhere at once. So lines
-//! go through a ring with a thread behind it. What the ring or the rate has no room for
-//! is dropped, and how much that was is said in a line of its own.
+//! A process must not block when its output is not read, nor exhaust its memory or processor
+//! share with log lines when many operations fail at once. Log lines therefore go through a
+//! bounded queue to a writer thread, with a limit on the rate. Lines over the capacity or the
+//! rate are dropped, and the writer reports their number in a line of its own.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,48 +12,48 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Lines that wait for the output.
-const RING_LINES: usize = 4096;
-/// Lines a second at most: ten for each of a box's busiest 100 requests.
-const LINES_PER_SECOND: u64 = 1000;
-/// Bytes that are written at once.
-const WRITE_BYTES: usize = 64 * 1024;
+/// Capacity of the queue, in lines.
+const MAX_QUEUED_LINES: usize = 4096;
+/// Maximum number of lines per second: allows ten lines per request at 100 requests per second.
+const MAX_LINES_PER_SECOND: u64 = 1000;
+/// Number of bytes after which the writer stops collecting lines for one write.
+const WRITE_BATCH_BYTES: usize = 64 * 1024;
 
-/// Takes log lines and never waits.
+/// A non-blocking queue of log lines. Clones share the queue.
 #[derive(Debug, Clone)]
 pub struct LogRing {
-    shared: Arc<RingShared>,
+    shared: Arc<SharedRing>,
 }
 
 #[derive(Debug)]
-struct RingShared {
+struct SharedRing {
     lines: Mutex<Option<SyncSender<Vec<u8>>>>,
     writer: Mutex<Option<JoinHandle<()>>>,
-    rate: Mutex<LineRate>,
+    rate: Mutex<RateLimiter>,
     dropped: Arc<AtomicU64>,
 }
 
 #[derive(Debug)]
-struct LineRate {
-    second: Instant,
+struct RateLimiter {
+    window_start: Instant,
     count: u64,
 }
 
 impl LogRing {
-    /// A ring that writes to `sink` on a thread of its own.
+    /// Starts a thread that writes the lines to `sink`.
     ///
     /// # Errors
-    /// The operating system gave no thread.
+    /// The thread could not be started.
     pub fn start(sink: impl Write + Send + 'static) -> std::io::Result<LogRing> {
-        let (lines, waiting) = sync_channel(RING_LINES);
+        let (lines, queued) = sync_channel(MAX_QUEUED_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
-        let counted = Arc::clone(&dropped);
+        let writer_dropped = Arc::clone(&dropped);
         let writer = std::thread::Builder::new()
             .name("logs".into())
-            .spawn(move || write_lines(&waiting, sink, &counted))?;
-        let rate = LineRate { second: Instant::now(), count: 0 };
+            .spawn(move || write_lines(&queued, sink, &writer_dropped))?;
+        let rate = RateLimiter { window_start: Instant::now(), count: 0 };
         Ok(LogRing {
-            shared: Arc::new(RingShared {
+            shared: Arc::new(SharedRing {
                 lines: Mutex::new(Some(lines)),
                 writer: Mutex::new(Some(writer)),
                 rate: Mutex::new(rate),
@@ -62,73 +62,75 @@
         })
     }
 
-    /// Takes a line, which ends without a line break. It is dropped if there is no room.
+    /// Queues a line, given without its line break. The line is dropped if the queue is full or
+    /// closed, or the rate is exceeded.
     pub fn push(&self, line: Vec<u8>) {
-        let room = lock(&self.shared.rate).allow();
+        let within_rate = lock(&self.shared.rate).allow();
         let lines = lock(&self.shared.lines);
-        let taken = room && lines.as_ref().is_some_and(|lines| lines.try_send(line).is_ok());
-        if !taken {
+        let queued =
+            within_rate && lines.as_ref().is_some_and(|lines| lines.try_send(line).is_ok());
+        if !queued {
             self.shared.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Lines that were dropped and not yet told of.
+    /// Returns the number of dropped lines that the writer has not reported yet.
     pub fn unreported_drops(&self) -> u64 {
         self.shared.dropped.load(Ordering::Relaxed)
     }
 
-    /// Closes the ring and waits until what is in it is written.
+    /// Closes the queue and waits until the queued lines are written.
     pub fn close(&self) {
         drop(lock(&self.shared.lines).take());
         let writer = lock(&self.shared.writer).take();
         if let Some(writer) = writer
             && writer.join().is_err()
         {
-            eprintln!("the thread that writes logs had failed");
+            eprintln!("the log writer thread panicked; queued log lines are lost");
         }
     }
 }
 
-impl LineRate {
+impl RateLimiter {
     fn allow(&mut self) -> bool {
         let now = Instant::now();
-        if now.duration_since(self.second) >= Duration::from_secs(1) {
-            self.second = now;
+        if now.duration_since(self.window_start) >= Duration::from_secs(1) {
+            self.window_start = now;
             self.count = 0;
         }
         self.count += 1;
-        self.count <= LINES_PER_SECOND
+        self.count <= MAX_LINES_PER_SECOND
     }
 }
 
-fn write_lines(waiting: &Receiver<Vec<u8>>, mut sink: impl Write, dropped: &AtomicU64) {
+fn write_lines(queued: &Receiver<Vec<u8>>, mut sink: impl Write, dropped: &AtomicU64) {
     let mut bytes = Vec::new();
-    while let Ok(line) = waiting.recv() {
+    while let Ok(line) = queued.recv() {
         push_line(&mut bytes, &line);
-        while bytes.len() < WRITE_BYTES
-            && let Ok(line) = waiting.try_recv()
+        while bytes.len() < WRITE_BATCH_BYTES
+            && let Ok(line) = queued.try_recv()
         {
             push_line(&mut bytes, &line);
         }
-        tell_dropped(&mut bytes, dropped);
+        report_dropped(&mut bytes, dropped);
         if sink.write_all(&bytes).and_then(|()| sink.flush()).is_err() {
-            // Nobody reads any more, and there is nowhere else to say so.
+            // The output is closed, and there is no other place to report it.
             dropped.fetch_add(1, Ordering::Relaxed);
         }
         bytes.clear();
     }
-    // What was dropped after the last line would else never be told.
-    tell_dropped(&mut bytes, dropped);
+    // Lines that were dropped after the last written line are reported here.
+    report_dropped(&mut bytes, dropped);
     if sink.write_all(&bytes).and_then(|()| sink.flush()).is_err() {
         dropped.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-fn tell_dropped(bytes: &mut Vec<u8>, dropped: &AtomicU64) {
-    let lost = dropped.swap(0, Ordering::Relaxed);
-    if lost > 0 {
+fn report_dropped(bytes: &mut Vec<u8>, dropped: &AtomicU64) {
+    let count = dropped.swap(0, Ordering::Relaxed);
+    if count > 0 {
         let line =
-            format!("{{\"level\":\"warn\",\"event\":\"log-lines-dropped\",\"count\":\"{lost}\"}}");
+            format!("{{\"level\":\"warn\",\"event\":\"log-lines-dropped\",\"count\":\"{count}\"}}");
         push_line(bytes, line.as_bytes());
     }
 }
--- a/crates/process/src/logs.rs
+++ b/crates/process/src/logs.rs
@@ -1,4 +1,5 @@
-//! Logs: one JSON object a line, on standard error or through a bounded ring on standard output.
+//! Log output as one JSON object per line, to standard error or through a bounded queue to
+//! standard output.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -10,27 +11,28 @@
 
 use crate::log_ring::LogRing;
 
-/// Starts logging at `level` ("error" to "trace"). The handle must be kept.
+/// Starts logging at `level` ("error" to "trace") to standard error. The caller must keep the
+/// handle.
 ///
 /// # Errors
-/// The level is unknown or logging has been started already.
+/// The level is unknown or logging is already started.
 pub fn start_logs(level: &str) -> eyre::Result<LoggerHandle> {
     let logger = Logger::try_with_str(level)?.log_to_stderr().format(json_line);
     Ok(logger.start()?)
 }
 
-/// Starts logging at `level` to standard output through `ring`, which the caller closes at
-/// the end. Each line names the box `box_id`, so that merged logs can be told apart. The handle must
-/// be kept.
+/// Starts logging at `level` through `ring`, which the caller must close before the process
+/// ends. Each line contains `box_id`, so that lines of merged logs can be attributed to their
+/// boxes. The caller must keep the handle.
 ///
 /// # Errors
-/// The level is unknown or logging has been started already.
+/// The level is unknown or logging is already started.
 pub fn start_ring_logs(level: &str, ring: LogRing, box_id: &str) -> eyre::Result<LoggerHandle> {
     let writer = Box::new(RingWriter { ring, box_id: box_id.to_string() });
     Ok(Logger::try_with_str(level)?.log_to_writer(writer).start()?)
 }
 
-/// Hands formatted lines to the ring.
+/// A log writer that formats records and queues them in a [`LogRing`].
 struct RingWriter {
     ring: LogRing,
     box_id: String,
@@ -63,32 +65,33 @@
     record: &Record<'_>,
     box_id: Option<&str>,
 ) -> Result<(), std::io::Error> {
-    let mut fields = FieldReader::default();
+    let mut fields = FieldCollector::default();
     if let Some(box_id) = box_id {
-        fields.put("box", box_id);
+        fields.insert("box", box_id);
     }
-    fields.put("time", &now.format_rfc3339());
-    fields.put("level", &record.level().to_string().to_lowercase());
-    fields.put("module", record.module_path().unwrap_or_default());
-    fields.put("event", &record.args().to_string());
-    // A value that can't be shown costs its field and not the line.
+    fields.insert("time", &now.format_rfc3339());
+    fields.insert("level", &record.level().to_string().to_lowercase());
+    fields.insert("module", record.module_path().unwrap_or_default());
+    fields.insert("event", &record.args().to_string());
+    // If a value can't be formatted, the line is written without it.
     let _ = record.key_values().visit(&mut fields);
     let line = serde_json::to_string(&fields.0).map_err(std::io::Error::other)?;
     out.write_all(line.as_bytes())
 }
 
+/// Collects the fields of a log line, sorted by name.
 #[derive(Default)]
-struct FieldReader(BTreeMap<String, String>);
+struct FieldCollector(BTreeMap<String, String>);
 
-impl FieldReader {
-    fn put(&mut self, name: &str, value: &str) {
+impl FieldCollector {
+    fn insert(&mut self, name: &str, value: &str) {
         self.0.insert(name.to_string(), value.to_string());
     }
 }
 
-impl<'kvs> VisitSource<'kvs> for FieldReader {
+impl<'kvs> VisitSource<'kvs> for FieldCollector {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
-        self.put(key.as_str(), &value.to_string());
+        self.insert(key.as_str(), &value.to_string());
         Ok(())
     }
 }
--- a/crates/process/src/metrics.rs
+++ b/crates/process/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by the `metrics` crate, shown as text for scraping.
+//! Metrics of the `metrics` crate, rendered in the Prometheus text format.
 
 use std::sync::OnceLock;
 
@@ -6,7 +6,7 @@
 
 static HANDLE: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
 
-/// Starts the process's recorder; further calls do nothing.
+/// Installs the process's metrics recorder; further calls have no effect.
 pub fn start_metrics() {
     HANDLE.get_or_init(|| {
         let recorder = PrometheusBuilder::new().build_recorder();
@@ -15,7 +15,8 @@
     });
 }
 
-/// All metrics of the process in the text format for scraping.
+/// Returns all metrics of the process in the Prometheus text format; empty before
+/// [`start_metrics`].
 pub fn render_metrics() -> String {
     let handle = HANDLE.get().and_then(Option::as_ref);
     handle.map(PrometheusHandle::render).unwrap_or_default()
--- a/crates/process/src/settings.rs
+++ b/crates/process/src/settings.rs
@@ -1,5 +1,5 @@
-//! Settings: read raw by `clap` from flags and environment variables (the flag
-//! wins), then resolved once into checked values.
+//! Settings of processes: `clap` reads raw values from flags and environment variables (a flag
+//! takes precedence), and the functions here parse and validate them.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 
 use clap::{Arg, ArgMatches};
 
-/// A setting whose value is not allowed.
+/// The error for a setting with an invalid value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingError {
     setting: String,
@@ -16,7 +16,7 @@
 }
 
 impl SettingError {
-    /// Names the setting, the value that was given and what is allowed.
+    /// Creates an error for `setting`, given as `value`, with a description of the allowed values.
     pub fn new(setting: &str, value: &str, allowed: &str) -> SettingError {
         SettingError {
             setting: setting.to_string(),
@@ -35,7 +35,8 @@
 
 impl std::error::Error for SettingError {}
 
-/// A flag `--name` that the environment variable `WINGBRIDGE_NAME` sets as well.
+/// Returns a flag `--name`, which can also be set by the environment variable
+/// `WINGBRIDGE_NAME`.
 pub fn setting(name: &'static str, short_help: &'static str, long_help: &'static str) -> Arg {
     let variable = format!("WINGBRIDGE_{}", name.replace('-', "_").to_uppercase());
     Arg::new(name)
@@ -46,7 +47,7 @@
         .long_help(format!("{short_help}.\n\n{long_help}"))
 }
 
-/// A [`setting`] whose value is not shown by the help, wherever it comes from.
+/// Returns a [`setting`] whose value from the environment is not shown in the help.
 pub fn secret_setting(
     name: &'static str,
     short_help: &'static str,
@@ -55,31 +56,31 @@
     setting(name, short_help, long_help).hide_env_values(true)
 }
 
-/// The raw text of a setting, or an empty one.
+/// Returns the raw value of a setting; empty if it is not set.
 pub fn raw_text(matches: &ArgMatches, name: &str) -> String {
     matches.get_one::<String>(name).cloned().unwrap_or_default()
 }
 
-/// All raw texts of a setting that can be repeated or listed with commas.
+/// Returns all raw values of a setting that can be repeated or separated by commas.
 pub fn raw_list(matches: &ArgMatches, name: &str) -> Vec<String> {
     let values = matches.get_many::<String>(name).into_iter().flatten();
     let items = values.flat_map(|value| value.split(','));
     items.map(str::trim).filter(|item| !item.is_empty()).map(str::to_string).collect()
 }
 
-/// Resolves an address of an IP number and a port.
+/// Parses a socket address.
 ///
 /// # Errors
-/// It is something else.
+/// The value is not an IP address with a port.
 pub fn address(matches: &ArgMatches, name: &str) -> Result<SocketAddr, SettingError> {
     let raw = raw_text(matches, name);
     parse_address(name, &raw)
 }
 
-/// Resolves several addresses.
+/// Parses a list of socket addresses.
 ///
 /// # Errors
-/// One of them is something else.
+/// One of the values is not an IP address with a port.
 pub fn addresses(matches: &ArgMatches, name: &str) -> Result<Vec<SocketAddr>, SettingError> {
     let raw = raw_list(matches, name);
     raw.iter().map(|item| parse_address(name, item)).collect()
@@ -90,23 +91,23 @@
     raw.parse().map_err(|_| SettingError::new(name, raw, allowed))
 }
 
-/// Resolves a name of 1 to 63 letters, digits, '-', '_' or '.'.
+/// Parses a name of 1 to 63 ASCII letters, digits, '-', '_' or '.'.
 ///
 /// # Errors
-/// It is something else.
+/// The value has another length or contains other characters.
 pub fn name(matches: &ArgMatches, setting: &str) -> Result<String, SettingError> {
     let raw = raw_text(matches, setting);
-    let known = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    if (1..=63).contains(&raw.len()) && raw.chars().all(known) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    if (1..=63).contains(&raw.len()) && raw.chars().all(is_allowed) {
         return Ok(raw);
     }
     Err(SettingError::new(setting, &raw, "1 to 63 letters, digits, '-', '_' and '.'"))
 }
 
-/// Resolves a whole number within bounds.
+/// Parses an integer within `bounds`.
 ///
 /// # Errors
-/// It is no number or out of bounds.
+/// The value is not an integer or is out of bounds.
 pub fn number(
     matches: &ArgMatches,
     name: &str,
@@ -120,10 +121,10 @@
     })
 }
 
-/// Resolves a span of time given in milliseconds.
+/// Parses a duration in milliseconds, within `bounds`.
 ///
 /// # Errors
-/// It is no number or out of bounds.
+/// The value is not an integer or is out of bounds.
 pub fn millis(
     matches: &ArgMatches,
     name: &str,
@@ -132,10 +133,10 @@
     number(matches, name, bounds).map(Duration::from_millis)
 }
 
-/// Resolves a secret of at least 16 characters.
+/// Returns a secret of at least 16 bytes.
 ///
 /// # Errors
-/// It is shorter. The secret itself is not repeated.
+/// The value is shorter. The error does not contain the secret.
 pub fn secret(matches: &ArgMatches, name: &str) -> Result<String, SettingError> {
     let raw = raw_text(matches, name);
     if raw.len() >= 16 {
@@ -144,10 +145,10 @@
     Err(SettingError::new(name, "(hidden)", "a secret of at least 16 characters"))
 }
 
-/// Resolves the setting `log-level`.
+/// Parses the setting `log-level`.
 ///
 /// # Errors
-/// It is no level.
+/// The value is not a log level.
 pub fn log_level(matches: &ArgMatches) -> Result<String, SettingError> {
     let raw = raw_text(matches, "log-level");
     if ["off", "error", "warn", "info", "debug", "trace"].contains(&raw.as_str()) {
--- a/crates/process/src/stop.rs
+++ b/crates/process/src/stop.rs
@@ -1,4 +1,4 @@
-//! The signal to stop: a channel whose closing ends what waits on it.
+//! Stop signals: channels whose closing wakes all waiters, and the handling of Unix signals.
 
 use std::convert::Infallible;
 use std::thread;
@@ -7,19 +7,20 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-/// Stops what holds the matching [`StopSignal`], when asked to or when dropped.
+/// The sending side of a [`StopSignal`]. The signal is given by [`StopHandle::stop`] or when
+/// the last clone is dropped.
 #[derive(Debug, Clone)]
 pub struct StopHandle {
     sender: Sender<Infallible>,
 }
 
-/// Tells when to stop. Clones share it.
+/// A signal to stop, which is given at most once. Clones share it.
 #[derive(Debug, Clone)]
 pub struct StopSignal {
     receiver: Receiver<Infallible>,
 }
 
-/// A handle and its signal.
+/// Creates a handle and its signal.
 pub fn stop_channel() -> (StopHandle, StopSignal) {
     let (sender, receiver) = async_channel::bounded(1);
     (StopHandle { sender }, StopSignal { receiver })
@@ -33,22 +34,22 @@
 }
 
 impl StopSignal {
-    /// Waits for the signal.
+    /// Waits until the signal is given; returns at once if it was given before.
     pub async fn wait(&self) {
-        // Nothing is ever sent: the only end is that the channel closes.
+        // No message is ever sent: the receiver wakes only when the channel closes.
         let _ = self.receiver.recv().await;
     }
 
-    /// Whether the signal was given.
+    /// Returns whether the signal has been given.
     pub fn is_stopped(&self) -> bool {
         self.receiver.is_closed()
     }
 }
 
-/// A signal that SIGTERM and SIGINT give.
+/// Returns a stop signal that is given on SIGTERM or SIGINT.
 ///
 /// # Errors
-/// The operating system refused the handlers.
+/// The signal handlers could not be installed, or their thread could not be started.
 pub fn stop_on_signals() -> std::io::Result<StopSignal> {
     let (handle, signal) = stop_channel();
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
@@ -59,19 +60,19 @@
     Ok(signal)
 }
 
-/// Signals that a process acts on.
+/// The Unix signals that a process handles.
 #[derive(Debug)]
 pub struct ProcessSignals {
-    /// Given by SIGTERM and SIGINT.
+    /// The stop signal, given on SIGTERM or SIGINT.
     pub stop: StopSignal,
-    /// One message for each SIGHUP; several that come at once may be one.
+    /// Receives a message for each SIGHUP; several signals in short succession may give only one.
     pub reloads: Receiver<()>,
 }
 
-/// Takes SIGTERM, SIGINT and SIGHUP.
+/// Installs handlers for SIGTERM, SIGINT and SIGHUP.
 ///
 /// # Errors
-/// The operating system refused the handlers.
+/// The signal handlers could not be installed, or their thread could not be started.
 pub fn watch_signals() -> std::io::Result<ProcessSignals> {
     let (handle, stop) = stop_channel();
     let (reload, reloads) = async_channel::bounded(1);
@@ -79,7 +80,7 @@
     thread::Builder::new().name("signals".into()).spawn(move || {
         for signal in signals.forever() {
             if signal == SIGHUP {
-                // Full: a reload already waits.
+                // If the channel is full, a reload is pending already.
                 let _ = reload.try_send(());
             } else {
                 handle.stop();
--- a/crates/process/src/timer.rs
+++ b/crates/process/src/timer.rs
@@ -1,4 +1,4 @@
-//! The timer service: one thread that parts subscribe to.
+//! A timer service: one thread that sends periodic ticks to subscribers.
 
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::thread;
@@ -6,7 +6,7 @@
 
 use async_channel::{Sender, TrySendError};
 
-/// Sends messages to subscribers at their periods, until it is dropped.
+/// Sends ticks to subscribers, each at its own period, until the last clone is dropped.
 #[derive(Clone)]
 pub struct TimerService {
     shared: Arc<TimerShared>,
@@ -27,11 +27,11 @@
 struct Subscriber {
     period: Duration,
     due: Instant,
-    /// Sends the tick; false when the subscriber is gone.
-    fire: Box<dyn Fn() -> bool + Send>,
+    /// Sends a tick; returns false if the subscriber's channel is closed.
+    send_tick: Box<dyn Fn() -> bool + Send>,
 }
 
-/// Stops the thread when the last clone of the service goes.
+/// Stops the thread when the last clone of the service is dropped.
 struct TimerOwner {
     shared: Arc<TimerShared>,
 }
@@ -44,10 +44,10 @@
 }
 
 impl TimerService {
-    /// Starts the thread.
+    /// Starts the timer thread.
     ///
     /// # Errors
-    /// The operating system gave no thread.
+    /// The thread could not be started.
     pub fn start() -> std::io::Result<TimerService> {
         let state = Mutex::new(TimerState::default());
         let shared = Arc::new(TimerShared { state, changed: Condvar::new() });
@@ -57,12 +57,22 @@
         Ok(TimerService { shared, _owner: owner })
     }
 
-    /// Sends `tick` into `ring` each `period`. A tick that finds the ring full is
-    /// left out, the next one will do; when the ring is closed, so is the subscription.
-    pub fn subscribe<T: Clone + Send + 'static>(&self, period: Duration, ring: Sender<T>, tick: T) {
-        let fire = move || !matches!(ring.try_send(tick.clone()), Err(TrySendError::Closed(_)));
+    /// Sends `tick` to `channel` every `period`. A tick is skipped if the channel is full; the
+    /// subscription ends when the channel is closed.
+    pub fn subscribe<T: Clone + Send + 'static>(
+        &self,
+        period: Duration,
+        channel: Sender<T>,
+        tick: T,
+    ) {
+        let send_tick =
+            move || !matches!(channel.try_send(tick.clone()), Err(TrySendError::Closed(_)));
         let due = Instant::now() + period;
-        lock(&self.shared).subscribers.push(Subscriber { period, due, fire: Box::new(fire) });
+        lock(&self.shared).subscribers.push(Subscriber {
+            period,
+            due,
+            send_tick: Box::new(send_tick),
+        });
         self.shared.changed.notify_all();
     }
 }
@@ -75,9 +85,9 @@
             if subscriber.due > now {
                 return true;
             }
-            // A machine that was paused gets one tick and not a burst of them.
+            // After a pause of the process, one tick is sent instead of one per missed period.
             subscriber.due = (subscriber.due + subscriber.period).max(now);
-            (subscriber.fire)()
+            (subscriber.send_tick)()
         });
         let next = state.subscribers.iter().map(|subscriber| subscriber.due).min();
         let wait = next.map_or(Duration::from_secs(1), |due| due.saturating_duration_since(now));
--- a/crates/process/tests/log_ring.rs
+++ b/crates/process/tests/log_ring.rs
@@ -1,4 +1,4 @@
-//! The ring of log lines, with an output that stands still or fails.
+//! The log queue with an output that blocks.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -6,7 +6,7 @@
 
 use wingbridge_process::log_ring::LogRing;
 
-/// Keeps what is written, once a message lets it go on.
+/// A sink that blocks until a message arrives on `gate`, and then stores what is written.
 struct GatedSink {
     gate: Receiver<()>,
     open: bool,
@@ -16,7 +16,7 @@
 impl Write for GatedSink {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         if !self.open {
-            // A closed gate is an open one: the test is over.
+            // A closed channel opens the gate as well: the test has ended.
             let _ = self.gate.recv();
             self.open = true;
         }
@@ -36,35 +36,39 @@
 }
 
 #[test]
-fn an_output_that_stands_still_costs_lines_and_no_time() {
+fn blocked_output_drops_lines_and_does_not_block() {
     let (sink, open, written) = gated();
-    let ring = LogRing::start(sink).expect("a thread");
-    // Far more than ring and rate have room for; a `put` that waited would never return,
+    let ring = LogRing::start(sink).expect("start the writer thread");
+    // More lines than the queue and the rate allow. A `push` that blocked would never return,
     // since the gate opens only afterwards.
     for number in 0..20_000 {
         ring.push(format!("line {number}").into_bytes());
     }
-    open.send(()).expect("the sink waits");
+    open.send(()).expect("the sink is waiting");
     ring.close();
     let text = String::from_utf8(written.lock().expect("no thread panics").clone()).expect("text");
-    let kept = text.lines().filter(|line| line.starts_with("line ")).count() as u64;
-    let told: u64 = text.lines().filter_map(dropped_count).sum();
-    assert!(told >= 10_000, "only {told} of 20,000 lines were dropped");
-    assert_eq!(kept + told, 20_000, "each line is either written or told as dropped");
-    assert_eq!(ring.unreported_drops(), 0, "none is left to tell");
+    let written_lines = text.lines().filter(|line| line.starts_with("line ")).count() as u64;
+    let reported: u64 = text.lines().filter_map(dropped_count).sum();
+    assert!(reported >= 10_000, "only {reported} of 20,000 lines were dropped");
+    assert_eq!(
+        written_lines + reported,
+        20_000,
+        "each line is either written or reported as dropped"
+    );
+    assert_eq!(ring.unreported_drops(), 0, "all drops are reported");
 }
 
-/// The count of a line that tells of dropped ones.
+/// Returns the count of a line that reports dropped lines.
 fn dropped_count(line: &str) -> Option<u64> {
     let (_, count) = line.split_once("\"event\":\"log-lines-dropped\",\"count\":\"")?;
     count.trim_end_matches("\"}").parse().ok()
 }
 
 #[test]
-fn lines_put_before_the_end_are_written() {
+fn lines_pushed_before_close_are_written() {
     let (sink, open, written) = gated();
-    open.send(()).expect("the sink waits");
-    let ring = LogRing::start(sink).expect("a thread");
+    open.send(()).expect("the sink is waiting");
+    let ring = LogRing::start(sink).expect("start the writer thread");
     ring.push(b"first".to_vec());
     ring.push(b"last".to_vec());
     ring.close();
