--- a/crates/decide/tests/requests.rs
+++ b/crates/decide/tests/requests.rs
@@ -326,5 +326,5 @@
     });
     let service = test.core.service(SERVICE).expect("configured");
     let target = service.targets().iter().find(|known| *known.setup.address == *bad);
-    assert_eq!(target.expect("target is known").health.flaps(), 0);
+    assert_eq!(target.expect("known").health.flaps(), 0);
 }
--- a/crates/spread/src/members.rs
+++ b/crates/spread/src/members.rs
@@ -101,8 +101,8 @@
         self.by_centre.keys()
     }
 
-    /// Returns the boxes that run the outlier detector of `service` for a box in `data_centre`, by descending
-    /// rendezvous weight.
+    /// Returns the boxes that run the outlier detector of `service` for a box in `data_centre`: those of its own data
+    /// centre by descending rendezvous weight, then, in a small fleet, one of each other data centre.
     pub fn detectors(&self, service: &str, data_centre: &str) -> Vec<Arc<str>> {
         let mut detectors = highest(self.of_centre(data_centre), service, LOCAL_DETECTORS);
         if self.members.len() <= SMALL_FLEET {
