--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -304,7 +304,7 @@
     /// Reason in words.
     #[prost(string, tag = "5")]
     pub reason: String,
-    /// Scope of the ejection: `path`, `data centre`, `target` or `hand`.
+    /// Scope of the ejection: `path`, `data centre`, `target` or `by hand`; empty if the target is not ejected.
     #[prost(string, tag = "6")]
     pub scope: String,
     /// Whether the box sends no requests to the target.
