--- a/crates/decide/src/steer/latency_ratios.rs
+++ b/crates/decide/src/steer/latency_ratios.rs
@@ -1,4 +1,4 @@
-//! The distribution of a service's latencies, and what the age of an open attempt says about its target.
+//! The distribution of a service's latencies, and the evidence that the age of an open attempt gives.
 //!
 //! With a fixed multiple of the typical time as the bound, healthy targets of a service whose work varies
 //! much become suspects, and stalls at a service whose work varies little are detected late. So the
--- a/crates/decide/src/steer/mod.rs
+++ b/crates/decide/src/steer/mod.rs
@@ -292,7 +292,9 @@
         let work_time = work_time(now, handle);
         match outcome {
             SteerOutcome::Good(_) if handle.timed => self.routes.record_answer(route, work_time),
-            SteerOutcome::DeadlineExceeded if handle.timed => self.routes.record_out_of_time(route),
+            SteerOutcome::DeadlineExceeded if handle.timed => {
+                self.routes.record_deadline_exceeded(route)
+            }
             _ => {}
         }
         let Some(pool) = self.pool_mut(handle.key) else {
--- a/crates/decide/src/steer/pool.rs
+++ b/crates/decide/src/steer/pool.rs
@@ -298,7 +298,7 @@
         for record in present {
             let remaining = match record.notices.ineligibility(now) {
                 Some(Ineligibility::Draining(_)) => continue,
-                Some(Ineligibility::BackingOff { remaining: left, .. }) => left,
+                Some(Ineligibility::BackingOff { remaining, .. }) => remaining,
                 None => record.permit_wait(now)?,
             };
             first = Some(first.map_or(remaining, |known| known.min(remaining)));
--- a/crates/decide/src/steer/record.rs
+++ b/crates/decide/src/steer/record.rs
@@ -1,4 +1,4 @@
-//! What this box knows of one target: failure estimate, network path, load, latency, and what limits it.
+//! The state that this box keeps of one target: failure estimate, network path, load, latency, and what limits it.
 
 use std::time::Duration;
 
@@ -85,11 +85,11 @@
     /// Whether another instance answered at the target's address. The target has ended then, also if the
     /// store still lists it.
     replaced: bool,
-    /// What the target has said of itself in its answers.
+    /// What the target has reported about itself in its answers.
     pub(crate) notices: NoticeState,
     /// Time until which no permit is available for the target.
     no_permit_until: Option<TimePoint>,
-    /// A peer's report that the target is cold, received before the listing said so.
+    /// A peer's report that the target is cold, received before the listing showed it.
     reported_cold: Option<ReportedCold>,
     path_failed_at: Option<TimePoint>,
     full_at: Option<TimePoint>,
@@ -109,7 +109,7 @@
 
 impl TargetRecord {
     /// Creates the record of a target that is listed now. `at_start` is whether the box has just started,
-    /// `in_use` whether the target's service gets requests, `notices` what the target said before.
+    /// `in_use` whether the target's service gets requests, `notices` what the target reported before.
     pub(crate) fn new(
         setup: SteerTarget,
         now: TimePoint,
@@ -202,7 +202,7 @@
     }
 
     /// Records a peer's report that the target is cold and limited to `rate`, for the short time until
-    /// the listing says so as well.
+    /// the listing shows it as well.
     pub(crate) fn record_cold(&mut self, now: TimePoint, rate: RequestRate) {
         self.reported_cold = Some(ReportedCold { rate, until: now + REPORTED_COLD_FOR });
     }
@@ -337,7 +337,7 @@
         }
     }
 
-    /// Records what the outcome of an attempt of this box says of the network path and the load.
+    /// Records the outcome of an attempt of this box as evidence about the network path and the load.
     pub(crate) fn record_own_outcome(&mut self, now: TimePoint, outcome: SteerOutcome) {
         match outcome {
             SteerOutcome::ConnectFailed | SteerOutcome::Incomplete => self.record_path_failure(now),
--- a/crates/decide/src/steer/routes.rs
+++ b/crates/decide/src/steer/routes.rs
@@ -33,7 +33,7 @@
 struct RouteEntry {
     typical: RunningAverage,
     answered: u32,
-    out_of_time: u32,
+    deadline_exceeded: u32,
 }
 
 impl RouteStats {
@@ -45,11 +45,11 @@
     }
 
     /// Returns whether the age of an attempt of the route is evidence about its target: it is if at
-    /// least as many attempts were answered as ran out of time.
+    /// least as many attempts were answered as exceeded their deadline.
     pub(crate) fn is_informative(&self, route: &str) -> bool {
         let entry = self.routes.get(route);
         entry.is_some_and(|entry| {
-            entry.answered >= MIN_ANSWERS && entry.answered >= entry.out_of_time
+            entry.answered >= MIN_ANSWERS && entry.answered >= entry.deadline_exceeded
         })
     }
 
@@ -61,10 +61,10 @@
         entry.limit_counts();
     }
 
-    /// Counts an attempt that ran out of time.
-    pub(crate) fn record_out_of_time(&mut self, route: &Name) {
+    /// Counts an attempt that exceeded its deadline.
+    pub(crate) fn record_deadline_exceeded(&mut self, route: &Name) {
         let entry = self.entry(route);
-        entry.out_of_time += 1;
+        entry.deadline_exceeded += 1;
         entry.limit_counts();
     }
 
@@ -76,7 +76,7 @@
         self.routes.entry(route.clone()).or_insert_with(|| RouteEntry {
             typical: RunningAverage::new(AVERAGE_WINDOW),
             answered: 0,
-            out_of_time: 0,
+            deadline_exceeded: 0,
         })
     }
 }
@@ -84,9 +84,9 @@
 impl RouteEntry {
     /// Halves the counts once they exceed [`MAX_COUNTED_ATTEMPTS`].
     fn limit_counts(&mut self) {
-        if self.answered + self.out_of_time > MAX_COUNTED_ATTEMPTS {
+        if self.answered + self.deadline_exceeded > MAX_COUNTED_ATTEMPTS {
             self.answered /= 2;
-            self.out_of_time /= 2;
+            self.deadline_exceeded /= 2;
         }
     }
 }
--- a/crates/decide/tests/limits.rs
+++ b/crates/decide/tests/limits.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use steering::{at, settled};
+use steering::{at, core_with_healthy_targets};
 use wingbridge_decide::TargetKey;
 use wingbridge_decide::permits::{FallbackShare, PermitAnswer, PermitCoordinator};
 use wingbridge_decide::steer::{LimitUpdate, RequestRate, SteerCore};
@@ -106,7 +106,8 @@
 #[test]
 fn last_or_lowest_report_applies() {
     for case in REPORTS {
-        let mut core = settled(&[("speaker", "near"), ("other", "near")], at(START));
+        let mut core =
+            core_with_healthy_targets(&[("speaker", "near"), ("other", "near")], at(START));
         receive(&mut core, Report::Answer(0, 100, LimitUpdate::At(rate(2.0))));
         case.reports.iter().for_each(|report| receive(&mut core, *report));
         assert_eq!(core.limit(at(2 * START), key()), case.limit.map(rate), "{}", case.name);
@@ -115,7 +116,7 @@
 
 #[test]
 fn limit_survives_a_listing_without_its_target() {
-    let mut core = settled(&[("speaker", "near"), ("other", "near")], at(START));
+    let mut core = core_with_healthy_targets(&[("speaker", "near"), ("other", "near")], at(START));
     receive(&mut core, Report::Answer(0, 100, LimitUpdate::At(rate(2.0))));
     core.set_targets(at(START + 200), vec![steering::target("other", "near")]);
     assert_eq!(core.limit(at(2 * START), key()), None, "the target is not listed");
--- a/crates/decide/tests/notices.rs
+++ b/crates/decide/tests/notices.rs
@@ -7,7 +7,10 @@
 
 use std::time::Duration;
 
-use steering::{PICKS, ROUTE, SERVICE, at, bad, core, good, request, settled, target};
+use steering::{
+    PICKS, ROUTE, SERVICE, at, core, core_with_healthy_targets, report_failure, report_success,
+    request, target,
+};
 use wingbridge_decide::TargetKey;
 use wingbridge_decide::steer::record::SteerTarget;
 use wingbridge_decide::steer::{SteerCore, SteerOutcome, TargetNotice};
@@ -22,7 +25,8 @@
 
 /// A core with two targets that have succeeded, one of which has just given `notice`.
 fn core_with_notice(notice: &TargetNotice) -> SteerCore {
-    let mut core = settled(&[("speaker", "near"), ("other", "near")], at(NOTICE_AT));
+    let mut core =
+        core_with_healthy_targets(&[("speaker", "near"), ("other", "near")], at(NOTICE_AT));
     core.record_notice(at(NOTICE_AT), TargetKey::of_incarnation("speaker", 0), notice);
     core
 }
@@ -58,7 +62,7 @@
 /// Makes the other target fail, so that the one with the notice would be the better choice.
 fn other_fails(core: &mut SteerCore) {
     for millis in (0..6_000).step_by(500) {
-        bad(core, at(NOTICE_AT + millis), "other");
+        report_failure(core, at(NOTICE_AT + millis), "other");
     }
 }
 
@@ -282,6 +286,6 @@
     core.set_targets(at(0), vec![target("other", "near")]);
     core.record_notice(at(NOTICE_AT), TargetKey::of_incarnation("speaker", 0), &DRAINING);
     core.set_targets(at(NOTICE_AT + 10), vec![target("speaker", "near"), target("other", "near")]);
-    good(&mut core, at(NOTICE_AT + 20), "other", 3);
+    report_success(&mut core, at(NOTICE_AT + 20), "other", 3);
     assert_eq!(picks_of_notifier(&mut core, NOTICE_AT + 4_000, false, &[]), 0);
 }
--- a/crates/decide/tests/stalls.rs
+++ b/crates/decide/tests/stalls.rs
@@ -4,7 +4,10 @@
 
 use std::time::Duration;
 
-use steering::{PICKS, ROUTE, SERVICE, at, attempt, core, good, settled, shares, target};
+use steering::{
+    PICKS, ROUTE, SERVICE, at, core, core_with_healthy_targets, make_attempt, pick_counts,
+    report_success, target,
+};
 use wingbridge_decide::steer::latency_ratios::LatencyRatios;
 use wingbridge_decide::steer::{
     MIN_SUSPECT_RISK, OpenAge, PeerSample, RetryUse, SteerCore, SteerOutcome,
@@ -16,11 +19,11 @@
 
 /// Returns a core that has recorded many answers of the typical time from each of two targets, at `now`.
 fn core_with_history(now: u64) -> SteerCore {
-    let mut core = settled(&[("a", "near"), ("b", "near")], at(now));
+    let mut core = core_with_healthy_targets(&[("a", "near"), ("b", "near")], at(now));
     for _ in 0..20 {
         for id in ["a", "b"] {
-            attempt(&mut core, at(now), at(now) + TYPICAL, id, true);
-            good(&mut core, at(now), id, 3);
+            make_attempt(&mut core, at(now), at(now) + TYPICAL, id, true);
+            report_success(&mut core, at(now), id, 3);
         }
     }
     core
@@ -60,7 +63,7 @@
         report_open(&mut core, now, "a", case.open, TYPICAL * case.age / 100);
         let risk = core.risk(now, TargetKey::of("a")).expect("known");
         assert_eq!(risk >= MIN_SUSPECT_RISK, case.suspect, "{}: {risk}", case.name);
-        let counts = shares(&mut core, now, &["a", "b"], false);
+        let counts = pick_counts(&mut core, now, &["a", "b"], false);
         assert!(!case.suspect || counts[0] < PICKS / 10, "{}: {counts:?}", case.name);
     }
 }
@@ -82,7 +85,7 @@
 fn attempt_that_runs_out_of_time_makes_its_target_a_suspect() {
     let mut core = core_with_history(20_000);
     let now = at(21_000);
-    attempt(&mut core, now, now + TYPICAL * 6, "a", false);
+    make_attempt(&mut core, now, now + TYPICAL * 6, "a", false);
     let risk = core.risk(now + TYPICAL * 6, TargetKey::of("a")).expect("known");
     assert!(risk >= MIN_SUSPECT_RISK, "{risk}");
 }
--- a/crates/decide/tests/steer.rs
+++ b/crates/decide/tests/steer.rs
@@ -7,7 +7,8 @@
 
 use proptest::prelude::*;
 use steering::{
-    PICKS, ROUTE, SERVICE, WINDOW, at, bad, bounds, core, good, request, settled, shares, target,
+    PICKS, ROUTE, SERVICE, WINDOW, at, bounds, core, core_with_healthy_targets, pick_counts,
+    report_failure, report_success, request, target,
 };
 use wingbridge_decide::TargetKey;
 use wingbridge_decide::steer::ledger::{RetryBounds, RetryCounts, RetryLedger};
@@ -21,10 +22,10 @@
 #[test]
 fn one_failure_reported_by_a_peer_diverts_requests() {
     let now = at(20_000);
-    let mut core = settled(&[("a", "near"), ("b", "near"), ("c", "near")], now);
-    bad(&mut core, now, "a");
+    let mut core = core_with_healthy_targets(&[("a", "near"), ("b", "near"), ("c", "near")], now);
+    report_failure(&mut core, now, "a");
     for repeatable in [false, true] {
-        let counts = shares(&mut core, now, &["a", "b", "c"], repeatable);
+        let counts = pick_counts(&mut core, now, &["a", "b", "c"], repeatable);
         assert!(counts[0] < PICKS / 30, "repeatable {repeatable}: {counts:?}");
         assert!(counts[1] > PICKS / 4 && counts[2] > PICKS / 4, "{counts:?}");
     }
@@ -33,11 +34,11 @@
 #[test]
 fn requests_stay_local_while_local_targets_are_healthy_and_have_free_slots() {
     let now = at(20_000);
-    let mut core = settled(&[("n", "near"), ("f", "far")], now);
+    let mut core = core_with_healthy_targets(&[("n", "near"), ("f", "far")], now);
     // Enough answers to learn the distribution of the latency ratios.
     for _ in 0..40 {
-        good(&mut core, now, "n", 3);
-        good(&mut core, now, "f", 3);
+        report_success(&mut core, now, "n", 3);
+        report_success(&mut core, now, "f", 3);
     }
     let local_picks = |core: &mut SteerCore| {
         let picks =
@@ -53,7 +54,7 @@
 #[test]
 fn replaced_target_is_eligible_again_only_under_a_new_address() {
     let now = at(20_000);
-    let mut core = settled(&[("a", "near"), ("b", "near")], now);
+    let mut core = core_with_healthy_targets(&[("a", "near"), ("b", "near")], now);
     assert!(core.record_replaced(TargetKey::of("a")));
     assert!(!core.record_replaced(TargetKey::of("a")), "it is known already");
     let picks_of_a = |core: &mut SteerCore| {
@@ -72,12 +73,12 @@
 #[test]
 fn successes_clear_a_suspect() {
     let now = at(20_000);
-    let mut core = settled(&[("a", "near"), ("b", "near")], now);
+    let mut core = core_with_healthy_targets(&[("a", "near"), ("b", "near")], now);
     for _ in 0..3 {
-        bad(&mut core, now, "a");
+        report_failure(&mut core, now, "a");
     }
     assert!(core.risk(now, TargetKey::of("a")).expect("known") > 0.7);
-    good(&mut core, now, "a", 9);
+    report_success(&mut core, now, "a", 9);
     let risk = core.risk(now, TargetKey::of("a")).expect("known");
     assert!(risk < MIN_SUSPECT_RISK, "{risk}");
 }
@@ -85,24 +86,24 @@
 #[test]
 fn large_answers_stay_local_unless_local_targets_fail() {
     let now = at(20_000);
-    let mut core = settled(&[("a", "near"), ("b", "far")], now);
+    let mut core = core_with_healthy_targets(&[("a", "near"), ("b", "far")], now);
     let large = SteerRequest { large: true, ..request(true, &[]) };
     for _ in 0..PICKS {
         assert_eq!(*core.pick(now, &large).expect("a target is chosen").id, *"a");
     }
     for _ in 0..3 {
-        bad(&mut core, now, "a");
+        report_failure(&mut core, now, "a");
     }
-    let away =
+    let remote =
         (0..PICKS).filter(|_| *core.pick(now, &large).expect("a target is chosen").id == *"b");
-    assert!(away.count() > PICKS * 9 / 10);
+    assert!(remote.count() > PICKS * 9 / 10);
 }
 
 #[test]
 fn new_instance_does_not_inherit_the_failures_of_the_one_before() {
     let now = at(20_000);
-    let mut core = settled(&[("a", "near")], now);
-    bad(&mut core, now, "a");
+    let mut core = core_with_healthy_targets(&[("a", "near")], now);
+    report_failure(&mut core, now, "a");
     core.set_targets(now, vec![target("b", "near")]);
     assert_eq!(core.risk(now, TargetKey::of("a")), None);
     let risk = core.risk(now, TargetKey::of("b")).expect("known");
@@ -112,19 +113,19 @@
 #[test]
 fn open_attempts_of_peers_count_as_load() {
     let now = at(20_000);
-    let mut core = settled(&[("a", "near"), ("b", "near")], now);
+    let mut core = core_with_healthy_targets(&[("a", "near"), ("b", "near")], now);
     for peer in 1..=6 {
         let open = PeerSample { open: Some(1), ..PeerSample::default() };
         core.merge_peer_sample(now, peer, TargetKey::of("a"), &open);
     }
-    let counts = shares(&mut core, now, &["a", "b"], false);
+    let counts = pick_counts(&mut core, now, &["a", "b"], false);
     assert!(counts[0] < PICKS / 20, "six attempts are open at a and none at b: {counts:?}");
 }
 
 #[test]
 fn request_that_no_target_can_answer_in_time_is_refused_at_once() {
     let now = at(20_000);
-    let mut core = settled(&[("a", "near")], now);
+    let mut core = core_with_healthy_targets(&[("a", "near")], now);
     core.record_load(now, TargetKey::of("a"), LoadReport { held: 60, slots: 3 });
     assert_eq!(core.pick(now, &request(false, &[])), Err(PickError::Overloaded));
     let tried = [TargetKey::of("a")];
@@ -158,7 +159,7 @@
 fn requests_with_enough_time_are_held_back_while_targets_are_saturated() {
     for case in SATURATION_CASES {
         let now = at(20_000);
-        let mut core = settled(&[("a", "near")], now);
+        let mut core = core_with_healthy_targets(&[("a", "near")], now);
         core.record_load(now, TargetKey::of("a"), LoadReport { held: case.held, slots: 3 });
         let remaining = Duration::from_millis(case.remaining);
         let picked = core.pick(now, &SteerRequest { remaining, ..request(false, &[]) });
@@ -175,15 +176,15 @@
 #[test]
 fn failed_path_is_avoided_for_a_short_time() {
     let now = at(20_000);
-    let mut core = settled(&[("a", "near"), ("b", "near")], now);
+    let mut core = core_with_healthy_targets(&[("a", "near"), ("b", "near")], now);
     let handle = core.begin(now, TargetKey::of("a"), &ROUTE.into());
     core.end(now, &handle, &ROUTE.into(), SteerOutcome::ConnectFailed, 0);
-    let counts = shares(&mut core, now, &["a", "b"], false);
+    let counts = pick_counts(&mut core, now, &["a", "b"], false);
     assert_eq!(counts[0], 0, "{counts:?}");
     let later = at(23_000);
-    good(&mut core, later, "a", 3);
-    good(&mut core, later, "b", 3);
-    assert!(shares(&mut core, later, &["a", "b"], false)[0] > 0);
+    report_success(&mut core, later, "a", 3);
+    report_success(&mut core, later, "b", 3);
+    assert!(pick_counts(&mut core, later, &["a", "b"], false)[0] > 0);
 }
 
 #[test]
@@ -281,7 +282,7 @@
 struct LedgerFleet {
     reported: bool,
     now: u64,
-    lives: u64,
+    incarnations: u64,
     boxes: Vec<LedgerBox>,
     /// The time of each request and retry, with whether it is a retry.
     events: Vec<(u64, bool)>,
@@ -297,16 +298,23 @@
     const BOXES: usize = 8;
 
     fn new(reported: bool) -> LedgerFleet {
-        let boxes = (0..Self::BOXES as u64).map(|life| LedgerBox::new(life, 0)).collect();
-        LedgerFleet { reported, now: 0, lives: Self::BOXES as u64, boxes, events: Vec::new() }
+        let boxes =
+            (0..Self::BOXES as u64).map(|incarnation| LedgerBox::new(incarnation, 0)).collect();
+        LedgerFleet {
+            reported,
+            now: 0,
+            incarnations: Self::BOXES as u64,
+            boxes,
+            events: Vec::new(),
+        }
     }
 
     fn run_step(&mut self, step: &FleetStep) {
         self.now += step.pause;
         let now = at(self.now);
         if step.restarts {
-            self.boxes[step.index] = LedgerBox::new(self.lives, self.now);
-            self.lives += 1;
+            self.boxes[step.index] = LedgerBox::new(self.incarnations, self.now);
+            self.incarnations += 1;
         }
         let own = &mut self.boxes[step.index];
         own.ledger.record_request(now);
--- a/crates/decide/tests/steering/mod.rs
+++ b/crates/decide/tests/steering/mod.rs
@@ -74,18 +74,18 @@
 }
 
 /// Returns a core whose targets have answered successfully until `now`.
-pub fn settled(ids: &[(&str, &str)], now: TimePoint) -> SteerCore {
+pub fn core_with_healthy_targets(ids: &[(&str, &str)], now: TimePoint) -> SteerCore {
     let mut core = core();
     core.set_targets(at(0), ids.iter().map(|(id, centre)| target(id, centre)).collect());
     core.set_boxes(10, 30);
     for (id, _) in ids {
-        good(&mut core, now, id, 4);
+        report_success(&mut core, now, id, 4);
     }
     core
 }
 
 /// Reports `count` successful attempts at `id`.
-pub fn good(core: &mut SteerCore, now: TimePoint, id: &str, count: u32) {
+pub fn report_success(core: &mut SteerCore, now: TimePoint, id: &str, count: u32) {
     let sample = PeerSample {
         good: count.min(3),
         open: Some(0),
@@ -98,13 +98,13 @@
 }
 
 /// Reports a failed attempt at `id`.
-pub fn bad(core: &mut SteerCore, now: TimePoint, id: &str) {
+pub fn report_failure(core: &mut SteerCore, now: TimePoint, id: &str) {
     let sample = PeerSample { bad: 1, open: Some(0), ..PeerSample::default() };
     core.merge_peer_sample(now, 1, TargetKey::of(id), &sample);
 }
 
 /// Makes an attempt of a request on [`ROUTE`] at `id`, from `start` to its end at `now`.
-pub fn attempt(core: &mut SteerCore, start: TimePoint, now: TimePoint, id: &str, good: bool) {
+pub fn make_attempt(core: &mut SteerCore, start: TimePoint, now: TimePoint, id: &str, good: bool) {
     let handle = core.begin(start, TargetKey::of(id), &ROUTE.into());
     let outcome =
         if good { SteerOutcome::Good(now.since(start)) } else { SteerOutcome::DeadlineExceeded };
@@ -112,7 +112,12 @@
 }
 
 /// Returns how often each of `ids` is picked at `now`; no attempt is made by these picks.
-pub fn shares(core: &mut SteerCore, now: TimePoint, ids: &[&str], repeatable: bool) -> Vec<usize> {
+pub fn pick_counts(
+    core: &mut SteerCore,
+    now: TimePoint,
+    ids: &[&str],
+    repeatable: bool,
+) -> Vec<usize> {
     let mut counts = vec![0; ids.len()];
     for _ in 0..PICKS {
         let pick = core.pick(now, &request(repeatable, &[])).expect("a target is chosen");
--- a/crates/decide/tests/target_subset.rs
+++ b/crates/decide/tests/target_subset.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use steering::{SERVICE, at, bad, core_with_seed, good, request, target};
+use steering::{SERVICE, at, core_with_seed, report_failure, report_success, request, target};
 use wingbridge_decide::TargetKey;
 use wingbridge_decide::steer::{LoadReport, SteerCore, SteerRequest};
 
@@ -30,7 +30,7 @@
     let remote = (0..targets).map(|number| target(&format!("f{number}"), "far"));
     core.set_targets(at(0), local.chain(remote).collect());
     core.set_boxes(BOXES, 2 * BOXES);
-    good(&mut core, at(1_000), "t0", 1);
+    report_success(&mut core, at(1_000), "t0", 1);
     for number in 0..8 * requests_per_s {
         core.record_request(at(1_000 + number * 1_000 / requests_per_s), SERVICE);
     }
@@ -62,7 +62,7 @@
     let mut core = loaded_box(1, 1_000, 1);
     let before: BTreeSet<String> = (0..600).map(|_| pick(&mut core)).collect();
     let failed = before.first().expect("no target was used").clone();
-    bad(&mut core, at(NOW), &failed);
+    report_failure(&mut core, at(NOW), &failed);
     let later = |core: &mut SteerCore, millis: u64| -> BTreeSet<String> {
         (0..600)
             .map(|_| {
--- a/crates/decide/tests/trials.rs
+++ b/crates/decide/tests/trials.rs
@@ -5,7 +5,8 @@
 use std::collections::BTreeMap;
 
 use steering::{
-    PICKS, SERVICE, at, bad, core, core_with_seed, good, request, settled, shares, target,
+    PICKS, SERVICE, at, core, core_with_healthy_targets, core_with_seed, pick_counts,
+    report_failure, report_success, request, target,
 };
 use wingbridge_decide::steer::{PeerSample, SteerCore};
 use wingbridge_decide::{TargetKey, TimePoint};
@@ -25,7 +26,7 @@
         core.set_targets(start, ids.iter().map(|id| target(id, "near")).collect());
         core.set_boxes(BOXES, BOXES);
         // The service is in use, so that idle targets are due.
-        good(&mut core, at(1_000), "t0", 1);
+        report_success(&mut core, at(1_000), "t0", 1);
         let picked = core.pick(at(9_000), &request(false, &[])).expect("a target is chosen");
         *tried.entry(picked.key).or_default() += 1;
     }
@@ -75,7 +76,7 @@
 
 fn fail_many_at(core: &mut SteerCore, now: TimePoint, id: &str) {
     for _ in 0..10 {
-        bad(core, now, id);
+        report_failure(core, now, id);
     }
 }
 
@@ -85,16 +86,19 @@
 fn idle_targets_are_tried_in_time() {
     for case in TRIAL_CASES {
         let start = 20_000;
-        let mut core = settled(&[("a", "near"), ("b", "near"), ("elsewhere", "far")], at(start));
+        let mut core = core_with_healthy_targets(
+            &[("a", "near"), ("b", "near"), ("elsewhere", "far")],
+            at(start),
+        );
         for _ in 0..3 {
             if case.failed {
-                bad(&mut core, at(start), "a")
+                report_failure(&mut core, at(start), "a")
             } else {
-                good(&mut core, at(start), "a", 3)
+                report_success(&mut core, at(start), "a", 3)
             }
         }
         let now = at(start + case.idle);
-        good(&mut core, now, "b", 3);
+        report_success(&mut core, now, "b", 3);
         if case.many_fail {
             fail_many(&mut core, now);
         }
@@ -131,11 +135,11 @@
     let targets: Vec<(&str, &str)> = near.chain([("elsewhere", "far")]).collect();
     for case in SUSPECT_CASES {
         let start = 20_000;
-        let mut core = settled(&targets, at(start));
+        let mut core = core_with_healthy_targets(&targets, at(start));
         let (failed, healthy) = ids.split_at(case.failed);
-        failed.iter().for_each(|id| bad(&mut core, at(start), id));
+        failed.iter().for_each(|id| report_failure(&mut core, at(start), id));
         let now = at(start + case.idle);
-        healthy.iter().for_each(|id| good(&mut core, now, id, 3));
+        healthy.iter().for_each(|id| report_success(&mut core, now, id, 3));
         fail_many(&mut core, now);
         core.record_request(now, SERVICE);
         let picks =
@@ -148,8 +152,9 @@
 #[test]
 fn second_attempt_is_never_a_trial() {
     let now = at(40_000);
-    let mut core = settled(&[("a", "near"), ("b", "near"), ("c", "near")], at(20_000));
-    good(&mut core, now, "b", 6);
+    let mut core =
+        core_with_healthy_targets(&[("a", "near"), ("b", "near"), ("c", "near")], at(20_000));
+    report_success(&mut core, now, "b", 6);
     core.record_request(now, SERVICE);
     let tried = [TargetKey::of("c")];
     for _ in 0..PICKS {
@@ -161,14 +166,14 @@
 #[test]
 fn target_that_joins_gets_requests_soon() {
     let start = at(20_000);
-    let mut core = settled(&[("a", "near"), ("b", "near")], start);
+    let mut core = core_with_healthy_targets(&[("a", "near"), ("b", "near")], start);
     let all = ["a", "b", "new"].iter().map(|id| target(id, "near")).collect();
     core.set_targets(start, all);
     let now = at(21_100);
-    good(&mut core, now, "a", 3);
-    good(&mut core, now, "b", 3);
+    report_success(&mut core, now, "a", 3);
+    report_success(&mut core, now, "b", 3);
     core.record_request(now, SERVICE);
-    let counts = shares(&mut core, now, &["a", "b", "new"], false);
+    let counts = pick_counts(&mut core, now, &["a", "b", "new"], false);
     assert!(counts[2] > 0, "{counts:?}");
 }
 
@@ -178,10 +183,11 @@
 #[test]
 fn failures_reported_by_remote_boxes_do_not_raise_the_failure_share() {
     let start = 20_000;
-    let mut core = settled(&[("a", "near"), ("b", "near"), ("elsewhere", "far")], at(start));
+    let mut core =
+        core_with_healthy_targets(&[("a", "near"), ("b", "near"), ("elsewhere", "far")], at(start));
     let now = at(start + 1_500);
     for _ in 0..10 {
-        good(&mut core, now, "b", 3);
+        report_success(&mut core, now, "b", 3);
         let reported = PeerSample { bad: 1, ..PeerSample::default() };
         core.merge_peer_sample(now, 2, TargetKey::of("elsewhere"), &reported);
     }
@@ -227,8 +233,8 @@
         core.set_boxes(10, 30);
         let now = at(start + case.in_use.unwrap_or_default());
         if case.in_use.is_some() {
-            good(&mut core, at(start), "a", 3);
-            good(&mut core, now, "a", 3);
+            report_success(&mut core, at(start), "a", 3);
+            report_success(&mut core, now, "a", 3);
         }
         core.record_request(now, SERVICE);
         let request = request(case.repeatable, &[]);
@@ -284,15 +290,15 @@
 fn remote_targets_are_not_tried_while_few_requests_fail() {
     for case in REMOTE_CASES {
         let start = 20_000;
-        let mut core = settled(&[("a", "near"), ("there", "far")], at(start));
+        let mut core = core_with_healthy_targets(&[("a", "near"), ("there", "far")], at(start));
         let now = at(start + case.idle);
         for second in 0..=case.idle / 1000 {
-            good(&mut core, at(start + second * 1000), "a", 3);
+            report_success(&mut core, at(start + second * 1000), "a", 3);
         }
-        good(&mut core, now, "a", 3);
+        report_success(&mut core, now, "a", 3);
         if case.many_fail {
             fail_many_at(&mut core, now, "a");
-            good(&mut core, now, "a", 3);
+            report_success(&mut core, now, "a", 3);
         }
         core.record_request(now, SERVICE);
         let request = request(case.repeatable, &[]);
