--- a/crates/gateway/src/gossip/beacons.rs
+++ b/crates/gateway/src/gossip/beacons.rs
@@ -8,8 +8,8 @@
 use wingbridge_wire::gossip::{DatagramBody, Heartbeat, ViewVersion};
 
 use super::GossipDuty;
-use crate::limit_news::{limits_retold, take_limit};
-use crate::notices::show_left_out;
+use crate::limit_reports::{limits_in_force, merge_limit};
+use crate::notices::update_excluded_gauges;
 use crate::view::KnownView;
 use crate::view_exchange::view_mark;
 
@@ -27,7 +27,7 @@
 /// Requests that end targets which an answer to a box names, at most: it may have just started.
 const CRASHES_ANSWERED: usize = 16;
 /// Limits of targets that a beacon names at most, of some 20 bytes each.
-const LIMITS_TOLD: usize = 12;
+const MAX_REPORTED_LIMITS: usize = 12;
 /// Time between two questions to seeds while no peer is known.
 const SEARCH_PERIOD: Duration = Duration::from_millis(250);
 /// A box that knows others, but none of its data centre, asks seeds as often for this long:
@@ -45,7 +45,7 @@
         loop {
             // One box of another data centre is no use for what boxes of one share, and it
             // may be all that is heard at first: the search goes on for a while.
-            show_left_out(&self.context);
+            update_excluded_gauges(&self.context);
             let alone = self.context.peers().near().is_empty();
             let lonely = self.context.peers().boxes() == 1;
             if lonely || (alone && started.elapsed() < NEAR_SEARCH_TIME) {
@@ -117,7 +117,7 @@
         self.note_boxes();
         let told = listed.iter().take(FAR_LISTED).cloned().collect();
         let crashes = self.context.crashes.retold(listed_by(near.len()));
-        let limits = limits_retold(&self.context, LIMITS_TOLD);
+        let limits = limits_in_force(&self.context, MAX_REPORTED_LIMITS);
         let beacon = Heartbeat {
             view_version: self.mark(),
             peers: listed,
@@ -156,7 +156,7 @@
         beacon: Heartbeat,
     ) {
         self.context.crashes.take(&beacon.crashes, box_id);
-        beacon.limits.iter().for_each(|limit| take_limit(&self.context, limit, box_id));
+        beacon.limits.iter().for_each(|limit| merge_limit(&self.context, limit, box_id));
         if beacon.stopping {
             self.context.peers().note_leaving(from);
             return;
@@ -183,7 +183,7 @@
             };
             let crashes = self.context.crashes.retold(CRASHES_ANSWERED);
             let mark = self.mark();
-            let limits = limits_retold(&self.context, LIMITS_TOLD);
+            let limits = limits_in_force(&self.context, MAX_REPORTED_LIMITS);
             let answer = Heartbeat {
                 view_version: mark,
                 peers: listed,
--- a/crates/gateway/src/gossip/telling.rs
+++ b/crates/gateway/src/gossip/telling.rs
@@ -17,8 +17,8 @@
 
 use super::GossipDuty;
 use crate::context::{SeenBy, lock, log_replaced, millis, note_suspicion};
-use crate::limit_news::take_limit;
-use crate::notices::take_leaving;
+use crate::limit_reports::merge_limit;
+use crate::notices::merge_draining;
 use crate::sightings::Urgency;
 
 /// How long successes wait for more before they are told.
@@ -127,9 +127,9 @@
     fn take_sightings(&self, peer: u64, box_id: &str, sightings: &PassiveSamples) {
         self.context.crashes.take(&sightings.crashes, box_id);
         let leaving = sightings.targets.iter().filter(|seen| seen.draining);
-        leaving.for_each(|seen| take_leaving(&self.context, TargetKey(seen.target), box_id));
+        leaving.for_each(|seen| merge_draining(&self.context, TargetKey(seen.target), box_id));
         let limits = sightings.targets.iter().filter_map(|seen| seen.limit.as_ref());
-        limits.for_each(|limit| take_limit(&self.context, limit, box_id));
+        limits.for_each(|limit| merge_limit(&self.context, limit, box_id));
         let now = self.context.now();
         let mut core = self.context.core();
         for seen in &sightings.targets {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -22,7 +22,7 @@
 mod gossip;
 mod held_credit;
 mod intake;
-mod limit_news;
+mod limit_reports;
 mod listing_history;
 mod listing_source;
 mod lives;
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -17,7 +17,7 @@
 
 use crate::attempt::is_anothers;
 use crate::context::{BoxContext, millis};
-use crate::limit_news::{limit_of, log_limit};
+use crate::limit_reports::{limit_of, log_limit};
 use crate::permit_desk::SendPermit;
 use crate::ports::HeaderNames;
 
@@ -161,7 +161,7 @@
 /// Until it has asked the target itself a box would send it work that is then cut when the target
 /// ends. A rest is not told: it was asked of one box, and one refusal told to all would have
 /// every box turn to the same targets next.
-pub(crate) fn take_leaving(context: &BoxContext, key: TargetKey, peer: &str) {
+pub(crate) fn merge_draining(context: &BoxContext, key: TargetKey, peer: &str) {
     let now = context.now();
     let mut core = context.core();
     if !core.record_draining(now, key) {
@@ -174,7 +174,7 @@
 }
 
 /// Sets the gauges of targets that want nothing now.
-pub(crate) fn show_left_out(context: &BoxContext) {
+pub(crate) fn update_excluded_gauges(context: &BoxContext) {
     let core = context.core();
     let ExcludedTargets { draining: leaving, backing_off: resting, evacuated, .. } =
         core.all_excluded(context.now());
--- a/crates/gateway/src/permit_desk.rs
+++ b/crates/gateway/src/permit_desk.rs
@@ -15,7 +15,7 @@
 
 use crate::context::{BoxContext, lock, millis};
 use crate::gossip::GossipDuty;
-use crate::limit_news::{limit_of, take_limit};
+use crate::limit_reports::{limit_of, merge_limit};
 use crate::peers::KeeperSeat;
 
 /// An ask without an answer is given up after this long: a round trip takes some milliseconds, and
@@ -156,7 +156,7 @@
     ) -> Option<PermitMessage> {
         for reply in &news.replies {
             if let Some(limit) = &reply.limit {
-                take_limit(context, limit, peer);
+                merge_limit(context, limit, peer);
             }
             // The request may be gone; then its permit is lost.
             if let Some(waiting) = lock(&self.state).waiting.remove(&reply.number) {
@@ -233,7 +233,7 @@
     fn reply(&self, context: &BoxContext, peer: &str, ask: &PermitRequest) -> PermitReply {
         let key = TargetKey(ask.target);
         if let Some(told) = &ask.limit {
-            take_limit(context, told, peer);
+            merge_limit(context, told, peer);
         }
         if let Some(millionths) = ask.cold_plus_one.checked_sub(1) {
             // The listing by which the asker knows it may be on its way here.
--- a/crates/gateway/src/request_log.rs
+++ b/crates/gateway/src/request_log.rs
@@ -82,7 +82,7 @@
     }
 
     /// Notes which targets could not be chosen.
-    pub(crate) fn note_left_out(&mut self, out: &ExcludedTargets) {
+    pub(crate) fn record_excluded(&mut self, out: &ExcludedTargets) {
         let ExcludedTargets {
             draining: leaving,
             backing_off: resting,
--- a/crates/gateway/src/requests/mod.rs
+++ b/crates/gateway/src/requests/mod.rs
@@ -178,7 +178,7 @@
         let pick = core.pick(now, &request);
         let out = core.excluded(now, &self.plan.service);
         drop(core);
-        self.trace.note_left_out(&out);
+        self.trace.record_excluded(&out);
         pick
     }
 
