--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,7 @@
-//! The configuration of services and targets: a TOML file, checked.
+//! The configuration of services and targets in TOML.
 //!
-//! Raw values are read first and then resolved into a [`ServiceConfig`] that
-//! can't be wrong any more; everything behind it takes that type. In the store
-//! each service has a key of its own, with one `[[service]]` block as its value.
+//! Raw values are parsed and then validated into a [`ServiceConfig`], the type that all other code
+//! uses. In the store each service has its own key, with one `[[service]]` block as its value.
 
 mod raw;
 pub mod routes;
@@ -29,24 +28,23 @@
 /// Target-days between two false ejections that `bias = "quick"` stands for.
 pub const QUICK_TARGET_DAYS: f64 = 100.0;
 
-/// One service, checked.
+/// The validated configuration of one service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceConfig {
-    /// What decisions are made by.
+    /// The parameters of the decision core.
     pub setup: ServiceSetup,
-    /// Path prefixes whose requests its policy plans.
+    /// Path prefixes of the requests that the service's policy plans.
     pub routes: Vec<String>,
-    /// The policy's name.
+    /// The name of the policy.
     pub policy: String,
-    /// The block as it stands in the store.
+    /// The `[[service]]` block as stored.
     pub text: String,
 }
 
-/// Reads a file with any number of `[[service]]` blocks.
+/// Parses a file with any number of `[[service]]` blocks.
 ///
 /// # Errors
-/// The first thing that is wrong, with the service, the setting, its value and
-/// what is allowed.
+/// The first error, with the service, the setting, its value and the allowed values.
 pub fn parse_services(text: &str) -> Result<Vec<ServiceConfig>, ConfigError> {
     let file: RawFile = toml::from_str(text).map_err(|error| ConfigError(error.to_string()))?;
     let mut services = Vec::new();
@@ -57,10 +55,10 @@
     Ok(services)
 }
 
-/// Reads one service's value from the store.
+/// Parses the value of a service's key in the store.
 ///
 /// # Errors
-/// The value is not exactly one sound `[[service]]` block.
+/// The value is not exactly one valid `[[service]]` block.
 pub fn parse_service(text: &str) -> Result<ServiceConfig, ConfigError> {
     let mut services = parse_services(text)?;
     match (services.pop(), services.is_empty()) {
@@ -69,7 +67,7 @@
     }
 }
 
-/// Reads the manual overrides for one service.
+/// Parses the manual overrides of one service.
 ///
 /// # Errors
 /// The text is not a list of overrides.
@@ -82,7 +80,7 @@
     Ok(ejected.chain(drained).collect())
 }
 
-/// Writes manual overrides as they stand in the store.
+/// Returns manual overrides as the TOML text that the store holds.
 pub fn overrides_text(overrides: &[ManualOverride]) -> String {
     let of = |kind: OverrideKind| {
         let some = overrides.iter().filter(|known| known.kind == kind);
@@ -92,7 +90,7 @@
     toml::to_string(&raw).expect("a list of strings can be written as TOML")
 }
 
-/// What is wrong with a configuration, in one line.
+/// An error in a configuration, described in one line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigError(String);
 
@@ -173,6 +171,7 @@
     Ok(ServiceConfig { setup, routes: raw.routes, policy: raw.policy, text })
 }
 
+/// Checks that no two services have the same name or route.
 fn check_across(services: &[ServiceConfig]) -> Result<(), ConfigError> {
     for (index, service) in services.iter().enumerate() {
         let name = &service.setup.name;
--- a/crates/config/src/raw.rs
+++ b/crates/config/src/raw.rs
@@ -1,8 +1,8 @@
-//! The file as it is written, before any check.
+//! The configuration file as parsed, before validation.
 
 use serde::{Deserialize, Serialize};
 
-/// A whole file.
+/// A configuration file.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RawFile {
@@ -37,7 +37,7 @@
     pub(crate) warm_up_s: u64,
 }
 
-/// Manual overrides for one service.
+/// The manual overrides of one service.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RawOverrides {
--- a/crates/config/src/routes.rs
+++ b/crates/config/src/routes.rs
@@ -1,19 +1,19 @@
-//! Which service's policy plans a request: the longest prefix of whole segments.
+//! The route table: finds the service of a request by the longest prefix of complete path segments.
 
 use std::collections::HashMap;
 
 use wingbridge_decide::Name;
 
-/// Routes of all services. A look-up costs one hash for each segment of the path,
-/// however many routes there are.
+/// The routes of all services. A look-up costs one hash per path segment, independent of the
+/// number of routes.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTable {
     routes: HashMap<String, Name>,
 }
 
 impl RouteTable {
-    /// Makes a table of pairs of route and service. Where two services claim a
-    /// route, the lesser name has it, in every box.
+    /// Creates a table from pairs of route and service. If two services claim a route, the service
+    /// whose name sorts first gets it, so that all boxes agree.
     pub fn new<'a>(routes: impl IntoIterator<Item = (&'a str, Name)>) -> RouteTable {
         let mut table: HashMap<String, Name> = HashMap::new();
         for (route, service) in routes {
@@ -25,7 +25,7 @@
         RouteTable { routes: table }
     }
 
-    /// The service that plans a request for `path`.
+    /// Returns the service whose policy plans requests for `path`.
     pub fn find(&self, path: &str) -> Option<&Name> {
         let mut prefix = trimmed(path);
         loop {
--- a/crates/trace/src/clock.rs
+++ b/crates/trace/src/clock.rs
@@ -1,37 +1,37 @@
-//! The hybrid logical clock (Kulkarni et al., 2014): wall time with a counter.
+//! A hybrid logical clock (Kulkarni et al., 2014): wall-clock time with a counter.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Low bits that count events within one millisecond.
+/// Number of low bits of a time stamp that count events within one millisecond.
 const COUNTER_BITS: u32 = 16;
-/// A peer's clock is followed at most this far ahead of ours, in milliseconds:
-/// one box with a wrong date must not drag the whole fleet's time line along.
-const MOST_AHEAD_MILLIS: u64 = 60_000;
+/// Maximum offset of a remote time stamp ahead of the local clock, in milliseconds. Later ones
+/// are ignored, so that one box with a wrong date can't advance the clocks of the whole fleet.
+const MAX_AHEAD_MILLIS: u64 = 60_000;
 
-/// A clock that never goes back and never falls behind what it has heard.
+/// A clock whose stamps increase, and are later than each remote stamp that it has observed.
 #[derive(Debug, Default)]
 pub struct HybridClock {
     last: AtomicU64,
 }
 
 impl HybridClock {
-    /// A clock at the wall's time.
+    /// Creates a clock that starts at the wall-clock time.
     pub fn new() -> HybridClock {
         HybridClock::default()
     }
 
-    /// A stamp later than each one before.
+    /// Returns a stamp that is later than all earlier ones.
     pub fn tick(&self) -> u64 {
         self.tick_at(wall_millis())
     }
 
-    /// Takes note of a stamp from another process.
+    /// Advances the clock to a stamp of another process, unless that is over a minute ahead.
     pub fn observe(&self, remote: u64) {
         self.observe_at(remote, wall_millis());
     }
 
-    /// [`HybridClock::tick`] at a given wall time, in milliseconds.
+    /// Performs [`HybridClock::tick`] at the wall-clock time `wall`, in milliseconds since 1970.
     pub fn tick_at(&self, wall: u64) -> u64 {
         let wall = wall << COUNTER_BITS;
         let step = |last: u64| Some(wall.max(last + 1));
@@ -40,20 +40,20 @@
         }
     }
 
-    /// [`HybridClock::observe`] at a given wall time, in milliseconds.
+    /// Performs [`HybridClock::observe`] at the wall-clock time `wall`, in milliseconds since 1970.
     pub fn observe_at(&self, remote: u64, wall: u64) {
-        if remote >> COUNTER_BITS <= wall + MOST_AHEAD_MILLIS {
+        if remote >> COUNTER_BITS <= wall + MAX_AHEAD_MILLIS {
             self.last.fetch_max(remote, Ordering::AcqRel);
         }
     }
 }
 
-/// The wall time of a stamp, in milliseconds since 1970.
+/// Returns the wall-clock part of a stamp, in milliseconds since 1970.
 pub fn stamp_millis(stamp: u64) -> u64 {
     stamp >> COUNTER_BITS
 }
 
-/// Milliseconds since 1970.
+/// Returns the wall-clock time in milliseconds since 1970.
 pub fn wall_millis() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
--- a/crates/trace/src/event.rs
+++ b/crates/trace/src/event.rs
@@ -1,4 +1,4 @@
-//! Events, the ring that keeps them, and their merge.
+//! Events, the bounded buffer that holds them, and the merge of several processes' events.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -7,29 +7,29 @@
 
 use crate::clock::HybridClock;
 
-/// Something that happened in one process.
+/// An event in one process.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TraceEvent {
-    /// The process's hybrid logical clock.
+    /// The time stamp of the process's hybrid logical clock.
     pub stamp: u64,
-    /// The box.
+    /// The id of the box.
     pub box_id: String,
-    /// The program.
+    /// The name of the program.
     pub process: String,
-    /// What happened, from a fixed list in the docs.
+    /// The kind of the event, from the fixed list in the documentation.
     pub kind: String,
-    /// The particulars.
+    /// Details of the event, by name.
     pub fields: BTreeMap<String, String>,
 }
 
-/// The last events of one process. Clones share the same ring.
+/// The most recent events of one process. Clones share the buffer.
 #[derive(Debug, Clone)]
 pub struct EventTrace {
-    shared: Arc<SharedLine>,
+    shared: Arc<SharedTrace>,
 }
 
 #[derive(Debug)]
-struct SharedLine {
+struct SharedTrace {
     clock: HybridClock,
     box_id: String,
     process: String,
@@ -45,9 +45,9 @@
 }
 
 impl EventTrace {
-    /// A ring of `capacity` events for one process.
+    /// Creates a buffer of `capacity` events for one process.
     pub fn new(box_id: &str, process: &str, capacity: usize) -> EventTrace {
-        let shared = SharedLine {
+        let shared = SharedTrace {
             clock: HybridClock::new(),
             box_id: box_id.to_string(),
             process: process.to_string(),
@@ -57,12 +57,12 @@
         EventTrace { shared: Arc::new(shared) }
     }
 
-    /// The process's clock.
+    /// Returns the process's clock.
     pub fn clock(&self) -> &HybridClock {
         &self.shared.clock
     }
 
-    /// Notes an event and returns it.
+    /// Records an event of this process and returns it.
     pub fn record(&self, kind: &str, fields: &[(&str, &str)]) -> TraceEvent {
         let fields = fields.iter().map(|(name, value)| (name.to_string(), value.to_string()));
         let event = TraceEvent {
@@ -72,32 +72,32 @@
             kind: kind.to_string(),
             fields: fields.collect(),
         };
-        self.keep(event.clone(), true);
+        self.push(event.clone(), true);
         event
     }
 
-    /// Keeps another process's event beside the own ones.
+    /// Records an event of another process and advances the clock to its stamp.
     pub fn record_remote(&self, event: TraceEvent) {
         self.clock().observe(event.stamp);
-        self.keep(event, false);
+        self.push(event, false);
     }
 
-    /// All events in the ring, oldest first.
+    /// Returns all events in the buffer, in the order in which they were recorded.
     pub fn events(&self) -> Vec<TraceEvent> {
         self.ring().events.iter().cloned().collect()
     }
 
-    /// Takes the own events that were not taken before.
+    /// Returns the events of this process that no earlier call returned.
     pub fn take_unsent(&self) -> Vec<TraceEvent> {
         self.ring().unsent.drain(..).collect()
     }
 
-    /// How many events the ring had no room for.
+    /// Returns how many events were overwritten by later ones.
     pub fn dropped(&self) -> u64 {
         self.ring().dropped
     }
 
-    fn keep(&self, event: TraceEvent, own: bool) {
+    fn push(&self, event: TraceEvent, own: bool) {
         let mut ring = self.ring();
         if ring.events.len() >= self.shared.capacity {
             ring.events.pop_front();
@@ -113,13 +113,13 @@
     }
 
     fn ring(&self) -> std::sync::MutexGuard<'_, EventRing> {
-        // A panic while the ring is held leaves at worst one event less in it.
+        // A panic while the lock is held loses at most one event.
         self.shared.ring.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Merges events of many processes into one order that keeps causes before
-/// effects. The same event heard from two sides stands once.
+/// Merges events of several processes into one order in which causes precede their effects.
+/// Duplicates of an event are removed.
 pub fn merge_events(events: impl IntoIterator<Item = TraceEvent>) -> Vec<TraceEvent> {
     let unique: BTreeSet<TraceEvent> = events.into_iter().collect();
     unique.into_iter().collect()
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,8 +1,8 @@
-//! The time line: what happened, in every process, in the order of causes.
+//! The event trace: the events of all processes in causal order.
 //!
-//! Each process keeps its last events in a bounded ring. A hybrid logical clock
-//! stamps them; messages between processes carry it, so that an effect is never
-//! stamped before its cause, however far the boxes' clocks are apart.
+//! Each process keeps its most recent events in a bounded buffer. A hybrid logical clock stamps
+//! them, and messages between processes carry its stamps, so that an effect is stamped after its
+//! cause if no box's clock is over a minute ahead of another's.
 
 pub mod clock;
 pub mod event;
--- a/crates/trace/src/page.rs
+++ b/crates/trace/src/page.rs
@@ -1,4 +1,4 @@
-//! The time line as text and as a page that needs nothing beside itself.
+//! The event trace as text and as a self-contained HTML page.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -9,9 +9,9 @@
 const LANE_HEIGHT: usize = 34;
 const CHART_WIDTH: usize = 1100;
 const LABEL_WIDTH: usize = 170;
-const MARK_RADIUS: usize = 6;
+const MARKER_RADIUS: usize = 6;
 
-/// One line for each event, with times from the first one on.
+/// Returns one line per event, with times relative to the first event.
 pub fn render_text(events: &[TraceEvent]) -> String {
     let start = events.first().map_or(0, |event| stamp_millis(event.stamp));
     let mut text = String::new();
@@ -23,13 +23,13 @@
             event.box_id,
             event.process,
             event.kind,
-            as_words(event)
+            format_fields(event)
         );
     }
     text
 }
 
-/// A page with a lane for each process, a mark for each event and the list below.
+/// Returns an HTML page with a lane per process, a mark per event, and a table of all events.
 pub fn render_html(events: &[TraceEvent]) -> String {
     let mut page = String::from(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>wingbridge time line</title>\
@@ -43,7 +43,7 @@
         page.push_str("<p>No events.</p></html>");
         return page;
     }
-    page.push_str(&as_svg(events));
+    page.push_str(&render_svg(events));
     page.push_str("<table><tr><th>seconds<th>box<th>process<th>event<th>particulars</tr>");
     let start = stamp_millis(events[0].stamp);
     for (number, event) in events.iter().enumerate() {
@@ -55,14 +55,14 @@
             escape(&event.process),
             colour(&event.kind),
             escape(&event.kind),
-            escape(&as_words(event))
+            escape(&format_fields(event))
         );
     }
     page.push_str("</table></html>");
     page
 }
 
-fn as_svg(events: &[TraceEvent]) -> String {
+fn render_svg(events: &[TraceEvent]) -> String {
     let mut lanes: BTreeMap<(&str, &str), usize> = BTreeMap::new();
     for event in events {
         lanes.insert((&event.box_id, &event.process), 0);
@@ -96,13 +96,13 @@
         let x = LABEL_WIDTH as u64 + offset * CHART_WIDTH as u64 / span;
         let _ = write!(
             svg,
-            "<a href=\"#e{number}\"><circle cx=\"{x}\" cy=\"{}\" r=\"{MARK_RADIUS}\" fill=\"{}\" \
+            "<a href=\"#e{number}\"><circle cx=\"{x}\" cy=\"{}\" r=\"{MARKER_RADIUS}\" fill=\"{}\" \
              fill-opacity=\".75\"><title>{:.3} s {}: {}</title></circle></a>",
             lane * LANE_HEIGHT + 24,
             colour(&event.kind),
             offset as f64 / 1000.0,
             escape(&event.kind),
-            escape(&as_words(event))
+            escape(&format_fields(event))
         );
     }
     let base = height - 8;
@@ -116,7 +116,7 @@
     svg
 }
 
-fn as_words(event: &TraceEvent) -> String {
+fn format_fields(event: &TraceEvent) -> String {
     let words = event.fields.iter().map(|(name, value)| format!("{name}={value}"));
     words.collect::<Vec<_>>().join(" ")
 }
--- a/crates/trace/tests/causal_order.rs
+++ b/crates/trace/tests/causal_order.rs
@@ -1,12 +1,12 @@
-//! Causes stand before effects, whatever the boxes' clocks say.
+//! Causal order of time stamps under clock skew, and the bounds of the event buffer.
 
 use proptest::prelude::*;
 use wingbridge_trace::{EventTrace, HybridClock, merge_events};
 
 proptest! {
-    /// Three clocks that are wrong by up to half a minute pass a stamp around: it only grows.
+    /// A stamp that is passed between three clocks with up to 30 s of skew only increases.
     #[test]
-    fn a_message_is_stamped_after_its_cause(
+    fn effects_are_stamped_after_their_causes(
         offsets in prop::array::uniform3(0u64..30_000),
         path in prop::collection::vec((0usize..3, 0u64..50), 1..60),
     ) {
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_wrong_date_elsewhere_is_not_followed() {
+fn remote_stamp_far_ahead_is_ignored() {
     let clock = HybridClock::new();
     let next_year = (1_000_000 + 365 * 86_400_000) << 16;
     clock.observe_at(next_year, 1_000_000);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_ring_is_bounded_and_counts_what_it_dropped() {
+fn buffer_is_bounded_and_counts_dropped_events() {
     let line = EventTrace::new("box-1", "agent", 3);
     for number in 0..5 {
         line.record("test", &[("number", &number.to_string())]);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_event_heard_from_two_sides_stands_once() {
+fn merge_removes_duplicates() {
     let line = EventTrace::new("box-1", "agent", 3);
     line.record("test", &[]);
     let twice = line.events().into_iter().chain(line.events());
