--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -224,7 +224,7 @@
 
 /// Whether an answer names another request than the one with the id `asked`. Some refusals name
 /// none.
-pub(crate) fn is_anothers(
+pub(crate) fn is_for_other_request(
     start: &RawResponseHead,
     names: &HeaderNames,
     asked: Option<&str>,
@@ -244,7 +244,7 @@
     let asked = request.request_id.as_deref();
     // Before all else: that another request did not run says nothing of this one, which would be
     // run twice.
-    if is_anothers(&start, names, asked) {
+    if is_for_other_request(&start, names, asked) {
         return AttemptEnd::Broken(OTHERS_ANSWER.into());
     }
     // Such an answer says "not run" too, but the target that was meant is gone for good.
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/caller_connections.rs
@@ -41,7 +41,7 @@
 const LINGER_TIME: Duration = Duration::from_secs(1);
 
 /// Takes callers' connections, until the task is dropped.
-pub(crate) async fn take_callers(listener: TcpListener, context: Arc<BoxContext>) {
+pub(crate) async fn accept_callers(listener: TcpListener, context: Arc<BoxContext>) {
     loop {
         if context.stopping.open_connections() >= context.settings.connections {
             // They wait in the listener's queue: an accepted one would count as taken.
@@ -98,9 +98,9 @@
         if self.reader.has_buffered() {
             return true;
         }
-        let idle_time = limits(context).idle_time;
+        let idle_timeout = limits(context).idle_timeout;
         let first =
-            std::pin::pin!(async_std::future::timeout(idle_time, self.reader.wait_for_data()));
+            std::pin::pin!(async_std::future::timeout(idle_timeout, self.reader.wait_for_data()));
         let closing = std::pin::pin!(context.stopping.wait_closing());
         match select(first, closing).await {
             Either::Left((first, _)) => matches!(first, Ok(Ok(true))),
@@ -224,15 +224,15 @@
         since: Instant,
     ) -> Result<Option<ReadRequest<'a>>, HttpError> {
         let limits = limits(context);
-        let read = self.reader.read_request_head(limits.head_bytes);
-        let Ok(start) = async_std::future::timeout(limits.head_time, read).await else {
+        let read = self.reader.read_request_head(limits.max_head_bytes);
+        let Ok(start) = async_std::future::timeout(limits.head_timeout, read).await else {
             return Err(HttpError::new(ErrorKind::TimedOut, "the head took too long to arrive"));
         };
         let Some(start) = start? else {
             return Ok(None);
         };
         if let BodyLength::Known(length) = start.length
-            && length > limits.body_bytes as u64
+            && length > limits.max_body_bytes as u64
         {
             return Err(too_long(&limits));
         }
@@ -245,14 +245,14 @@
         while !decoder.is_done() && body.len() <= HELD_BYTES {
             room.wait_for(body.len(), Instant::now() + ROOM_TIME).await?;
             let read = self.reader.read_body(&mut decoder, &mut body);
-            let Ok(read) = async_std::future::timeout(limits.idle_time, read).await else {
+            let Ok(read) = async_std::future::timeout(limits.idle_timeout, read).await else {
                 return Err(HttpError::new(
                     ErrorKind::TimedOut,
                     "the body took too long to arrive",
                 ));
             };
             read?;
-            if body.len() > limits.body_bytes {
+            if body.len() > limits.max_body_bytes {
                 return Err(too_long(&limits));
             }
         }
@@ -261,8 +261,8 @@
             (None, None)
         } else {
             room.wait_for(body.len() + STREAM_BYTES, Instant::now() + ROOM_TIME).await?;
-            let left = limits.body_bytes - body.len();
-            let (pump, rest) = body_stream(decoder, left, limits.idle_time);
+            let left = limits.max_body_bytes - body.len();
+            let (pump, rest) = body_stream(decoder, left, limits.idle_timeout);
             (Some(pump), Some(rest))
         };
         let request = CallerRequest { start, body, rest, since, caller: self.caller.clone() };
@@ -421,7 +421,7 @@
 }
 
 fn too_long(limits: &CallerLimits) -> HttpError {
-    let reason = format!("the body is longer than {} bytes", limits.body_bytes);
+    let reason = format!("the body is longer than {} bytes", limits.max_body_bytes);
     HttpError::new(ErrorKind::BodyTooLarge, reason)
 }
 
--- a/crates/gateway/src/config_duty.rs
+++ b/crates/gateway/src/config_duty.rs
@@ -21,8 +21,8 @@
 use crate::context::{BoxContext, millis};
 use crate::gossip::GossipDuty;
 use crate::ports::{ConfigNews, StoreError};
-use crate::retry_pause::RetryPause;
 use crate::send_places::BUSY_PAUSE;
+use crate::store_backoff::StoreBackoff;
 use crate::suspension::StartMark;
 use crate::view::ConfigText;
 
@@ -117,7 +117,7 @@
     gossip: Arc<GossipDuty>,
     reader: Arc<ConfigReader>,
     random: SmallRng,
-    pause: RetryPause,
+    backoff: StoreBackoff,
     /// The newest configuration that this box has said to be behind of.
     told_behind: u64,
 }
@@ -130,8 +130,8 @@
         seed: u64,
     ) -> ConfigDuty {
         let random = SmallRng::seed_from_u64(seed);
-        let pause = RetryPause::default();
-        ConfigDuty { context, gossip, reader, random, pause, told_behind: 0 }
+        let backoff = StoreBackoff::default();
+        ConfigDuty { context, gossip, reader, random, backoff, told_behind: 0 }
     }
 
     /// Works until the ring of notices closes.
@@ -198,7 +198,7 @@
         let transfer = transfer_time(bytes, self.context.settings.link_mbps);
         let rank = self.context.peers().reading_rank();
         let due = budget.config_age(rank, self.random.random(), transfer) + READER_LAG;
-        let mut wait = due.saturating_sub(age).max(self.pause.left());
+        let mut wait = due.saturating_sub(age).max(self.backoff.remaining());
         if let Some((heard, _)) = self.context.newer_config().pending() {
             wait = wait.max(budget.peers_time().saturating_sub(heard.elapsed()));
         }
@@ -212,13 +212,13 @@
         let reading = task::spawn(async move { reader.refresh().await });
         match select(reading, pin!(notices.recv())).await {
             Either::Left((false, _)) => {
-                self.pause.note_failure(self.random.random());
+                self.backoff.record_failure(self.random.random());
                 self.gossip.ask_far().await;
             }
             Either::Left((true, _)) | Either::Right(_) => {
-                self.pause.clear();
+                self.backoff.reset();
                 // Another reading may be under way, which has not made the age any less.
-                self.pause.rest(READER_LAG);
+                self.backoff.pause_for(READER_LAG);
             }
         }
     }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -320,7 +320,7 @@
     fn note_unknown_homes(&self, config: &RouteConfig) {
         let regions = &self.settings.regions;
         let is_unknown = |home: &&Name| !regions.values().any(|region| region == *home);
-        let unknown: BTreeSet<&Name> = config.homes().filter(is_unknown).collect();
+        let unknown: BTreeSet<&Name> = config.home_regions().filter(is_unknown).collect();
         for home in unknown.into_iter().take(HOMES_NAMED) {
             log::warn!(version = config.version, home:% = home; "home-unknown");
         }
@@ -414,7 +414,7 @@
 /// Says what is odd about the customers of a configuration that came into force.
 fn note_customers(config: &RouteConfig) {
     let version = config.version;
-    if config.shuts_all_out() {
+    if config.has_unusable_closed_routes() {
         log::warn!(version; "closed-routes-without-customers");
     }
     let shared = config.customers.as_ref().map_or(0, |customers| customers.shared_keys);
--- a/crates/gateway/src/customers.rs
+++ b/crates/gateway/src/customers.rs
@@ -51,7 +51,7 @@
     /// What it may ask over all boxes together; without one there is no limit.
     pub quota: Option<QuotaLimit>,
     /// The regions that its requests may be served in; `None` for all.
-    pub homes: Option<Arc<[Name]>>,
+    pub home_regions: Option<Arc<[Name]>>,
 }
 
 /// A customer with the keys that its requests may carry.
@@ -104,8 +104,8 @@
     }
 
     /// The regions that customers name as their homes.
-    pub fn homes(&self) -> impl Iterator<Item = &Name> {
-        self.by_key.values().filter_map(|customer| customer.homes.as_deref()).flatten()
+    pub fn home_regions(&self) -> impl Iterator<Item = &Name> {
+        self.by_key.values().filter_map(|customer| customer.home_regions.as_deref()).flatten()
     }
 
     /// How many customers there are.
@@ -132,7 +132,7 @@
 
 impl PresentedKey {
     /// Reads the values of all header lines that carry a key.
-    pub fn read<'a>(values: impl IntoIterator<Item = &'a [u8]>) -> PresentedKey {
+    pub fn from_header_values<'a>(values: impl IntoIterator<Item = &'a [u8]>) -> PresentedKey {
         let mut values = values.into_iter();
         let Some(value) = values.next() else {
             return PresentedKey::Absent;
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -15,7 +15,7 @@
 use wingbridge_decide::{TargetKey, TimePoint};
 use wingbridge_http::raw::RawResponseHead;
 
-use crate::attempt::is_anothers;
+use crate::attempt::is_for_other_request;
 use crate::context::{BoxContext, millis};
 use crate::limit_reports::{limit_of, log_limit};
 use crate::permit_desk::SendPermit;
@@ -191,7 +191,7 @@
 fn is_own_word(start: &RawResponseHead, names: &HeaderNames, request: Option<&str>) -> bool {
     let is_success = (200..300).contains(&start.status);
     let has_proof = !is_success || start.headers.contains(&names.proof);
-    start.status != 421 && !is_anothers(start, names, request) && has_proof
+    start.status != 421 && !is_for_other_request(start, names, request) && has_proof
 }
 
 /// What an answer says of its target: that it leaves, and for how long it wants nothing.
--- a/crates/gateway/src/policies.rs
+++ b/crates/gateway/src/policies.rs
@@ -62,7 +62,7 @@
         let defaults = RouteDefaults {
             service: service.clone(),
             timeout: route.timeout.clamp(LEAST_TIME, MOST_TIME),
-            max_attempts: route.attempts.clamp(1, MOST_ATTEMPTS),
+            max_attempts: route.max_attempts.clamp(1, MOST_ATTEMPTS),
             priority: TOP_PRIORITY.saturating_sub(priority) as u8,
         };
         program.plan(view(start, caller).with_route_defaults(defaults))
--- a/crates/gateway/src/requests/allowed.rs
+++ b/crates/gateway/src/requests/admission.rs
@@ -7,7 +7,7 @@
 
 use super::RequestRun;
 use crate::permit_desk::{NoPermit, SendPermit};
-use crate::routes::Entrance;
+use crate::routes::AccessDecision;
 
 /// Why a request that was let in goes no further.
 #[derive(Debug, Clone, Copy)]
@@ -44,12 +44,12 @@
         let Some(route) = config.find(&self.plan.route.host, path) else {
             return Err(TurnedAway::NoRoute);
         };
-        match config.entrance(route, self.plan.key) {
-            Entrance::Open(customer) => {
-                self.plan.homes = route.homes_of(customer.as_deref());
+        match config.authorize(route, self.plan.key) {
+            AccessDecision::Allowed(customer) => {
+                self.plan.homes = route.home_regions_for(customer.as_deref());
                 self.plan.customer = customer;
             }
-            Entrance::Closed(why) => return Err(TurnedAway::NoEntrance(why)),
+            AccessDecision::Denied(why) => return Err(TurnedAway::NoEntrance(why)),
         }
         self.plan.config = config;
         Ok(())
--- a/crates/gateway/src/requests/ends.rs
+++ b/crates/gateway/src/requests/final_answers.rs
@@ -4,7 +4,7 @@
 
 use wingbridge_decide::crashes::CrashVerdict;
 
-use super::allowed::TurnedAway;
+use super::admission::TurnedAway;
 use super::{ENDS_TARGETS, RequestRun};
 use crate::answers::{CallerAnswer, CallerOutcome};
 use crate::attempt::TargetAnswer;
--- a/crates/gateway/src/requests/mod.rs
+++ b/crates/gateway/src/requests/mod.rs
@@ -1,8 +1,8 @@
 //! One planned request over as many attempts as it may take, one after the other or two
 //! beside each other.
 
-mod allowed;
-mod ends;
+mod admission;
+mod final_answers;
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -24,9 +24,9 @@
 use crate::routes::RouteKind;
 use crate::routing::RequestPlan;
 use crate::suspension::StartMark;
-use ends::passed_on;
+use final_answers::passed_on;
 
-pub(crate) use ends::deadly_answer;
+pub(crate) use final_answers::deadly_answer;
 
 /// Targets that can be asked for one request, those that ran nothing counted.
 const SENDS_MOST: u32 = 4;
--- a/crates/gateway/src/routes.rs
+++ b/crates/gateway/src/routes.rs
@@ -57,7 +57,7 @@
     /// The weight of each service.
     pub weights: Vec<u32>,
     /// Targets that one request may run at, at most.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// How long a request is held, at most.
     pub timeout: Duration,
     /// The time within which an answer is worth most.
@@ -67,7 +67,7 @@
     /// Who may ask.
     pub access: RouteAccess,
     /// The regions that its requests may be served in; `None` for all.
-    pub homes: Option<Arc<[Name]>>,
+    pub home_regions: Option<Arc<[Name]>>,
 }
 
 impl Route {
@@ -81,20 +81,20 @@
             kind: RouteKind::AtMostOnce,
             services: Vec::new(),
             weights: Vec::new(),
-            attempts: 1,
+            max_attempts: 1,
             timeout: Duration::ZERO,
             goal: Duration::ZERO,
             priority: 0,
             access: RouteAccess::Public,
-            homes: None,
+            home_regions: None,
         }
     }
 
     /// The regions that a request of `customer` on this route may be served in: where both have homes, both
     /// bind. `None` for all.
-    pub fn homes_of(&self, customer: Option<&Customer>) -> Option<Arc<[Name]>> {
-        let theirs = customer.and_then(|customer| customer.homes.as_ref());
-        match (self.homes.as_ref(), theirs) {
+    pub fn home_regions_for(&self, customer: Option<&Customer>) -> Option<Arc<[Name]>> {
+        let theirs = customer.and_then(|customer| customer.home_regions.as_ref());
+        match (self.home_regions.as_ref(), theirs) {
             (None, homes) | (homes, None) => homes.cloned(),
             (Some(own), Some(theirs)) => {
                 Some(own.iter().filter(|home| theirs.contains(home)).cloned().collect())
@@ -111,39 +111,39 @@
     /// Whoever has a customer's key.
     Closed,
     /// Whoever has a customer's key, if the configuration knows customers; else anybody.
-    ByCustomers,
+    ClosedIfCustomers,
 }
 
 /// Whether a request may go on.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Entrance {
+pub enum AccessDecision {
     /// It may, and is this customer's if it carries a key.
-    Open(Option<Arc<Customer>>),
+    Allowed(Option<Arc<Customer>>),
     /// It may not, and why.
-    Closed(&'static str),
+    Denied(&'static str),
 }
 
 /// Bounds on what callers send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerLimits {
     /// Longest head, in bytes.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Longest body, in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Time for a head, from its first byte.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Time that a connection may rest between two requests.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
     /// In force until there is a configuration: the usual bounds of HTTP servers.
     fn default() -> CallerLimits {
         CallerLimits {
-            head_bytes: 16 * 1024,
-            body_bytes: 1 << 20,
-            head_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            max_head_bytes: 16 * 1024,
+            max_body_bytes: 1 << 20,
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
@@ -195,7 +195,7 @@
     }
 
     /// Whether a request with that key may go on by `route`.
-    pub fn entrance(&self, route: &Route, key: PresentedKey) -> Entrance {
+    pub fn authorize(&self, route: &Route, key: PresentedKey) -> AccessDecision {
         let customer = match key {
             PresentedKey::Digest(digest) => {
                 self.customers.as_ref().and_then(|customers| customers.find(&digest)).cloned()
@@ -205,14 +205,14 @@
         let is_open = match route.access {
             RouteAccess::Public => true,
             RouteAccess::Closed => false,
-            RouteAccess::ByCustomers => self.customers.is_none(),
+            RouteAccess::ClosedIfCustomers => self.customers.is_none(),
         };
         match (customer, key) {
-            (Some(customer), _) => Entrance::Open(Some(customer)),
-            (None, _) if is_open => Entrance::Open(None),
-            (None, PresentedKey::Absent) => Entrance::Closed("it carries no key"),
-            (None, PresentedKey::Malformed(reason)) => Entrance::Closed(reason),
-            (None, PresentedKey::Digest(_)) => Entrance::Closed("no customer has its key"),
+            (Some(customer), _) => AccessDecision::Allowed(Some(customer)),
+            (None, _) if is_open => AccessDecision::Allowed(None),
+            (None, PresentedKey::Absent) => AccessDecision::Denied("it carries no key"),
+            (None, PresentedKey::Malformed(reason)) => AccessDecision::Denied(reason),
+            (None, PresentedKey::Digest(_)) => AccessDecision::Denied("no customer has its key"),
         }
     }
 
@@ -222,14 +222,15 @@
     }
 
     /// The regions that routes or customers name as their homes.
-    pub fn homes(&self) -> impl Iterator<Item = &Name> {
-        let routes = self.routes.values().flatten().filter_map(|route| route.homes.as_deref());
-        let customers = self.customers.iter().flat_map(CustomerTable::homes);
+    pub fn home_regions(&self) -> impl Iterator<Item = &Name> {
+        let routes =
+            self.routes.values().flatten().filter_map(|route| route.home_regions.as_deref());
+        let customers = self.customers.iter().flat_map(CustomerTable::home_regions);
         routes.flatten().chain(customers)
     }
 
     /// Whether there are routes that nobody may use, since no customer is known.
-    pub fn shuts_all_out(&self) -> bool {
+    pub fn has_unusable_closed_routes(&self) -> bool {
         let closed = |route: &Arc<Route>| route.access == RouteAccess::Closed;
         let known = self.customers.as_ref().is_some_and(|customers| !customers.is_empty());
         !known && self.routes.values().flatten().any(closed)
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -18,7 +18,7 @@
 use crate::request_identity::RequestIdentity;
 use crate::request_log::{RequestTrace, log_request};
 use crate::requests::{RequestRun, deadly_answer};
-use crate::routes::{Entrance, Route, RouteConfig};
+use crate::routes::{AccessDecision, Route, RouteConfig};
 use crate::streamed_body::BodyRest;
 
 /// Time kept back from the caller's deadline for the answer's way to it.
@@ -103,7 +103,7 @@
 fn take_key(context: &BoxContext, start: &mut RawRequestHead) -> PresentedKey {
     drop(start.headers.remove(&context.headers.customer));
     let keys = start.headers.remove(&context.headers.customer_key);
-    PresentedKey::read(keys.iter().map(|field| &field.value[..]))
+    PresentedKey::from_header_values(keys.iter().map(|field| &field.value[..]))
 }
 
 /// A request that goes nowhere, with what is known for its log line.
@@ -150,9 +150,9 @@
         let answer = CallerAnswer::own(404, CallerOutcome::Rejected, why);
         return Err(not_allowed(answer, RequestTrace::default(), key, &config));
     };
-    let customer = match config.entrance(&route, key) {
-        Entrance::Open(customer) => customer,
-        Entrance::Closed(why) => {
+    let customer = match config.authorize(&route, key) {
+        AccessDecision::Allowed(customer) => customer,
+        AccessDecision::Denied(why) => {
             metrics::counter!("wingbridge_turned_away").increment(1);
             let trace = RequestTrace::of_route(&route.name);
             return Err(not_allowed(CallerAnswer::no_entrance(why), trace, key, &config));
@@ -184,7 +184,7 @@
         return Err(not_run(context, &route.name, "this box ends before it could answer"));
     }
     let service = Name::from(policy.service.as_str());
-    let homes = route.homes_of(customer.as_deref());
+    let homes = route.home_regions_for(customer.as_deref());
     Ok(RequestPlan { config, key, customer, route, service, policy, homes, until })
 }
 
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -11,11 +11,11 @@
 use wingbridge_process::metrics::render_metrics;
 use wingbridge_process::{Outcome, StopSignal};
 
+use crate::caller_connections::accept_callers;
 use crate::config_duty::{ConfigDuty, ConfigReader};
 use crate::context::{BoxContext, DutyNotices, millis};
 use crate::credit_desk::CreditDesk;
 use crate::gossip::{GossipDuty, fetch_listings};
-use crate::intake::take_callers;
 use crate::permit_desk::PermitDesk;
 use crate::policies::PolicySet;
 use crate::ports::EnvironmentPort;
@@ -95,7 +95,7 @@
         task::spawn(store.run(notices)),
         task::spawn(config.run(heard)),
         task::spawn(note_reloads(reloads)),
-        task::spawn(take_callers(callers, Arc::clone(&context))),
+        task::spawn(accept_callers(callers, Arc::clone(&context))),
     ];
     stop.wait().await;
     let whole = wind_down(&context).await;
--- a/crates/gateway/src/store_duty.rs
+++ b/crates/gateway/src/store_duty.rs
@@ -20,7 +20,7 @@
 use crate::context::{BoxContext, millis};
 use crate::gossip::GossipDuty;
 use crate::ports::{StoreError, StoreNews};
-use crate::retry_pause::RetryPause;
+use crate::store_backoff::StoreBackoff;
 use crate::suspension::StartMark;
 
 /// How long a listing that is there waits for the word that the configuration is unchanged,
@@ -47,7 +47,7 @@
     gossip: Arc<GossipDuty>,
     config: Arc<ConfigReader>,
     random: SmallRng,
-    pause: RetryPause,
+    backoff: StoreBackoff,
     started: Instant,
     /// When this box listed all targets last, or began to read for the others.
     listed: Option<Instant>,
@@ -71,7 +71,7 @@
             gossip,
             config,
             random: SmallRng::seed_from_u64(seed),
-            pause: RetryPause::default(),
+            backoff: StoreBackoff::default(),
             started: Instant::now(),
             listed: None,
             read: None,
@@ -87,7 +87,7 @@
             self.drop_lapsed();
             let due = self.reading_age();
             let wait = self.age().map_or(Duration::ZERO, |age| due.saturating_sub(age));
-            let wait = wait.max(self.pause.left());
+            let wait = wait.max(self.backoff.remaining());
             if !wait.is_zero() {
                 // A notice means that a peer's word was taken, so the age is another one.
                 let wait = self.until_lapse().map_or(wait, |lapse| lapse.min(wait));
@@ -122,21 +122,21 @@
         match self.read_once(began, mark).await {
             Ok(()) => {
                 let revision = self.context.view().revision();
-                if self.pause.failures() > 0 {
-                    log::info!(failures = self.pause.failures(), revision; "store-regained");
+                if self.backoff.failures() > 0 {
+                    log::info!(failures = self.backoff.failures(), revision; "store-regained");
                 }
-                self.pause.clear();
+                self.backoff.reset();
                 metrics::counter!("wingbridge_store_reads", "outcome" => "good").increment(1);
                 self.gossip.tell_mark().await;
             }
             Err(error) => {
-                if self.pause.failures() == 0 {
+                if self.backoff.failures() == 0 {
                     let age_ms = self.context.view_age().map_or(0, millis);
                     log::warn!(reason:% = error, view_age_ms = age_ms; "store-lost");
                 }
                 metrics::counter!("wingbridge_store_reads", "outcome" => "failed").increment(1);
                 self.gossip.ask_far().await;
-                self.pause.note_failure(self.random.random());
+                self.backoff.record_failure(self.random.random());
             }
         }
     }
--- a/crates/gateway/src/streamed_body.rs
+++ b/crates/gateway/src/streamed_body.rs
@@ -42,7 +42,7 @@
     /// Bytes that may still come.
     left: usize,
     /// The longest time without a byte.
-    idle_time: Duration,
+    idle_timeout: Duration,
 }
 
 /// What became of a body at its caller's end.
@@ -58,11 +58,11 @@
 pub(crate) fn body_stream(
     decoder: BodyDecoder,
     left: usize,
-    idle_time: Duration,
+    idle_timeout: Duration,
 ) -> (BodyPump, BodyRest) {
     let (sender, receiver) = async_channel::bounded(WAITING_PIECES);
     let rest = BodyRest { pieces: receiver, begun: AtomicBool::new(false) };
-    (BodyPump { decoder, pieces: sender, left, idle_time }, rest)
+    (BodyPump { decoder, pieces: sender, left, idle_timeout }, rest)
 }
 
 impl BodyRest {
@@ -91,7 +91,7 @@
         while !self.decoder.is_done() {
             let mut piece = Vec::new();
             let read = reader.read_body(&mut self.decoder, &mut piece);
-            let Ok(read) = async_std::future::timeout(self.idle_time, read).await else {
+            let Ok(read) = async_std::future::timeout(self.idle_timeout, read).await else {
                 return Err(HttpError::new(ErrorKind::Truncated, "the body stood still"));
             };
             read?;
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -86,20 +86,20 @@
         kind,
         services: vec![service.into()],
         weights: vec![1],
-        attempts: 2,
+        max_attempts: 2,
         // Longer than any test looks for something to happen: no time-out helps it along.
         timeout: Duration::from_secs(60),
         goal: Duration::from_secs(1),
         priority: 1,
-        access: RouteAccess::ByCustomers,
-        homes: None,
+        access: RouteAccess::ClosedIfCustomers,
+        home_regions: None,
     }
 }
 
 /// A customer without a limit, with its keys.
 pub fn customer(name: &str, keys: &[&str]) -> CustomerSetup {
     CustomerSetup {
-        customer: Customer { name: name.into(), priority: None, quota: None, homes: None },
+        customer: Customer { name: name.into(), priority: None, quota: None, home_regions: None },
         keys: keys.iter().map(|key| KeyDigest::of(key.as_bytes())).collect(),
     }
 }
@@ -108,7 +108,7 @@
 pub fn config(version: u64, routes: Vec<Route>) -> RouteConfig {
     RouteConfig::new(
         version,
-        CallerLimits { body_bytes: 8 << 20, ..CallerLimits::default() },
+        CallerLimits { max_body_bytes: 8 << 20, ..CallerLimits::default() },
         routes,
     )
 }
--- a/crates/gateway/tests/homes.rs
+++ b/crates/gateway/tests/homes.rs
@@ -85,9 +85,9 @@
     let mut abroad = TargetStandin::start("abroad", "service", Script::Good);
     abroad.entry.data_centre = "elsewhere".into();
     let mut setup = customer("one", &["key-of-one"]);
-    setup.customer.homes = names(case.customer);
+    setup.customer.home_regions = names(case.customer);
     let mut taken = route("r", "service", RouteKind::Repeatable);
-    taken.homes = names(case.route);
+    taken.home_regions = names(case.route);
     let routes = config(1, vec![taken]);
     store.put_config(routes.with_customers(CustomerTable::new(vec![setup])));
     store.put_targets(vec![abroad.entry.clone(), home.entry.clone()]);
--- a/crates/gateway/tests/keys.rs
+++ b/crates/gateway/tests/keys.rs
@@ -392,6 +392,6 @@
 fn a_key_of_two_customers_is_the_first_one_s() {
     let table = CustomerTable::new(vec![customer("one", &[KEY]), customer("two", &[KEY])]);
     let found = table.find(&KeyDigest::of(KEY.as_bytes())).expect("known");
-    let one = Customer { name: "one".into(), priority: None, quota: None, homes: None };
+    let one = Customer { name: "one".into(), priority: None, quota: None, home_regions: None };
     assert_eq!((&**found, table.shared_keys), (&one, 1));
 }
