--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -284,8 +284,8 @@
         format!("{} {} HTTP/1.1\r\n", request.method, request.target).as_bytes(),
     );
     request.headers.write(&mut bytes);
-    write_field(&mut bytes, &plan.names.time_left, left.as_millis().to_string().as_bytes());
-    write_field(&mut bytes, &plan.names.wanted_target, plan.instance.as_bytes());
+    write_field(&mut bytes, &plan.names.remaining_time, left.as_millis().to_string().as_bytes());
+    write_field(&mut bytes, &plan.names.expected_instance, plan.instance.as_bytes());
     if let Some(customer) = plan.customer {
         write_field(&mut bytes, &plan.names.customer, customer.as_bytes());
     }
--- a/crates/gateway/src/change_budget.rs
+++ b/crates/gateway/src/change_budget.rs
@@ -54,12 +54,12 @@
     }
 
     /// All of it.
-    pub(crate) fn whole(self) -> Duration {
+    pub(crate) fn total(self) -> Duration {
         self.whole
     }
 
     /// The age of the view at which the box of `rank` reads; `spread` is from 0 to 1.
-    pub(crate) fn reading_age(self, rank: usize, spread: f64) -> Duration {
+    pub(crate) fn read_age(self, rank: usize, spread: f64) -> Duration {
         let share = READ_SHARE + RANK_SHARE * rank.min(RANKS) as f64;
         let spread = if rank == 0 { 0.0 } else { SPREAD * spread };
         self.part(share * (1.0 + spread))
@@ -67,29 +67,29 @@
 
     /// The same for a configuration of which a reading takes `transfer`: no later than it must
     /// begin to end in time, and not before the first two ranks have had their turn.
-    pub(crate) fn config_age(self, rank: usize, spread: f64, transfer: Duration) -> Duration {
+    pub(crate) fn config_read_age(self, rank: usize, spread: f64, transfer: Duration) -> Duration {
         let latest = self.whole.saturating_sub(transfer + self.part(APPLY_SHARE));
-        let earliest = self.reading_age(rank.min(1), spread);
-        self.reading_age(rank, spread).min(latest).max(earliest)
+        let earliest = self.read_age(rank.min(1), spread);
+        self.read_age(rank, spread).min(latest).max(earliest)
     }
 
     /// How long peers that have a configuration are asked for it before the store is.
-    pub(crate) fn peers_time(self) -> Duration {
+    pub(crate) fn peers_only_time(self) -> Duration {
         self.part(PEERS_SHARE)
     }
 
     /// Time for one question to one peer.
-    pub(crate) fn fetch_time(self) -> Duration {
+    pub(crate) fn fetch_timeout(self) -> Duration {
         self.part(FETCH_SHARE)
     }
 
     /// Time for a configuration from one peer.
-    pub(crate) fn config_fetch_time(self) -> Duration {
+    pub(crate) fn config_fetch_timeout(self) -> Duration {
         self.part(WHOLE_SHARE)
     }
 
     /// Age of the configuration at which boxes of other data centres are asked for a newer one.
-    pub(crate) fn far_age(self) -> Duration {
+    pub(crate) fn remote_fetch_age(self) -> Duration {
         self.part(FAR_SHARE)
     }
 
--- a/crates/gateway/src/config_duty.rs
+++ b/crates/gateway/src/config_duty.rs
@@ -20,10 +20,10 @@
 use crate::config_exchange::{ConfigFetch, fetch_config};
 use crate::context::{BoxContext, millis};
 use crate::gossip::GossipDuty;
-use crate::ports::{ConfigNews, StoreError};
-use crate::send_places::BUSY_PAUSE;
+use crate::ports::{ConfigPoll, StoreError};
 use crate::store_backoff::StoreBackoff;
 use crate::suspension::StartMark;
+use crate::transfer_slots::BUSY_RETRY_DELAY;
 use crate::view::ConfigText;
 
 /// Configurations over this are not read with each listing of the targets, in bytes: at
@@ -85,19 +85,19 @@
         let port = &self.context.port;
         let (held, after) = {
             let known = self.context.view();
-            (known.config_revision(), known.news_from())
+            (known.config_revision(), known.config_poll_revision())
         };
         let Some(after) = after else {
             return port.read_config().await;
         };
-        let config = match port.config_news(after).await? {
-            ConfigNews::Unchanged => {
+        let config = match port.poll_config(after).await? {
+            ConfigPoll::Unchanged => {
                 let as_of = self.context.corrected(mark);
                 self.context.view().confirm_config(held, as_of);
                 return Ok(None);
             }
-            ConfigNews::Changed(config) => Some(config),
-            ConfigNews::Forgotten => {
+            ConfigPoll::Changed(config) => Some(config),
+            ConfigPoll::Forgotten => {
                 log::info!(after; "history-forgotten");
                 port.read_config().await?
             }
@@ -147,7 +147,7 @@
                 // A holder that failed is asked no more, until it tells of itself again.
                 Some(ConfigFetch::Taken | ConfigFetch::Failed) => continue,
                 Some(ConfigFetch::Busy(_)) => {
-                    task::sleep(BUSY_PAUSE.mul_f64(1.0 + self.random.random::<f64>())).await;
+                    task::sleep(BUSY_RETRY_DELAY.mul_f64(1.0 + self.random.random::<f64>())).await;
                     continue;
                 }
                 None => {}
@@ -161,7 +161,10 @@
 
     /// Asks a box that has a newer configuration for it; `None` if there is nobody to ask.
     async fn ask_holder(&mut self) -> Option<ConfigFetch> {
-        let far = self.context.config_age().is_none_or(|age| age >= self.context.budget.far_age());
+        let far = self
+            .context
+            .config_age()
+            .is_none_or(|age| age >= self.context.budget.remote_fetch_age());
         let (host, revision) = {
             let newer = self.context.newer_config();
             let (_, revision) = newer.pending()?;
@@ -197,10 +200,10 @@
         let budget = self.context.budget;
         let transfer = transfer_time(bytes, self.context.settings.link_mbps);
         let rank = self.context.peers().reading_rank();
-        let due = budget.config_age(rank, self.random.random(), transfer) + READER_LAG;
+        let due = budget.config_read_age(rank, self.random.random(), transfer) + READER_LAG;
         let mut wait = due.saturating_sub(age).max(self.backoff.remaining());
         if let Some((heard, _)) = self.context.newer_config().pending() {
-            wait = wait.max(budget.peers_time().saturating_sub(heard.elapsed()));
+            wait = wait.max(budget.peers_only_time().saturating_sub(heard.elapsed()));
         }
         Some(wait)
     }
--- a/crates/gateway/src/config_exchange.rs
+++ b/crates/gateway/src/config_exchange.rs
@@ -13,7 +13,7 @@
 use crate::context::{BoxContext, millis};
 use crate::text_patch::apply_patch;
 use crate::view::ConfigText;
-use crate::view_exchange::ask_peer;
+use crate::view_exchange::query_peer;
 
 /// What came of asking a peer for its configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -33,8 +33,8 @@
     let held = context.view().config_text().cloned();
     let revision = held.as_ref().map_or(0, |held| held.revision);
     let question = ExchangeQuestion::Config(ConfigRequest { revision });
-    let time = context.budget.config_fetch_time();
-    let reply: ConfigReply = match ask_peer(context, host, question, time).await {
+    let time = context.budget.config_fetch_timeout();
+    let reply: ConfigReply = match query_peer(context, host, question, time).await {
         Ok(reply) => reply,
         Err(error) => {
             log::warn!(peer:% = host, reason:% = error; "configuration-not-fetched");
@@ -80,7 +80,7 @@
     let source = context.config_source.reply(request, age_ms);
     let late = |_| WireError::new(ErrorKind::Io, "the configuration was not read in time");
     // As long as the peer waits for it: less would throw away what is nearly through.
-    let time = context.budget.config_fetch_time();
+    let time = context.budget.config_fetch_timeout();
     timeout(time, send_message(stream, source.message())).await.map_err(late)??;
     if !source.message().deltas.is_empty() {
         context.config_source.note_holder(peer, source.message().revision);
--- a/crates/gateway/src/config_source.rs
+++ b/crates/gateway/src/config_source.rs
@@ -12,8 +12,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::context::lock;
-use crate::send_places::{SendPlace, SendPlaces};
 use crate::text_patch::make_patch;
+use crate::transfer_slots::{TransferSlot, TransferSlots};
 use crate::view::ConfigText;
 
 /// Replies up to this are sent to everybody at once, in bytes: 30 of them take a link with
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub struct ConfigSource {
     state: Mutex<SourceState>,
-    places: SendPlaces,
+    slots: TransferSlots,
 }
 
 #[derive(Debug, Default)]
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub struct SourceReply<'a> {
     reply: ConfigReply,
-    _place: Option<SendPlace<'a>>,
+    _place: Option<TransferSlot<'a>>,
 }
 
 impl SourceReply<'_> {
@@ -59,7 +59,7 @@
 impl ConfigSource {
     /// What a box with a link of `link_mbps` hands on: nothing yet.
     pub fn new(link_mbps: u32) -> ConfigSource {
-        ConfigSource { state: Mutex::default(), places: SendPlaces::new(link_mbps) }
+        ConfigSource { state: Mutex::default(), slots: TransferSlots::new(link_mbps) }
     }
 
     /// Holds `text` from now on. `steps` are those by which it came here from the one before;
@@ -111,7 +111,7 @@
         if bytes <= SMALL_REPLY {
             return SourceReply { reply: ConfigReply { deltas: steps, ..reply }, _place: None };
         }
-        let Some(place) = self.places.take() else {
+        let Some(place) = self.slots.try_acquire() else {
             let holders = state.holders.iter().rev().map(IpAddr::to_string).collect();
             let reply = ConfigReply { busy: true, seeders: holders, ..reply };
             return SourceReply { reply, _place: None };
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -30,7 +30,7 @@
 use crate::stopping::StopState;
 use crate::suspension::{StartMark, SuspensionWatch};
 use crate::view::{
-    ConfigText, KnownView, StoreView, TargetEntry, TargetUpdate, ToldDifference, ViewChange,
+    ConfigText, KnownView, PeerListingDelta, StoreView, TargetEntry, TargetUpdate, ViewChange,
 };
 
 /// Targets that join at once and are named in the log each; of more, as at a start, only the count is.
@@ -216,7 +216,7 @@
     /// configuration and could not get it: callers are better served by those peers.
     pub(crate) fn is_behind(&self) -> bool {
         let pending = self.newer_config().pending();
-        pending.is_some_and(|(heard, _)| heard.elapsed() >= self.budget.whole())
+        pending.is_some_and(|(heard, _)| heard.elapsed() >= self.budget.total())
     }
 
     /// Takes all that the store holds, and puts it in force.
@@ -224,23 +224,23 @@
         let revision = view.revision;
         // Before it opens the box to callers, who may ask for such a request first.
         self.crashes.take_notes(std::mem::take(&mut view.crash_notes));
-        let change = self.change_view(|known| known.take(view, as_of, &*self.port));
+        let change = self.change_view(|known| known.apply(view, as_of, &*self.port));
         let heard = self.settle_config(Vec::new());
         self.note_taken(&change, &TakenFrom { revision, as_of, source, heard });
     }
 
     /// Takes a listing of targets and puts it in force.
-    pub(crate) fn take_listing(&self, listing: TargetListing, as_of: Instant, source: &str) {
+    pub(crate) fn apply_listing(&self, listing: TargetListing, as_of: Instant, source: &str) {
         let revision = listing.revision;
-        let change = self.change_view(|known| known.take_listing(listing, as_of));
+        let change = self.change_view(|known| known.apply_listing(listing, as_of));
         self.note_taken(&change, &TakenFrom { revision, as_of, source, heard: None });
     }
 
     /// Takes what a peer tells of a listing and puts it in force; returns whether it fits the one that is
     /// held.
-    pub(crate) fn take_difference(&self, told: ToldDifference, as_of: Instant) -> bool {
+    pub(crate) fn merge_delta(&self, told: PeerListingDelta, as_of: Instant) -> bool {
         let revision = told.revision;
-        let Some(change) = self.change_view(|known| known.take_difference(told, as_of)) else {
+        let Some(change) = self.change_view(|known| known.merge_delta(told, as_of)) else {
             return false;
         };
         let source = "peer";
@@ -249,9 +249,9 @@
     }
 
     /// Takes what was written in the store since a revision that this box knew, and puts it in force.
-    pub(crate) fn take_news(&self, news: StoreChanges, as_of: Instant) {
+    pub(crate) fn apply_changes(&self, news: StoreChanges, as_of: Instant) {
         let revision = news.revision;
-        let change = self.change_view(|known| known.take_news(news, as_of, &*self.port));
+        let change = self.change_view(|known| known.apply_changes(news, as_of, &*self.port));
         let heard = self.settle_config(Vec::new());
         self.note_taken(&change, &TakenFrom { revision, as_of, source: "store", heard });
     }
@@ -267,7 +267,7 @@
     ) {
         let revision = config.revision;
         let change = self.change_view(|known| {
-            let change = known.take_config_alone(config, &*self.port);
+            let change = known.apply_config(config, &*self.port);
             known.confirm_config(revision, as_of);
             change
         });
@@ -336,8 +336,8 @@
     }
 
     fn publish_targets(&self, known: &mut KnownView) {
-        let TargetUpdate { gone, set } = known.take_update();
-        if gone.is_empty() && set.is_empty() {
+        let TargetUpdate { removed, updated } = known.take_update();
+        if removed.is_empty() && updated.is_empty() {
             return;
         }
         let (now, config) = (self.now(), known.config());
@@ -357,8 +357,8 @@
             data_centre: target.data_centre,
             slots: target.slots,
         };
-        let set = set.into_iter().map(steered).collect();
-        self.core().update_targets(now, &gone, set);
+        let updated = updated.into_iter().map(steered).collect();
+        self.core().update_targets(now, &removed, updated);
     }
 }
 
@@ -459,13 +459,13 @@
     for name in &change.evacuated {
         log::info!(data_centre:% = name, revision, age_ms, source; "data-centre-evacuated");
     }
-    for name in &change.taken_back {
+    for name in &change.restored {
         log::info!(data_centre:% = name, revision, age_ms, source; "data-centre-taken-back");
     }
     for id in &change.restarted {
         log::info!(target:% = id, revision, age_ms, source; "target-restarted");
     }
-    for id in &change.left {
+    for id in &change.departed {
         log::info!(target:% = id, revision, age_ms, source; "target-left");
     }
     if change.joined.len() > JOINED_NAMED {
--- a/crates/gateway/src/gossip/beacons.rs
+++ b/crates/gateway/src/gossip/beacons.rs
@@ -11,7 +11,7 @@
 use crate::limit_reports::{limits_in_force, merge_limit};
 use crate::notices::update_excluded_gauges;
 use crate::view::KnownView;
-use crate::view_exchange::view_mark;
+use crate::view_exchange::view_version_of;
 
 /// Time between two beacons to the own data centre.
 const NEAR_PERIOD: Duration = Duration::from_secs(1);
@@ -225,7 +225,7 @@
             return;
         }
         // Bytes across have a price, and the own data centre's boxes have the same a moment later.
-        let patient = held_for(&known, now) < self.context.budget.far_age();
+        let patient = held_for(&known, now) < self.context.budget.remote_fetch_age();
         drop(known);
         if patient && !self.context.peers().is_near(from) {
             return;
@@ -244,7 +244,7 @@
     }
 
     fn mark(&self) -> Option<ViewVersion> {
-        view_mark(&self.context.view())
+        view_version_of(&self.context.view())
     }
 
     async fn send_beacon(&self, hosts: &[IpAddr], beacon: Heartbeat) {
--- a/crates/gateway/src/lives.rs
+++ b/crates/gateway/src/incarnations.rs
@@ -15,23 +15,23 @@
 
 /// What is known of the lives of targets.
 #[derive(Debug, Default)]
-pub(crate) struct TargetLives {
+pub(crate) struct TargetIncarnations {
     /// The youngest life that was seen leaving, by name: it never comes back. One that is merely
     /// gone may, since its entry lapses while it is cut from the store.
     left: HashMap<Name, u64>,
     /// Instances that started again, by name.
-    restarted: HashMap<Name, YoungestLife>,
+    restarted: HashMap<Name, NewestIncarnation>,
 }
 
 #[derive(Debug)]
-struct YoungestLife {
+struct NewestIncarnation {
     /// What it told of itself last.
     entry: TargetEntry,
     /// Whether its name is listed, also if with the word of an older life.
     is_listed: bool,
 }
 
-impl TargetLives {
+impl TargetIncarnations {
     /// What counts of a listed target; `None` if that life has left, or is an older one of an
     /// instance that is gone.
     pub(crate) fn in_force<'a>(&'a self, listed: &'a TargetEntry) -> Option<&'a TargetEntry> {
@@ -41,17 +41,17 @@
             Some(_) => return None,
             None => listed,
         };
-        (!self.has_left(entry)).then_some(entry)
+        (!self.has_drained(entry)).then_some(entry)
     }
 
     /// Whether that life of the target was seen leaving, or one after it.
-    pub(crate) fn has_left(&self, target: &TargetEntry) -> bool {
+    pub(crate) fn has_drained(&self, target: &TargetEntry) -> bool {
         self.left.get(&target.id).is_some_and(|born_ms| target.born_ms <= *born_ms)
     }
 
     /// Notes that a life leaves; returns whether that is new.
-    pub(crate) fn note_leaving(&mut self, target: &TargetEntry) -> bool {
-        let is_new = !self.has_left(target);
+    pub(crate) fn record_draining(&mut self, target: &TargetEntry) -> bool {
+        let is_new = !self.has_drained(target);
         if is_new {
             self.left.insert(target.id.clone(), target.born_ms);
         }
@@ -60,7 +60,7 @@
 
     /// Notes what is listed of a target, which was listed as `before`. Returns whether it is
     /// another life than that.
-    pub(crate) fn note_listed(
+    pub(crate) fn record_listed(
         &mut self,
         before: Option<&TargetEntry>,
         target: &TargetEntry,
@@ -68,25 +68,25 @@
         let other = before.filter(|before| before.born_ms != target.born_ms);
         if let Some(known) = self.restarted.get_mut(&target.id) {
             if known.entry.born_ms <= target.born_ms {
-                *known = YoungestLife { entry: target.clone(), is_listed: true };
+                *known = NewestIncarnation { entry: target.clone(), is_listed: true };
             }
         } else if let Some(before) = other {
             let younger = if before.born_ms > target.born_ms { before } else { target };
-            let known = YoungestLife { entry: younger.clone(), is_listed: true };
+            let known = NewestIncarnation { entry: younger.clone(), is_listed: true };
             self.restarted.insert(target.id.clone(), known);
         }
         other.is_some()
     }
 
     /// Notes that a target is listed no more.
-    pub(crate) fn note_gone(&mut self, target: &TargetEntry) {
+    pub(crate) fn record_removed(&mut self, target: &TargetEntry) {
         if let Some(known) = self.restarted.get_mut(&target.id) {
             known.is_listed = false;
         }
     }
 
     /// Forgets lives of instances that are not listed, if there are many.
-    pub(crate) fn forget(&mut self, is_listed: impl Fn(&Name) -> bool) {
+    pub(crate) fn evict_unlisted(&mut self, is_listed: impl Fn(&Name) -> bool) {
         if self.restarted.len() > RESTARTED {
             self.restarted.retain(|id, _| is_listed(id));
         }
--- a/crates/gateway/src/listing_history.rs
+++ b/crates/gateway/src/listing_history.rs
@@ -1,4 +1,4 @@
-//! What became of the listing of targets lately, so that a peer is told the difference.
+//! What became of the listing of targets lately, so that a peer is told the delta.
 //!
 //! A release changes one target in each reading, and a listing of 3,000 targets has 240 KB:
 //! sent whole to 30 peers that is six seconds of a link with 10 Mbit/s.
@@ -29,19 +29,19 @@
 
 /// What makes one listing of another one.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct ListingDifference {
+pub struct ListingDelta {
     /// Targets that are new or different.
     pub changed: Vec<TargetEntry>,
     /// Targets that are gone.
-    pub gone: Vec<Name>,
+    pub removed: Vec<Name>,
 }
 
 impl ListingHistory {
-    /// Notes that `difference` made another listing of the one with the hash `from`, which had `listed`
+    /// Notes that `delta` made another listing of the one with the hash `from`, which had `listed`
     /// targets.
-    pub(crate) fn note(&mut self, from: u64, difference: &ListingDifference, listed: usize) {
-        let changed = difference.changed.iter().map(|target| &target.id);
-        let names = changed.chain(&difference.gone).cloned().collect();
+    pub(crate) fn record(&mut self, from: u64, delta: &ListingDelta, listed: usize) {
+        let changed = delta.changed.iter().map(|target| &target.id);
+        let names = changed.chain(&delta.removed).cloned().collect();
         self.changes.push_back(ListingChange { from, names });
         let most = NAMES.max(listed / 2);
         let named = |changes: &VecDeque<ListingChange>| {
@@ -63,17 +63,17 @@
         &self,
         from: u64,
         now: &BTreeMap<Name, TargetEntry>,
-    ) -> Option<ListingDifference> {
+    ) -> Option<ListingDelta> {
         let first = self.position(from)?;
         let later = self.changes.iter().skip(first);
         let names: HashSet<&Name> = later.flat_map(|change| &change.names).collect();
-        let mut difference = ListingDifference::default();
+        let mut delta = ListingDelta::default();
         for name in names {
             match now.get(name) {
-                Some(target) => difference.changed.push(target.clone()),
-                None => difference.gone.push(name.clone()),
+                Some(target) => delta.changed.push(target.clone()),
+                None => delta.removed.push(name.clone()),
             }
         }
-        Some(difference)
+        Some(delta)
     }
 }
--- a/crates/gateway/src/listing_source.rs
+++ b/crates/gateway/src/listing_source.rs
@@ -14,7 +14,7 @@
 use wingbridge_wire::gossip::{TargetRecord, TargetRecords};
 
 use crate::context::lock;
-use crate::send_places::{SendPlace, SendPlaces};
+use crate::transfer_slots::{TransferSlot, TransferSlots};
 
 /// Targets in a part: packing one takes some hundred kilobytes of memory for a moment.
 const PART_TARGETS: usize = 500;
@@ -28,37 +28,37 @@
 
 /// From which listing to which a reply leads, by their hashes; from 0 for all targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct ListingStep {
+pub(crate) struct ListingDeltaKey {
     pub(crate) from: u64,
     pub(crate) to: u64,
 }
 
-/// Targets of a reply, packed, and names of those that are gone.
+/// Targets of a reply, packed, and names of those that are removed.
 #[derive(Debug)]
 pub(crate) struct PackedTargets {
     pub(crate) parts: Vec<Vec<u8>>,
-    pub(crate) gone: Vec<String>,
+    pub(crate) removed: Vec<String>,
 }
 
 /// The listing as it is handed on.
 #[derive(Debug)]
 pub(crate) struct ListingSource {
-    packed: Mutex<VecDeque<(ListingStep, Arc<PackedTargets>)>>,
-    places: SendPlaces,
+    packed: Mutex<VecDeque<(ListingDeltaKey, Arc<PackedTargets>)>>,
+    slots: TransferSlots,
 }
 
 /// A reply that counts as being sent until this is dropped.
 #[derive(Debug)]
 pub(crate) struct SentTargets<'a> {
     pub(crate) targets: Arc<PackedTargets>,
-    _place: Option<SendPlace<'a>>,
+    _place: Option<TransferSlot<'a>>,
 }
 
 impl PackedTargets {
     /// Packs `records`.
     pub(crate) fn pack(
         records: impl Iterator<Item = TargetRecord>,
-        gone: Vec<String>,
+        removed: Vec<String>,
     ) -> PackedTargets {
         let mut parts = Vec::new();
         let mut records = records.peekable();
@@ -66,38 +66,38 @@
             let targets = records.by_ref().take(PART_TARGETS).collect();
             parts.push(compress_prepend_size(&TargetRecords { targets }.encode_to_vec()));
         }
-        PackedTargets { parts, gone }
+        PackedTargets { parts, removed }
     }
 
     fn bytes(&self) -> usize {
-        self.parts.iter().map(Vec::len).chain(self.gone.iter().map(String::len)).sum()
+        self.parts.iter().map(Vec::len).chain(self.removed.iter().map(String::len)).sum()
     }
 }
 
 impl ListingSource {
     /// Nothing to hand on yet, by a link of `link_mbps`.
     pub(crate) fn new(link_mbps: u32) -> ListingSource {
-        ListingSource { packed: Mutex::default(), places: SendPlaces::new(link_mbps) }
+        ListingSource { packed: Mutex::default(), slots: TransferSlots::new(link_mbps) }
     }
 
     /// What makes the step, packed by `pack` unless it is known; `None` while as many long replies are sent
     /// as can be.
     pub(crate) fn send(
         &self,
-        step: ListingStep,
+        step: ListingDeltaKey,
         pack: impl FnOnce() -> PackedTargets,
     ) -> Option<SentTargets<'_>> {
         let targets = self.packed(step, pack);
         if targets.bytes() <= SMALL_REPLY {
             return Some(SentTargets { targets, _place: None });
         }
-        let place = self.places.take()?;
+        let place = self.slots.try_acquire()?;
         Some(SentTargets { targets, _place: Some(place) })
     }
 
     fn packed(
         &self,
-        step: ListingStep,
+        step: ListingDeltaKey,
         pack: impl FnOnce() -> PackedTargets,
     ) -> Arc<PackedTargets> {
         let mut packed = lock(&self.packed);
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -196,7 +196,7 @@
 
 /// What an answer says of its target: that it leaves, and for how long it wants nothing.
 fn read_notice(start: &RawResponseHead, names: &HeaderNames) -> TargetNotice {
-    let mut leaving = start.headers.texts(&names.leaving);
+    let mut leaving = start.headers.texts(&names.draining);
     let rests = matches!(start.status, 429 | 503);
     let rest = if rests { read_rest(start, names, SystemTime::now()) } else { None };
     TargetNotice { draining: leaving.any(|text| text == LEAVES), backoff: rest }
--- a/crates/gateway/src/permit_desk.rs
+++ b/crates/gateway/src/permit_desk.rs
@@ -183,7 +183,7 @@
     ) -> Option<PermitAnswer> {
         let mut host = first;
         for _ in 0..ASKED_BOXES {
-            match self.ask_peer(context, host, key, wait).await? {
+            match self.query_peer(context, host, key, wait).await? {
                 PeerWord::Answer(answer) => return Some(answer),
                 PeerWord::Passed(next) => host = next?,
             }
@@ -192,7 +192,7 @@
     }
 
     /// What the box at `host` says; `None` if it says nothing in time, or did not a moment ago.
-    async fn ask_peer(
+    async fn query_peer(
         &self,
         context: &BoxContext,
         host: IpAddr,
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -14,7 +14,7 @@
 
 /// Why a call to the store gave nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StoreFault {
+pub enum StoreErrorKind {
     /// The store did not answer in time, or the connection failed.
     Unreachable,
     /// The store turned the call away.
@@ -26,19 +26,19 @@
 /// A failed call to the store.
 #[derive(Debug, Clone)]
 pub struct StoreError {
-    fault: StoreFault,
+    kind: StoreErrorKind,
     reason: String,
 }
 
 impl StoreError {
     /// An error with one line that says why.
-    pub fn new(fault: StoreFault, reason: impl Into<String>) -> StoreError {
-        StoreError { fault, reason: reason.into() }
+    pub fn new(kind: StoreErrorKind, reason: impl Into<String>) -> StoreError {
+        StoreError { kind, reason: reason.into() }
     }
 
     /// What kind of failure it is.
-    pub fn fault(&self) -> StoreFault {
-        self.fault
+    pub fn kind(&self) -> StoreErrorKind {
+        self.kind
     }
 }
 
@@ -63,7 +63,7 @@
 
 /// What was written in the store since a revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum StoreNews {
+pub enum StorePoll {
     /// This.
     Changed(Box<StoreChanges>),
     /// The store has forgotten: only a reading tells.
@@ -78,18 +78,18 @@
     /// Targets that were written, also if with nothing but a sign of life.
     pub written: Vec<TargetEntry>,
     /// Targets whose entries are gone, or can't be used any more.
-    pub gone: Vec<Name>,
+    pub removed: Vec<Name>,
     /// Data centres whose targets operators want nothing sent to, and those that were taken back.
     pub evacuated: Vec<Name>,
     /// The latter.
-    pub taken_back: Vec<Name>,
+    pub restored: Vec<Name>,
     /// The configuration, if it was written.
     pub config: Option<ConfigText>,
 }
 
 /// What the store says of a configuration that is known.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ConfigNews {
+pub enum ConfigPoll {
     /// It was not written since.
     Unchanged,
     /// It was.
@@ -107,20 +107,20 @@
     fn read_targets(&self) -> BoxFuture<'_, Result<TargetListing, StoreError>>;
 
     /// Asks what was written after the store's revision `after`, without waiting for it.
-    fn news(&self, after: u64) -> BoxFuture<'_, Result<StoreNews, StoreError>>;
+    fn poll_changes(&self, after: u64) -> BoxFuture<'_, Result<StorePoll, StoreError>>;
 
     /// Reads the configuration, if there is one.
     fn read_config(&self) -> BoxFuture<'_, Result<Option<ConfigText>, StoreError>>;
 
     /// Asks whether the configuration was written after the store's revision `after`,
     /// without waiting for it.
-    fn config_news(&self, after: u64) -> BoxFuture<'_, Result<ConfigNews, StoreError>>;
+    fn poll_config(&self, after: u64) -> BoxFuture<'_, Result<ConfigPoll, StoreError>>;
 
     /// The addresses of boxes that others have left in the store.
-    fn read_contacts(&self) -> BoxFuture<'_, Result<Vec<IpAddr>, StoreError>>;
+    fn read_bootstrap_addresses(&self) -> BoxFuture<'_, Result<Vec<IpAddr>, StoreError>>;
 
     /// Leaves the addresses of some boxes of a data centre in the store.
-    fn write_contacts<'a>(
+    fn write_bootstrap_addresses<'a>(
         &'a self,
         data_centre: &'a str,
         hosts: &'a [IpAddr],
@@ -155,9 +155,9 @@
     /// The caller's id of the request, returned by targets.
     pub request_id: String,
     /// Milliseconds that are left, from the caller and towards the target.
-    pub time_left: String,
+    pub remaining_time: String,
     /// Which instance is meant, towards the target.
-    pub wanted_target: String,
+    pub expected_instance: String,
     /// The target's proof that it made the answer.
     pub proof: String,
     /// The target's word that it ran nothing.
@@ -169,7 +169,7 @@
     /// The name of the customer whose request it is, towards the target.
     pub customer: String,
     /// A target's word in each of its answers that it leaves: "1".
-    pub leaving: String,
+    pub draining: String,
     /// The requests a second that a target takes from all boxes together, as a decimal number in
     /// each of its answers, for as long as it has that limit.
     pub limit: String,
--- a/crates/gateway/src/revision_trail.rs
+++ b/crates/gateway/src/revision_history.rs
@@ -13,13 +13,13 @@
 
 /// Revisions with the moments at which they were known, oldest first.
 #[derive(Debug, Default)]
-pub(crate) struct RevisionTrail {
+pub(crate) struct RevisionHistory {
     known: VecDeque<(Instant, u64)>,
 }
 
-impl RevisionTrail {
+impl RevisionHistory {
     /// Notes that `revision` was known at `at`.
-    pub(crate) fn note(&mut self, at: Instant, revision: u64) {
+    pub(crate) fn record(&mut self, at: Instant, revision: u64) {
         let last = self.known.back();
         let soon = |(last, _): &(Instant, u64)| at.saturating_duration_since(*last) < TRAIL_STEP;
         // Full: without newer ones the answer is an earlier revision, which is safe.
@@ -30,14 +30,14 @@
     }
 
     /// Forgets what is not needed any more where nothing known is of before `confirmed`.
-    pub(crate) fn forget(&mut self, confirmed: Instant) {
+    pub(crate) fn prune(&mut self, confirmed: Instant) {
         while self.known.len() > 1 && precedes(&self.known[1], confirmed) {
             self.known.pop_front();
         }
     }
 
     /// The newest revision that was known [`NEWS_LAG`] before `confirmed`; 0 if there is none.
-    pub(crate) fn lagging(&self, confirmed: Instant) -> u64 {
+    pub(crate) fn revision_before(&self, confirmed: Instant) -> u64 {
         let old = self.known.iter().rev().find(|entry| precedes(entry, confirmed));
         old.map_or(0, |(_, revision)| *revision)
     }
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -269,7 +269,7 @@
 
 /// How long the caller waits for its answer, if it tells.
 fn told_time(context: &BoxContext, request: &CallerRequest) -> Option<Duration> {
-    let told = request.start.headers.text(&context.headers.time_left)?;
+    let told = request.start.headers.text(&context.headers.remaining_time)?;
     told.parse::<u64>().ok().map(Duration::from_millis)
 }
 
@@ -288,7 +288,7 @@
     };
     let fingerprint = identity.fingerprint();
     let names = &context.headers;
-    let own = [names.time_left.as_str(), names.wanted_target.as_str()];
+    let own = [names.remaining_time.as_str(), names.expected_instance.as_str()];
     let CallerRequest { start, body, rest, .. } = request;
     OutgoingRequest {
         headers: start.headers.forwarded(&own),
--- a/crates/gateway/src/store_duty.rs
+++ b/crates/gateway/src/store_duty.rs
@@ -19,7 +19,7 @@
 use crate::config_duty::{ConfigReader, is_large};
 use crate::context::{BoxContext, millis};
 use crate::gossip::GossipDuty;
-use crate::ports::{StoreError, StoreNews};
+use crate::ports::{StoreError, StorePoll};
 use crate::store_backoff::StoreBackoff;
 use crate::suspension::StartMark;
 
@@ -113,7 +113,7 @@
     /// The age at which this box reads.
     fn reading_age(&mut self) -> Duration {
         let rank = self.context.peers().reading_rank();
-        self.context.budget.reading_age(rank, self.random.random())
+        self.context.budget.read_age(rank, self.random.random())
     }
 
     async fn read(&mut self) {
@@ -170,7 +170,7 @@
         // Targets don't wait for a configuration that takes long: they are in force from here
         // on, and peers are told at once. Waiting made requests reach targets 3 s after these
         // had said that they leave, by the requests' lines.
-        self.context.take_listing(listing, self.context.corrected(&mark), "store");
+        self.context.apply_listing(listing, self.context.corrected(&mark), "store");
         // Late: it goes on by itself, and is told when it is there.
         let _ = timeout(CONFIG_WAIT, reading).await;
         Ok(())
@@ -190,7 +190,7 @@
         if known.listed_count() <= LISTED_WHOLE || listed.elapsed() >= WHOLE_PERIOD {
             return None;
         }
-        known.targets_news_from()
+        known.target_poll_revision()
     }
 
     /// Reads what is new since the revision `after`; returns whether the store still knows.
@@ -200,16 +200,16 @@
         began: Instant,
         mark: &StartMark,
     ) -> Result<bool, StoreError> {
-        let StoreNews::Changed(news) = self.context.port.news(after).await? else {
+        let StorePoll::Changed(news) = self.context.port.poll_changes(after).await? else {
             log::info!(after; "history-forgotten");
             return Ok(false);
         };
         log::info!(
-            revision = news.revision, after, written = news.written.len(), gone = news.gone.len(),
+            revision = news.revision, after, written = news.written.len(), gone = news.removed.len(),
             taken_ms = millis(began.elapsed());
             "news-read"
         );
-        self.context.take_news(*news, self.context.corrected(mark));
+        self.context.apply_changes(*news, self.context.corrected(mark));
         Ok(true)
     }
 
@@ -224,7 +224,7 @@
             && is_due(self.contacts_read, CONTACT_PERIOD)
         {
             self.contacts_read = Some(Instant::now());
-            match self.context.port.read_contacts().await {
+            match self.context.port.read_bootstrap_addresses().await {
                 Ok(hosts) => {
                     log::info!(found = hosts.len(); "contacts-read");
                     self.gossip.ask(&hosts).await;
@@ -239,7 +239,7 @@
             let mut hosts = vec![self.context.settings.host()];
             hosts.extend(near.into_iter().take(CONTACTS - 1));
             let centre = self.context.settings.data_centre.as_str();
-            if let Err(error) = self.context.port.write_contacts(centre, &hosts).await {
+            if let Err(error) = self.context.port.write_bootstrap_addresses(centre, &hosts).await {
                 log::warn!(reason:% = error; "contacts-not-noted");
             }
         }
--- a/crates/gateway/src/target_table.rs
+++ b/crates/gateway/src/target_table.rs
@@ -10,8 +10,8 @@
 use wingbridge_decide::{Name, TargetKey};
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
 
-use crate::listing_history::{ListingDifference, ListingHistory};
-use crate::lives::TargetLives;
+use crate::incarnations::TargetIncarnations;
+use crate::listing_history::{ListingDelta, ListingHistory};
 use crate::view::{TargetEntry, ViewChange};
 
 /// A hash over a listing, whatever the order. Never 0, which stands for no listing.
@@ -24,9 +24,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TargetUpdate {
     /// Lives of targets that take none any more.
-    pub gone: Vec<TargetKey>,
+    pub removed: Vec<TargetKey>,
     /// Targets that take some now, or are different.
-    pub set: Vec<TargetEntry>,
+    pub updated: Vec<TargetEntry>,
 }
 
 /// The targets of the newest listing, and what follows from those before it.
@@ -38,7 +38,7 @@
     /// The sum of the entries' hashes.
     sum: u64,
     history: ListingHistory,
-    lives: TargetLives,
+    incarnations: TargetIncarnations,
     /// Targets that an outage of the store took from the list, until when they are used.
     lapsed: HashMap<Name, (TargetEntry, Instant)>,
     /// Until when those are slow that were listed as slow from their start.
@@ -84,7 +84,7 @@
     }
 
     /// What makes this listing of the one with the hash `digest`; `None` if that one is not known.
-    pub(crate) fn difference_to(&self, digest: u64) -> Option<ListingDifference> {
+    pub(crate) fn delta_from(&self, digest: u64) -> Option<ListingDelta> {
         self.history.since(digest, &self.entries)
     }
 
@@ -94,26 +94,26 @@
     }
 
     /// What makes a whole listing of this one.
-    pub(crate) fn difference_from(&self, targets: Vec<TargetEntry>) -> ListingDifference {
+    pub(crate) fn delta_to(&self, targets: Vec<TargetEntry>) -> ListingDelta {
         let gone = {
             let listed: HashSet<&Name> = targets.iter().map(|target| &target.id).collect();
             self.entries.keys().filter(|id| !listed.contains(id)).cloned().collect()
         };
-        self.difference_by(targets, gone)
+        self.delta_of_changes(targets, gone)
     }
 
     /// What is new by what was written, signs of life left out, and by what is gone.
-    pub(crate) fn difference_by(
+    pub(crate) fn delta_of_changes(
         &self,
         written: Vec<TargetEntry>,
-        gone: Vec<Name>,
-    ) -> ListingDifference {
+        removed: Vec<Name>,
+    ) -> ListingDelta {
         let is_new = |target: &TargetEntry| {
             self.entries.get(&target.id).is_none_or(|before| !before.is_same(target))
         };
-        ListingDifference {
+        ListingDelta {
             changed: written.into_iter().filter(is_new).collect(),
-            gone: gone.into_iter().filter(|id| self.entries.contains_key(id)).collect(),
+            removed: removed.into_iter().filter(|id| self.entries.contains_key(id)).collect(),
         }
     }
 
@@ -122,37 +122,37 @@
         self.entries.len()
     }
 
-    /// The hash over the listing that a difference would make of this one.
-    pub(crate) fn digest_with(&self, difference: &ListingDifference, evacuated: &[Name]) -> u64 {
-        digest_of(self.sum_with(difference), evacuated)
+    /// The hash over the listing that a delta would make of this one.
+    pub(crate) fn digest_with(&self, delta: &ListingDelta, evacuated: &[Name]) -> u64 {
+        digest_of(self.sum_with(delta), evacuated)
     }
 
     /// Makes another listing of this one; tells in `change` what is new for requests and for the log.
     pub(crate) fn take(
         &mut self,
-        difference: ListingDifference,
+        delta: ListingDelta,
         evacuated: Vec<Name>,
         time: ListingTime,
         change: &mut ViewChange,
     ) {
         let before = self.digest();
-        let sum = self.sum_with(&difference);
-        change.targets = digest_of(sum, &evacuated) != before;
-        if change.targets {
-            self.history.note(before, &difference, self.entries.len());
+        let sum = self.sum_with(&delta);
+        change.targets_changed = digest_of(sum, &evacuated) != before;
+        if change.targets_changed {
+            self.history.record(before, &delta, self.entries.len());
         }
-        let names = difference.changed.iter().map(|target| &target.id).chain(&difference.gone);
+        let names = delta.changed.iter().map(|target| &target.id).chain(&delta.removed);
         let names: Vec<Name> = names.cloned().collect();
         let used: Vec<Option<TargetKey>> =
             names.iter().map(|id| self.usable_entry(id).map(TargetEntry::key)).collect();
-        for id in &difference.gone {
+        for id in &delta.removed {
             self.remove(id, time, change);
         }
-        for target in difference.changed {
+        for target in delta.changed {
             self.put(target, time, change);
         }
         self.sum = sum;
-        self.lives.forget(|id| self.entries.contains_key(id));
+        self.incarnations.evict_unlisted(|id| self.entries.contains_key(id));
         for (id, used) in names.iter().zip(used) {
             self.note_update(id, used);
         }
@@ -167,9 +167,9 @@
     /// Drops lapsed targets whose time is over; returns whether there were some.
     pub(crate) fn drop_lapsed(&mut self, now: Instant) -> bool {
         let over = self.lapsed.extract_if(|_, (_, until)| *until <= now);
-        let before = self.update.gone.len();
-        self.update.gone.extend(over.map(|(_, (target, _))| target.key()));
-        self.update.gone.len() > before
+        let before = self.update.removed.len();
+        self.update.removed.extend(over.map(|(_, (target, _))| target.key()));
+        self.update.removed.len() > before
     }
 
     /// Ends what targets may yet be used for sooner, by `time` that the clock did not count.
@@ -190,7 +190,7 @@
                 .cloned()
                 .collect()
         };
-        self.update.set.extend(concerned);
+        self.update.updated.extend(concerned);
     }
 
     /// What is new among the targets that take work since this was asked last.
@@ -198,11 +198,11 @@
         std::mem::take(&mut self.update)
     }
 
-    fn sum_with(&self, difference: &ListingDifference) -> u64 {
-        let changed = difference.changed.iter().map(|target| &target.id);
-        let replaced = changed.chain(&difference.gone).filter_map(|id| self.entries.get(id));
+    fn sum_with(&self, delta: &ListingDelta) -> u64 {
+        let changed = delta.changed.iter().map(|target| &target.id);
+        let replaced = changed.chain(&delta.removed).filter_map(|id| self.entries.get(id));
         let less = replaced.map(entry_hash).fold(self.sum, u64::wrapping_sub);
-        difference.changed.iter().map(entry_hash).fold(less, u64::wrapping_add)
+        delta.changed.iter().map(entry_hash).fold(less, u64::wrapping_add)
     }
 
     fn remove(&mut self, id: &Name, time: ListingTime, change: &mut ViewChange) {
@@ -210,8 +210,8 @@
             return;
         };
         self.cold_until.remove(id);
-        self.lives.note_gone(&target);
-        if self.lives.has_left(&target) {
+        self.incarnations.record_removed(&target);
+        if self.incarnations.has_drained(&target) {
             return;
         }
         match time.returning {
@@ -219,7 +219,7 @@
                 self.lapsed.insert(id.clone(), (target, until));
             }
             _ => {
-                change.left.push(id.clone());
+                change.departed.push(id.clone());
                 if !target.draining {
                     change.ended.push(target.key());
                 }
@@ -232,12 +232,12 @@
         target.data_centre = self.shared(&target.data_centre);
         self.lapsed.remove(&target.id);
         let before = self.entries.get(&target.id);
-        if self.lives.note_listed(before, &target) {
+        if self.incarnations.record_listed(before, &target) {
             change.restarted.push(target.id.clone());
             change.ended.extend(before.map(TargetEntry::key));
         }
-        if target.draining && self.lives.note_leaving(&target) {
-            change.left.push(target.id.clone());
+        if target.draining && self.incarnations.record_draining(&target) {
+            change.departed.push(target.id.clone());
         }
         if !target.draining && before.is_none() {
             change.joined.push(target.id.clone());
@@ -256,8 +256,8 @@
             of.iter().filter(|name| !than.contains(name)).cloned().collect()
         };
         change.evacuated = others(&self.evacuated, &before);
-        change.taken_back = others(&before, &self.evacuated);
-        let concerned: HashSet<&Name> = change.evacuated.iter().chain(&change.taken_back).collect();
+        change.restored = others(&before, &self.evacuated);
+        let concerned: HashSet<&Name> = change.evacuated.iter().chain(&change.restored).collect();
         if !concerned.is_empty() {
             self.renew(|target| concerned.contains(&target.data_centre));
         }
@@ -267,8 +267,8 @@
     fn note_update(&mut self, id: &Name, used: Option<TargetKey>) {
         let now = self.usable_entry(id).cloned();
         let key = now.as_ref().map(TargetEntry::key);
-        self.update.gone.extend(used.filter(|used| Some(*used) != key));
-        self.update.set.extend(now);
+        self.update.removed.extend(used.filter(|used| Some(*used) != key));
+        self.update.updated.extend(now);
     }
 
     /// What counts of a target, if it takes work.
@@ -282,7 +282,7 @@
     }
 
     fn in_force<'a>(&'a self, listed: &'a TargetEntry) -> Option<&'a TargetEntry> {
-        self.lives.in_force(listed).filter(|target| !target.draining)
+        self.incarnations.in_force(listed).filter(|target| !target.draining)
     }
 
     fn shared(&mut self, name: &Name) -> Name {
--- a/crates/gateway/src/send_places.rs
+++ b/crates/gateway/src/transfer_slots.rs
@@ -13,39 +13,42 @@
 const MBPS_EACH: u32 = 15;
 
 /// Wait before a peer is asked again that sends to others, at least; twice that at most.
-pub(crate) const BUSY_PAUSE: Duration = Duration::from_millis(30);
+pub(crate) const BUSY_RETRY_DELAY: Duration = Duration::from_millis(30);
 
 /// The places of a box.
 #[derive(Debug)]
-pub(crate) struct SendPlaces {
+pub(crate) struct TransferSlots {
     taken: AtomicUsize,
     most: usize,
 }
 
 /// A place that is taken until it is dropped.
 #[derive(Debug)]
-pub(crate) struct SendPlace<'a> {
-    places: &'a SendPlaces,
+pub(crate) struct TransferSlot<'a> {
+    slots: &'a TransferSlots,
 }
 
-impl SendPlaces {
+impl TransferSlots {
     /// The places of a box with a link of `link_mbps`.
-    pub(crate) fn new(link_mbps: u32) -> SendPlaces {
-        SendPlaces { taken: AtomicUsize::new(0), most: PLACES + (link_mbps / MBPS_EACH) as usize }
+    pub(crate) fn new(link_mbps: u32) -> TransferSlots {
+        TransferSlots {
+            taken: AtomicUsize::new(0),
+            most: PLACES + (link_mbps / MBPS_EACH) as usize,
+        }
     }
 
     /// A place, unless all are taken.
-    pub(crate) fn take(&self) -> Option<SendPlace<'_>> {
+    pub(crate) fn try_acquire(&self) -> Option<TransferSlot<'_>> {
         if self.taken.fetch_add(1, Ordering::Relaxed) >= self.most {
             self.taken.fetch_sub(1, Ordering::Relaxed);
             return None;
         }
-        Some(SendPlace { places: self })
+        Some(TransferSlot { slots: self })
     }
 }
 
-impl Drop for SendPlace<'_> {
+impl Drop for TransferSlot<'_> {
     fn drop(&mut self) {
-        self.places.taken.fetch_sub(1, Ordering::Relaxed);
+        self.slots.taken.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -6,9 +6,9 @@
 
 use wingbridge_decide::{Name, TargetKey};
 
-pub use crate::listing_history::ListingDifference;
+pub use crate::listing_history::ListingDelta;
 use crate::ports::{EnvironmentPort, StoreChanges, TargetListing};
-use crate::revision_trail::RevisionTrail;
+use crate::revision_history::RevisionHistory;
 use crate::routes::RouteConfig;
 pub use crate::target_table::TargetUpdate;
 use crate::target_table::{ListingTime, TargetTable, listing_digest};
@@ -105,9 +105,9 @@
     /// Why a configuration could not be taken; the one before stays in force.
     pub refused: Option<String>,
     /// Whether the targets that take work are others now.
-    pub targets: bool,
+    pub targets_changed: bool,
     /// Instances that left or are leaving since the view before.
-    pub left: Vec<Name>,
+    pub departed: Vec<Name>,
     /// Lives of those among them that had said nothing of it, and of those that started again.
     pub ended: Vec<TargetKey>,
     /// Instances that came.
@@ -117,18 +117,18 @@
     /// Data centres whose targets get nothing from now on.
     pub evacuated: Vec<Name>,
     /// Those that were taken back.
-    pub taken_back: Vec<Name>,
+    pub restored: Vec<Name>,
 }
 
 /// What a peer tells of a listing.
 #[derive(Debug, Clone, Default)]
-pub struct ToldDifference {
+pub struct PeerListingDelta {
     /// The store's revision of the listing.
     pub revision: u64,
     /// The hash over it.
     pub digest: u64,
     /// What makes it of the one that is held.
-    pub difference: ListingDifference,
+    pub delta: ListingDelta,
     /// Data centres whose targets operators want nothing sent to, in the order of their names.
     pub evacuated: Vec<Name>,
 }
@@ -142,7 +142,7 @@
     revision: u64,
     targets: TargetTable,
     as_of: Option<Instant>,
-    trail: RevisionTrail,
+    history: RevisionHistory,
     /// The store's revision of the configuration; 0 before the first.
     config_revision: u64,
     config_text: Option<ConfigText>,
@@ -184,10 +184,10 @@
     ///
     /// What was heard of targets since says nothing of the configuration: asked from there, the
     /// store would tell of no change, and the box would take an old one for the newest.
-    pub fn news_from(&self) -> Option<u64> {
+    pub fn config_poll_revision(&self) -> Option<u64> {
         let held = self.config_revision;
         let confirmed = self.config_as_of.filter(|_| held > 0)?;
-        Some(self.trail.lagging(confirmed).max(held))
+        Some(self.history.revision_before(confirmed).max(held))
     }
 
     /// The configuration in force.
@@ -240,12 +240,12 @@
             let confirmed = self.config_as_of.map_or(as_of, |before| before.max(as_of));
             self.config_as_of = Some(confirmed);
             // News of the targets is asked for from a while before these were read.
-            self.trail.forget(self.as_of.map_or(confirmed, |as_of| as_of.min(confirmed)));
+            self.history.prune(self.as_of.map_or(confirmed, |as_of| as_of.min(confirmed)));
         }
     }
 
     /// Takes a view, unless a newer one is known.
-    pub fn take(
+    pub fn apply(
         &mut self,
         view: StoreView,
         as_of: Instant,
@@ -259,74 +259,74 @@
         let StoreView { revision, config_revision, config, targets, evacuated, crash_notes: _ } =
             view;
         if let Some(text) = config {
-            self.take_config(text, port, &mut change);
+            self.apply_config_text(text, port, &mut change);
         }
         self.confirm_config(config_revision, as_of);
         let listing = TargetListing { revision, targets, evacuated };
-        let listed = self.take_listing(listing, as_of);
+        let listed = self.apply_listing(listing, as_of);
         ViewChange { config: change.config, refused: change.refused, ..listed }
     }
 
     /// Takes a listing of targets, unless a newer one is known.
-    pub fn take_listing(&mut self, listing: TargetListing, as_of: Instant) -> ViewChange {
+    pub fn apply_listing(&mut self, listing: TargetListing, as_of: Instant) -> ViewChange {
         let TargetListing { revision, targets, evacuated } = listing;
         if revision < self.revision {
             return ViewChange::default();
         }
-        let difference = self.targets.difference_from(targets);
-        self.put_difference(difference, evacuated, revision, as_of)
+        let delta = self.targets.delta_to(targets);
+        self.put_difference(delta, evacuated, revision, as_of)
     }
 
     /// The revision from which news of the targets is to be asked for; `None` if they must be listed.
     ///
     /// It is one that was known a while ago: a store may hide the last second before it forgets its
     /// history.
-    pub fn targets_news_from(&self) -> Option<u64> {
-        let revision = self.trail.lagging(self.as_of?);
+    pub fn target_poll_revision(&self) -> Option<u64> {
+        let revision = self.history.revision_before(self.as_of?);
         (revision > 0).then_some(revision)
     }
 
     /// Takes what was written in the store since a revision that this box knew.
-    pub fn take_news(
+    pub fn apply_changes(
         &mut self,
         news: StoreChanges,
         as_of: Instant,
         port: &dyn EnvironmentPort,
     ) -> ViewChange {
-        let StoreChanges { revision, written, gone, evacuated, taken_back, config } = news;
+        let StoreChanges { revision, written, removed, evacuated, restored, config } = news;
         if revision < self.revision {
             return ViewChange::default();
         }
         let mut change = ViewChange::default();
         if let Some(text) = config {
-            self.take_config(text, port, &mut change);
+            self.apply_config_text(text, port, &mut change);
         }
         self.confirm_config(self.config_revision, as_of);
-        let difference = self.targets.difference_by(written, gone);
-        let kept = self.evacuated().iter().filter(|name| !taken_back.contains(name));
+        let delta = self.targets.delta_of_changes(written, removed);
+        let kept = self.evacuated().iter().filter(|name| !restored.contains(name));
         let mut evacuated: Vec<Name> = kept.cloned().chain(evacuated).collect();
         evacuated.sort();
         evacuated.dedup();
-        let listed = self.put_difference(difference, evacuated, revision, as_of);
+        let listed = self.put_difference(delta, evacuated, revision, as_of);
         ViewChange { config: change.config, refused: change.refused, ..listed }
     }
 
     /// Takes what makes the listing that `told` is of, with the hash `digest`, of the one that is held;
     /// `None` if it makes another one of it.
-    pub fn take_difference(&mut self, told: ToldDifference, as_of: Instant) -> Option<ViewChange> {
-        let ToldDifference { revision, digest, difference, evacuated } = told;
+    pub fn merge_delta(&mut self, told: PeerListingDelta, as_of: Instant) -> Option<ViewChange> {
+        let PeerListingDelta { revision, digest, delta, evacuated } = told;
         if revision < self.revision {
             return Some(ViewChange::default());
         }
-        if self.targets.digest_with(&difference, &evacuated) != digest {
+        if self.targets.digest_with(&delta, &evacuated) != digest {
             return None;
         }
-        Some(self.put_difference(difference, evacuated, revision, as_of))
+        Some(self.put_difference(delta, evacuated, revision, as_of))
     }
 
     fn put_difference(
         &mut self,
-        difference: ListingDifference,
+        delta: ListingDelta,
         evacuated: Vec<Name>,
         revision: u64,
         as_of: Instant,
@@ -335,28 +335,24 @@
         let is_first = self.as_of.is_none();
         self.note_time(as_of);
         let returning = self.return_until.filter(|until| as_of < *until);
-        self.targets.take(difference, evacuated, ListingTime { as_of, returning }, &mut change);
+        self.targets.take(delta, evacuated, ListingTime { as_of, returning }, &mut change);
         // An empty listing is news to a box that had none.
-        change.targets |= is_first;
+        change.targets_changed |= is_first;
         self.revision = revision;
         change
     }
 
     /// Takes a configuration that was read apart from the targets.
-    pub fn take_config_alone(
-        &mut self,
-        text: ConfigText,
-        port: &dyn EnvironmentPort,
-    ) -> ViewChange {
+    pub fn apply_config(&mut self, text: ConfigText, port: &dyn EnvironmentPort) -> ViewChange {
         let mut change = ViewChange::default();
-        self.take_config(text, port, &mut change);
+        self.apply_config_text(text, port, &mut change);
         change
     }
 
     /// What makes the listing of targets of the one with the hash `digest`; `None` if that
     /// one is not known.
-    pub fn difference_to(&self, digest: u64) -> Option<ListingDifference> {
-        self.targets.difference_to(digest)
+    pub fn delta_from(&self, digest: u64) -> Option<ListingDelta> {
+        self.targets.delta_from(digest)
     }
 
     /// Whether it is known what makes this listing of the one with the hash `digest`.
@@ -393,7 +389,7 @@
     }
 
     fn note_time(&mut self, as_of: Instant) {
-        self.trail.note(as_of, self.revision);
+        self.history.record(as_of, self.revision);
         match self.as_of {
             Some(before) if as_of <= before => {}
             Some(before) => {
@@ -406,7 +402,7 @@
         }
     }
 
-    fn take_config(
+    fn apply_config_text(
         &mut self,
         text: ConfigText,
         port: &dyn EnvironmentPort,
--- a/crates/gateway/src/view_exchange.rs
+++ b/crates/gateway/src/view_exchange.rs
@@ -16,10 +16,10 @@
 
 use crate::config_exchange::serve_config;
 use crate::context::{BoxContext, millis};
-use crate::listing_source::{ListingStep, PackedTargets, SentTargets, unpack};
+use crate::listing_source::{ListingDeltaKey, PackedTargets, SentTargets, unpack};
 use crate::ports::TargetListing;
-use crate::send_places::BUSY_PAUSE;
-use crate::view::{KnownView, ListingDifference, TargetEntry, ToldDifference};
+use crate::transfer_slots::BUSY_RETRY_DELAY;
+use crate::view::{KnownView, ListingDelta, PeerListingDelta, TargetEntry};
 
 /// Time for a connection to a peer: within a data centre it takes a millisecond or two.
 const CONNECT_TIME: Duration = Duration::from_millis(200);
@@ -45,14 +45,14 @@
 /// Fetches the targets that the peer at `host` knows, and takes them. A peer that sends to others is asked again
 /// for as long as one question may take; by then others have what it sends, and say so.
 pub(crate) async fn fetch_targets(context: &BoxContext, host: IpAddr) {
-    let until = Instant::now() + context.budget.fetch_time();
+    let until = Instant::now() + context.budget.fetch_timeout();
     let mut digest = context.view().digest();
     loop {
         match ask_targets(context, host, digest).await {
             Ok(FetchedTargets::Taken) => return,
             Ok(FetchedTargets::Busy) if Instant::now() >= until => return,
             Ok(FetchedTargets::Busy) => {
-                task::sleep(BUSY_PAUSE.mul_f64(1.0 + rand::random::<f64>())).await;
+                task::sleep(BUSY_RETRY_DELAY.mul_f64(1.0 + rand::random::<f64>())).await;
             }
             // What is known has changed on the way: all of it is asked for then.
             Ok(FetchedTargets::OtherBase) if digest != 0 => digest = 0,
@@ -66,7 +66,7 @@
 }
 
 /// How new what is known is, for messages.
-pub(crate) fn view_mark(known: &KnownView) -> Option<ViewVersion> {
+pub(crate) fn view_version_of(known: &KnownView) -> Option<ViewVersion> {
     let as_of = known.as_of()?;
     let config_age = known.config_as_of().map(|as_of| as_of.elapsed());
     Some(ViewVersion {
@@ -79,7 +79,7 @@
 }
 
 /// Asks the peer at `host` one question, within `time`.
-pub(crate) async fn ask_peer<M: Message + Default>(
+pub(crate) async fn query_peer<M: Message + Default>(
     context: &BoxContext,
     host: IpAddr,
     question: ExchangeQuestion,
@@ -101,7 +101,7 @@
     Taken,
     /// The peer sends to as many others as it can.
     Busy,
-    /// The reply is the difference to a listing that this box does not hold any more.
+    /// The reply is the delta to a listing that this box does not hold any more.
     OtherBase,
 }
 
@@ -113,8 +113,8 @@
     let began = Instant::now();
     let start = context.start_mark();
     let question = ExchangeQuestion::Targets(TargetsRequest { digest });
-    let time = context.budget.fetch_time();
-    let reply: TargetsReply = ask_peer(context, host, question, time).await?;
+    let time = context.budget.fetch_timeout();
+    let reply: TargetsReply = query_peer(context, host, question, time).await?;
     let bytes = reply.encoded_len();
     let Some(mark) = reply.version else {
         return Ok(FetchedTargets::Taken);
@@ -128,11 +128,11 @@
         return Ok(FetchedTargets::Busy);
     }
     let fits = match decode_targets(reply, &mark)? {
-        ToldTargets::All(listing) => {
-            context.take_listing(listing, as_of, "peer");
+        ReceivedTargets::All(listing) => {
+            context.apply_listing(listing, as_of, "peer");
             true
         }
-        ToldTargets::Difference(told) => context.take_difference(told, as_of),
+        ReceivedTargets::Difference(told) => context.merge_delta(told, as_of),
     };
     if !fits {
         return Ok(FetchedTargets::OtherBase);
@@ -147,7 +147,7 @@
 
 async fn serve_one(stream: &TcpStream, peer: IpAddr, context: &BoxContext) {
     let served = async {
-        let asked = timeout(context.budget.fetch_time(), receive_message(stream));
+        let asked = timeout(context.budget.fetch_timeout(), receive_message(stream));
         let late = |_| WireError::new(ErrorKind::Io, "no question came");
         let request: ExchangeRequest = asked.await.map_err(late)??;
         match request.question {
@@ -155,7 +155,7 @@
                 let (reply, _sent) = encode_targets(context, request);
                 let sending = send_message(stream, &reply);
                 let late = |_| WireError::new(ErrorKind::Io, "the reply was not read");
-                timeout(context.budget.fetch_time(), sending).await.map_err(late)?
+                timeout(context.budget.fetch_timeout(), sending).await.map_err(late)?
             }
             Some(ExchangeQuestion::Config(request)) => {
                 serve_config(stream, peer, context, request).await
@@ -175,22 +175,23 @@
 ) -> (TargetsReply, Option<SentTargets<'_>>) {
     let known = context.view();
     let evacuated = known.evacuated().iter().map(Name::to_string).collect();
-    let reply = TargetsReply { version: view_mark(&known), evacuated, ..TargetsReply::default() };
+    let reply =
+        TargetsReply { version: view_version_of(&known), evacuated, ..TargetsReply::default() };
     let base = if known.remembers(request.digest) { request.digest } else { 0 };
-    let step = ListingStep { from: base, to: known.digest() };
+    let step = ListingDeltaKey { from: base, to: known.digest() };
     let Some(sent) = context.listing_source.send(step, || pack_targets(&known, base)) else {
         return (TargetsReply { busy: true, ..reply }, None);
     };
-    let PackedTargets { parts, gone } = &*sent.targets;
-    (TargetsReply { base, parts: parts.clone(), removed: gone.clone(), ..reply }, Some(sent))
+    let PackedTargets { parts, removed } = &*sent.targets;
+    (TargetsReply { base, parts: parts.clone(), removed: removed.clone(), ..reply }, Some(sent))
 }
 
 /// What makes the listing that is held of the one with the hash `base`, or all of it.
 fn pack_targets(known: &KnownView, base: u64) -> PackedTargets {
-    match known.difference_to(base) {
-        Some(ListingDifference { changed, gone }) => {
-            let gone = gone.iter().map(Name::to_string).collect();
-            PackedTargets::pack(changed.iter().map(|target| record(known, target)), gone)
+    match known.delta_from(base) {
+        Some(ListingDelta { changed, removed }) => {
+            let removed = removed.iter().map(Name::to_string).collect();
+            PackedTargets::pack(changed.iter().map(|target| record(known, target)), removed)
         }
         None => PackedTargets::pack(known.listed().map(|target| record(known, target)), Vec::new()),
     }
@@ -211,12 +212,12 @@
 }
 
 /// What a reply tells.
-enum ToldTargets {
+enum ReceivedTargets {
     All(TargetListing),
-    Difference(ToldDifference),
+    Difference(PeerListingDelta),
 }
 
-fn decode_targets(reply: TargetsReply, mark: &ViewVersion) -> Result<ToldTargets, WireError> {
+fn decode_targets(reply: TargetsReply, mark: &ViewVersion) -> Result<ReceivedTargets, WireError> {
     let evacuated = reply.evacuated.into_iter().map(Name::from).collect();
     let (revision, digest) = (mark.revision, mark.digest);
     let mut targets = Vec::new();
@@ -226,11 +227,11 @@
         targets.extend(records.into_iter().map(target));
     }
     if reply.base == 0 {
-        return Ok(ToldTargets::All(TargetListing { revision, targets, evacuated }));
+        return Ok(ReceivedTargets::All(TargetListing { revision, targets, evacuated }));
     }
-    let gone = reply.removed.into_iter().map(Name::from).collect();
-    let difference = ListingDifference { changed: targets, gone };
-    Ok(ToldTargets::Difference(ToldDifference { revision, digest, difference, evacuated }))
+    let removed = reply.removed.into_iter().map(Name::from).collect();
+    let delta = ListingDelta { changed: targets, removed };
+    Ok(ReceivedTargets::Difference(PeerListingDelta { revision, digest, delta, evacuated }))
 }
 
 fn target(record: TargetRecord) -> TargetEntry {
--- a/crates/gateway/tests/harness/store.rs
+++ b/crates/gateway/tests/harness/store.rs
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use wingbridge_decide::Name;
 use wingbridge_gateway::ports::{
-    ConfigNews, EnvironmentPort, HeaderNames, StoreChanges, StoreError, StoreFault, StoreNews,
+    ConfigPoll, EnvironmentPort, HeaderNames, StoreChanges, StoreError, StoreErrorKind, StorePoll,
     TargetListing,
 };
 use wingbridge_gateway::routes::RouteConfig;
@@ -77,8 +77,8 @@
         state.view.revision += 1;
         let revision = state.view.revision;
         let before = std::mem::replace(&mut state.view.targets, targets.clone());
-        let gone = before.into_iter().map(|target| (revision, target.id, None));
-        state.written.extend(gone);
+        let removed = before.into_iter().map(|target| (revision, target.id, None));
+        state.written.extend(removed);
         let now = targets.into_iter().map(|target| (revision, target.id.clone(), Some(target)));
         state.written.extend(now);
     }
@@ -157,7 +157,7 @@
     fn ask<T>(&self, work: impl FnOnce(&mut StoreState) -> T) -> Result<T, StoreError> {
         let mut state = lock(&self.store.state);
         if state.away || !self.reachable {
-            return Err(StoreError::new(StoreFault::Unreachable, "the stand-in is away"));
+            return Err(StoreError::new(StoreErrorKind::Unreachable, "the stand-in is away"));
         }
         Ok(work(&mut state))
     }
@@ -168,7 +168,7 @@
             return config;
         }
         task::sleep(STALL).await;
-        Err(StoreError::new(StoreFault::Unreachable, "the link of the stand-in has stalled"))
+        Err(StoreError::new(StoreErrorKind::Unreachable, "the link of the stand-in has stalled"))
     }
 }
 
@@ -189,11 +189,11 @@
         Box::pin(async { listing })
     }
 
-    fn news(&self, after: u64) -> BoxFuture<'_, Result<StoreNews, StoreError>> {
+    fn poll_changes(&self, after: u64) -> BoxFuture<'_, Result<StorePoll, StoreError>> {
         lock(&self.store.state).all_news_asked += 1;
         let news = self.ask(|state| {
             if state.forgetful {
-                return StoreNews::Forgotten;
+                return StorePoll::Forgotten;
             }
             let mut last = BTreeMap::new();
             for (revision, id, entry) in &state.written {
@@ -201,15 +201,21 @@
                     last.insert(id.clone(), entry.clone());
                 }
             }
-            let gone = last.iter().filter(|(_, entry)| entry.is_none());
-            let gone = gone.map(|(id, _)| id.clone()).collect();
+            let removed = last.iter().filter(|(_, entry)| entry.is_none());
+            let removed = removed.map(|(id, _)| id.clone()).collect();
             let written = last.into_values().flatten().collect();
             let config = state.view.config.clone().filter(|text| text.revision > after);
             let evacuated = state.view.evacuated.clone();
             let revision = state.view.revision;
-            let changes =
-                StoreChanges { revision, written, gone, evacuated, config, ..Default::default() };
-            StoreNews::Changed(Box::new(changes))
+            let changes = StoreChanges {
+                revision,
+                written,
+                removed,
+                evacuated,
+                config,
+                ..Default::default()
+            };
+            StorePoll::Changed(Box::new(changes))
         });
         Box::pin(async { news })
     }
@@ -222,29 +228,29 @@
         Box::pin(self.pass(config))
     }
 
-    fn config_news(&self, after: u64) -> BoxFuture<'_, Result<ConfigNews, StoreError>> {
+    fn poll_config(&self, after: u64) -> BoxFuture<'_, Result<ConfigPoll, StoreError>> {
         let news = self.ask(|state| {
             state.news_asked += 1;
             match &state.view.config {
-                _ if state.forgetful => ConfigNews::Forgotten,
-                Some(config) if config.revision > after => ConfigNews::Changed(config.clone()),
-                _ => ConfigNews::Unchanged,
+                _ if state.forgetful => ConfigPoll::Forgotten,
+                Some(config) if config.revision > after => ConfigPoll::Changed(config.clone()),
+                _ => ConfigPoll::Unchanged,
             }
         });
         Box::pin(async {
             match news {
-                Ok(ConfigNews::Changed(_)) => self.pass(news).await,
+                Ok(ConfigPoll::Changed(_)) => self.pass(news).await,
                 _ => news,
             }
         })
     }
 
-    fn read_contacts(&self) -> BoxFuture<'_, Result<Vec<IpAddr>, StoreError>> {
+    fn read_bootstrap_addresses(&self) -> BoxFuture<'_, Result<Vec<IpAddr>, StoreError>> {
         let contacts = self.ask(|state| state.contacts.clone());
         Box::pin(async { contacts })
     }
 
-    fn write_contacts<'a>(
+    fn write_bootstrap_addresses<'a>(
         &'a self,
         _: &'a str,
         hosts: &'a [IpAddr],
@@ -284,14 +290,14 @@
     fn headers(&self) -> Arc<HeaderNames> {
         Arc::new(HeaderNames {
             request_id: "X-Id".into(),
-            time_left: "X-Left".into(),
-            wanted_target: "X-Wanted".into(),
+            remaining_time: "X-Left".into(),
+            expected_instance: "X-Wanted".into(),
             proof: "X-Proof".into(),
             not_run: "X-Not-Run".into(),
             load: "X-Load".into(),
             customer_key: "X-Key".into(),
             customer: "X-Customer".into(),
-            leaving: "X-Leaving".into(),
+            draining: "X-Leaving".into(),
             limit: "X-Limit".into(),
             retry_after: "Retry-After".into(),
         })
--- a/crates/gateway/tests/lifecycle.rs
+++ b/crates/gateway/tests/lifecycle.rs
@@ -190,12 +190,12 @@
     let mut known = KnownView::default();
     let start = Instant::now();
     let newer = StoreView { revision: 9, ..StoreView::default() };
-    known.take(newer, start, &*port);
+    known.apply(newer, start, &*port);
     let text = ConfigText { revision: 5, text: b"1".as_slice().into() };
-    let change = known.take_config_alone(text, &*port);
+    let change = known.apply_config(text, &*port);
     assert_eq!((change.config, known.config_revision(), known.revision()), (Some(1), 5, 9));
     let view = StoreView { revision: 10, ..StoreView::default() };
-    known.take(view, start, &*port);
+    known.apply(view, start, &*port);
     assert!(known.config().is_some(), "a view without it leaves it in force");
 }
 
--- a/crates/gateway/tests/news.rs
+++ b/crates/gateway/tests/news.rs
@@ -1,4 +1,4 @@
-//! What boxes tell each other of targets and configurations: the difference, and never
+//! What boxes tell each other of targets and configurations: the delta, and never
 //! anything but what the other one holds.
 
 mod harness;
@@ -12,7 +12,7 @@
 use wingbridge_gateway::ports::TargetListing;
 use wingbridge_gateway::routes::RouteKind;
 use wingbridge_gateway::text_patch::{PatchError, apply_patch, make_patch};
-use wingbridge_gateway::view::{ConfigText, KnownView, StoreView, TargetEntry, ToldDifference};
+use wingbridge_gateway::view::{ConfigText, KnownView, PeerListingDelta, StoreView, TargetEntry};
 
 /// Routes of a large configuration, some 170 bytes each.
 const ROUTES: usize = 4200;
@@ -101,7 +101,7 @@
         let _ = apply_patch(&old, &patch);
     }
 
-    /// A peer that holds any of the last listings makes the newest one of the difference.
+    /// A peer that holds any of the last listings makes the newest one of the delta.
     #[test]
     fn a_difference_makes_the_listing_of_an_earlier_one(
         listings in proptest::collection::vec(
@@ -120,24 +120,24 @@
             };
             let targets: Vec<TargetEntry> = listing.iter().map(target).collect();
             let listing = TargetListing { revision: number as u64 + 1, targets: targets.clone(), evacuated: Vec::new() };
-            known.take_listing(listing, start + Duration::from_millis(700 * number as u64));
+            known.apply_listing(listing, start + Duration::from_millis(700 * number as u64));
             held.push((known.digest(), targets));
         }
         let (digest, old) = &held[from % held.len()];
         let (newest_digest, newest) = &held[held.len() - 1];
         // The newest one itself may not be in the record: it has led nowhere yet.
-        let Some(difference) = known.difference_to(*digest) else {
+        let Some(delta) = known.delta_from(*digest) else {
             prop_assert_eq!(digest, newest_digest);
             return Ok(());
         };
         let listing = TargetListing { revision: 1, targets: old.clone(), evacuated: Vec::new() };
         let mut peer = KnownView::default();
-        peer.take_listing(listing, start);
+        peer.apply_listing(listing, start);
         let revision = known.revision();
-        let told = ToldDifference { revision, digest: *newest_digest, difference, ..Default::default() };
-        let other = ToldDifference { digest: newest_digest ^ 1, ..told.clone() };
-        prop_assert!(peer.take_difference(other, start).is_none(), "it makes another listing");
-        prop_assert!(peer.take_difference(told, start).is_some());
+        let told = PeerListingDelta { revision, digest: *newest_digest, delta, ..Default::default() };
+        let other = PeerListingDelta { digest: newest_digest ^ 1, ..told.clone() };
+        prop_assert!(peer.merge_delta(other, start).is_none(), "it makes another listing");
+        prop_assert!(peer.merge_delta(told, start).is_some());
         prop_assert_eq!(&peer.listed().cloned().collect::<Vec<_>>(), newest);
         prop_assert_eq!(peer.digest(), *newest_digest);
     }
@@ -163,11 +163,11 @@
             // Each third one comes after an outage, and lets what is missing lapse.
             let at = start + Duration::from_secs(number as u64 + number as u64 / 3 * 5);
             let listing = TargetListing { revision: number as u64 + 1, targets, evacuated: Vec::new() };
-            known.take_listing(listing, at);
+            known.apply_listing(listing, at);
             known.drop_lapsed(at);
             let update = known.take_update();
-            update.gone.iter().for_each(|key| drop(used.remove(key)));
-            used.extend(update.set.into_iter().map(|target| (key_of(&target), target)));
+            update.removed.iter().for_each(|key| drop(used.remove(key)));
+            used.extend(update.updated.into_iter().map(|target| (key_of(&target), target)));
             let all: BTreeMap<TargetKey, TargetEntry> =
                 known.usable(at).into_iter().map(|target| (key_of(target), target.clone())).collect();
             prop_assert_eq!(&used, &all);
@@ -194,10 +194,10 @@
         targets: Vec::new(),
         ..StoreView::default()
     };
-    known.take(view, start, &*port);
+    known.apply(view, start, &*port);
     assert_eq!(known.oldest(), Some(start));
     let later = start + Duration::from_millis(700);
-    known.take_listing(
+    known.apply_listing(
         TargetListing { revision: 12, targets: Vec::new(), evacuated: Vec::new() },
         later,
     );
@@ -220,18 +220,18 @@
     let (mut known, start) = (KnownView::default(), Instant::now());
     let at = |millis| start + Duration::from_millis(millis);
     let config = Some(ConfigText { revision: 50, text: b"1".as_slice().into() });
-    known.take(
+    known.apply(
         StoreView { revision: 50, config_revision: 50, config, ..Default::default() },
         start,
         &*port,
     );
     for (millis, revision) in [(1_400, 60), (2_800, 70), (4_200, 80)] {
         let listing = TargetListing { revision, ..TargetListing::default() };
-        known.take_listing(listing, at(millis));
+        known.apply_listing(listing, at(millis));
         known.confirm_config(50, at(millis + 1_300));
     }
     // It is known since 2.8 s, 1.4 s before the last reading; that of 1.4 s is the newest that is safe.
-    assert_eq!(known.targets_news_from(), Some(50));
+    assert_eq!(known.target_poll_revision(), Some(50));
 }
 
 struct NewsCase {
@@ -277,7 +277,7 @@
     let port = store.port(true);
     for case in NEWS {
         let (mut known, start) = (KnownView::default(), Instant::now());
-        assert_eq!(known.news_from(), None, "{}", case.name);
+        assert_eq!(known.config_poll_revision(), None, "{}", case.name);
         let config = Some(ConfigText { revision: 50, text: b"1".as_slice().into() });
         let view = StoreView {
             revision: 50,
@@ -286,14 +286,14 @@
             targets: Vec::new(),
             ..StoreView::default()
         };
-        known.take(view, start, &*port);
+        known.apply(view, start, &*port);
         let at = |millis| start + Duration::from_millis(millis);
         for (millis, revision) in case.listings {
             let listing =
                 TargetListing { revision: *revision, targets: Vec::new(), evacuated: Vec::new() };
-            known.take_listing(listing, at(*millis));
+            known.apply_listing(listing, at(*millis));
         }
         known.confirm_config(50, at(case.confirmed));
-        assert_eq!(known.news_from(), Some(case.from), "{}", case.name);
+        assert_eq!(known.config_poll_revision(), Some(case.from), "{}", case.name);
     }
 }
--- a/crates/gateway/tests/views.rs
+++ b/crates/gateway/tests/views.rs
@@ -36,21 +36,21 @@
 fn a_target_that_is_gone_or_leaves_gets_nothing() {
     let port = StoreStandin::default().port(true);
     let (mut known, start) = (KnownView::default(), Instant::now());
-    known.take(view(1, &[named("a"), named("b"), named("c")]), start, &*port);
+    known.apply(view(1, &[named("a"), named("b"), named("c")]), start, &*port);
     let mut leaving = named("b");
     leaving.draining = true;
     let soon = start + Duration::from_millis(500);
-    let change = known.take(view(2, &[named("a"), leaving]), soon, &*port);
+    let change = known.apply(view(2, &[named("a"), leaving]), soon, &*port);
     assert_eq!(ids(&known, soon), ["a"]);
-    assert_eq!(change.left.len(), 2);
+    assert_eq!(change.departed.len(), 2);
     // An older reading that arrives late brings nothing back.
-    known.take(view(1, &[named("a"), named("b"), named("c")]), soon, &*port);
+    known.apply(view(1, &[named("a"), named("b"), named("c")]), soon, &*port);
     assert_eq!(ids(&known, soon), ["a"]);
     // Nor does a leaving target come back under its name.
-    known.take(view(3, &[named("a"), named("b")]), soon, &*port);
+    known.apply(view(3, &[named("a"), named("b")]), soon, &*port);
     assert_eq!(ids(&known, soon), ["a"]);
     // One that was cut from the store does.
-    known.take(view(4, &[named("a"), named("c")]), soon, &*port);
+    known.apply(view(4, &[named("a"), named("c")]), soon, &*port);
     assert_eq!(ids(&known, soon), ["a", "c"]);
 }
 
@@ -58,12 +58,12 @@
 fn entries_that_an_outage_took_have_two_seconds_to_return() {
     let port = StoreStandin::default().port(true);
     let (mut known, start) = (KnownView::default(), Instant::now());
-    known.take(view(1, &[named("a"), named("b"), named("c")]), start, &*port);
+    known.apply(view(1, &[named("a"), named("b"), named("c")]), start, &*port);
     let back = start + OUTAGE;
-    known.take(view(2, &[named("a")]), back, &*port);
+    known.apply(view(2, &[named("a")]), back, &*port);
     assert_eq!(ids(&known, back), ["a", "b", "c"], "lapsed ones are used on");
     let later = back + Duration::from_millis(1500);
-    known.take(view(3, &[named("a"), named("b")]), later, &*port);
+    known.apply(view(3, &[named("a"), named("b")]), later, &*port);
     assert_eq!(ids(&known, later), ["a", "b", "c"]);
     let over = back + Duration::from_millis(2100);
     assert_eq!(ids(&known, over), ["a", "b"], "one that did not return is gone");
@@ -77,9 +77,9 @@
     let (mut known, start) = (KnownView::default(), Instant::now());
     let mut leaving = named("b");
     leaving.draining = true;
-    known.take(view(1, &[named("a"), leaving]), start, &*port);
+    known.apply(view(1, &[named("a"), leaving]), start, &*port);
     let back = start + OUTAGE;
-    known.take(view(2, &[named("a")]), back, &*port);
+    known.apply(view(2, &[named("a")]), back, &*port);
     assert_eq!(ids(&known, back), ["a"]);
 }
 
@@ -88,7 +88,7 @@
     let port = StoreStandin::default().port(true);
     let (mut known, start) = (KnownView::default(), Instant::now());
     let late = start + Duration::from_secs(1);
-    known.take(view(5, &[named("a")]), late, &*port);
+    known.apply(view(5, &[named("a")]), late, &*port);
     known.confirm(5, start);
     assert_eq!(known.as_of(), Some(late));
     known.confirm(4, late + Duration::from_secs(1));
@@ -122,7 +122,7 @@
         let text = if case.decodes { case.version.to_string() } else { "cut".into() };
         let revision = number as u64 + 1;
         let config = Some(ConfigText { revision, text: text.into_bytes().into() });
-        let change = known.take(
+        let change = known.apply(
             StoreView {
                 revision,
                 config_revision: revision,
@@ -150,7 +150,7 @@
     assert_eq!(
         base.digest(),
         view(9, &[named("a"), named("b")]).digest(),
-        "the revision alone is no difference"
+        "the revision alone is no delta"
     );
 }
 
@@ -230,7 +230,7 @@
             };
             let listed: Vec<TargetEntry> = listed.iter().map(entry).collect();
             let at = start + Duration::from_millis(300 * number as u64);
-            known.take(view(number as u64 + 1, &listed), at, &*port);
+            known.apply(view(number as u64 + 1, &listed), at, &*port);
         }
         let lives: Vec<u64> = known.usable(start).iter().map(|target| target.born_ms).collect();
         assert_eq!(lives, case.used.into_iter().collect::<Vec<_>>(), "{}", case.name);
@@ -241,11 +241,11 @@
 fn a_new_life_is_news_for_peers_and_for_the_log() {
     let port = StoreStandin::default().port(true);
     let (mut known, start) = (KnownView::default(), Instant::now());
-    known.take(view(1, &[born("a", 100)]), start, &*port);
+    known.apply(view(1, &[born("a", 100)]), start, &*port);
     let before = known.digest();
-    let change = known.take(view(2, &[born("a", 200)]), start, &*port);
+    let change = known.apply(view(2, &[born("a", 200)]), start, &*port);
     assert_ne!(known.digest(), before, "a peer that holds the older life asks for the listing");
-    assert_eq!((change.targets, change.restarted.len()), (true, 1));
-    let difference = known.difference_to(before).expect("it is remembered");
-    assert_eq!(difference.changed[0].born_ms, 200);
+    assert_eq!((change.targets_changed, change.restarted.len()), (true, 1));
+    let delta = known.delta_from(before).expect("it is remembered");
+    assert_eq!(delta.changed[0].born_ms, 200);
 }
