--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -19,7 +19,7 @@
 use wingbridge_http::raw::{BodyDecoder, BodyLength, HeaderList, RawReader, RawResponseHead};
 
 use crate::answers::{AnswerBody, LAST_CHUNK, WaitingBody, as_chunk, write_length};
-use crate::notices::{NoticeLink, UnreadHead};
+use crate::notices::{AttemptNotices, UnreadHead};
 use crate::ports::HeaderNames;
 use crate::streamed_body::{BodyPiece, BodyRest};
 
@@ -104,7 +104,7 @@
     pub(crate) until: Instant,
     pub(crate) names: &'a HeaderNames,
     /// What the target has said of itself, and says by this.
-    pub(crate) notices: NoticeLink<'a>,
+    pub(crate) notices: AttemptNotices<'a>,
 }
 
 /// Makes the attempt. Dropping the future closes the connection, which cancels the work.
@@ -209,10 +209,10 @@
 async fn read_answer(
     reader: &mut RawReader<TcpStream>,
     request: &OutgoingRequest,
-    notices: &NoticeLink<'_>,
+    notices: &AttemptNotices<'_>,
 ) -> Result<(RawResponseHead, HeldBody), HttpError> {
     let start = reader.read_response_head(&request.method, HEAD_BYTES).await?;
-    notices.take(&start);
+    notices.apply_head(&start);
     let mut decoder = BodyDecoder::new(start.length);
     let mut body = Vec::new();
     let too_long = matches!(start.length, BodyLength::Known(length) if length > HELD_BYTES as u64);
--- a/crates/gateway/src/config_duty.rs
+++ b/crates/gateway/src/config_duty.rs
@@ -19,7 +19,7 @@
 use crate::change_budget::transfer_time;
 use crate::config_exchange::{ConfigFetch, fetch_config};
 use crate::context::{BoxContext, millis};
-use crate::gossip::GossipDuty;
+use crate::gossip::Gossip;
 use crate::ports::{ConfigPoll, StoreError};
 use crate::store_backoff::StoreBackoff;
 use crate::suspension::StartMark;
@@ -43,12 +43,12 @@
 /// Reads the configuration from the store, one reading at a time.
 pub(crate) struct ConfigReader {
     context: Arc<BoxContext>,
-    gossip: Arc<GossipDuty>,
+    gossip: Arc<Gossip>,
     reading: AtomicBool,
 }
 
 impl ConfigReader {
-    pub(crate) fn new(context: Arc<BoxContext>, gossip: Arc<GossipDuty>) -> Arc<ConfigReader> {
+    pub(crate) fn new(context: Arc<BoxContext>, gossip: Arc<Gossip>) -> Arc<ConfigReader> {
         Arc::new(ConfigReader { context, gossip, reading: AtomicBool::new(false) })
     }
 
@@ -68,7 +68,7 @@
                 log::info!(revision, bytes, taken_ms = millis(began.elapsed()); "configuration-read");
                 let as_of = self.context.corrected(&mark);
                 self.context.take_config(config, Vec::new(), as_of, "store");
-                self.gossip.tell_mark().await;
+                self.gossip.broadcast_view_version().await;
                 true
             }
             Ok(None) => true,
@@ -114,7 +114,7 @@
 /// The duty's state.
 pub(crate) struct ConfigDuty {
     context: Arc<BoxContext>,
-    gossip: Arc<GossipDuty>,
+    gossip: Arc<Gossip>,
     reader: Arc<ConfigReader>,
     random: SmallRng,
     backoff: StoreBackoff,
@@ -125,7 +125,7 @@
 impl ConfigDuty {
     pub(crate) fn new(
         context: Arc<BoxContext>,
-        gossip: Arc<GossipDuty>,
+        gossip: Arc<Gossip>,
         reader: Arc<ConfigReader>,
         seed: u64,
     ) -> ConfigDuty {
@@ -172,7 +172,7 @@
         };
         let fetched = fetch_config(&self.context, host).await;
         match &fetched {
-            ConfigFetch::Taken => self.gossip.tell_mark_to_some().await,
+            ConfigFetch::Taken => self.gossip.send_view_version_to_some().await,
             ConfigFetch::Busy(holders) => {
                 let held = self.context.view().config_revision();
                 let own = self.context.settings.host();
@@ -199,7 +199,7 @@
         };
         let budget = self.context.budget;
         let transfer = transfer_time(bytes, self.context.settings.link_mbps);
-        let rank = self.context.peers().reading_rank();
+        let rank = self.context.peers().read_priority();
         let due = budget.config_read_age(rank, self.random.random(), transfer) + READER_LAG;
         let mut wait = due.saturating_sub(age).max(self.backoff.remaining());
         if let Some((heard, _)) = self.context.newer_config().pending() {
@@ -216,7 +216,7 @@
         match select(reading, pin!(notices.recv())).await {
             Either::Left((false, _)) => {
                 self.backoff.record_failure(self.random.random());
-                self.gossip.ask_far().await;
+                self.gossip.request_remote_heartbeat().await;
             }
             Either::Left((true, _)) | Either::Right(_) => {
                 self.backoff.reset();
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -14,19 +14,19 @@
 
 use crate::change_budget::ChangeBudget;
 use crate::config_source::ConfigSource;
-use crate::crash_desk::CrashDesk;
-use crate::credit_desk::CreditDesk;
+use crate::crash_tracker::CrashTracker;
 use crate::gate::OpenGate;
 use crate::listing_source::ListingSource;
 use crate::newer_config::NewerConfig;
 use crate::odd_entries::OddEntry;
+use crate::passive_samples::SampleBuffer;
 use crate::peers::PeerTable;
-use crate::permit_desk::PermitDesk;
+use crate::permit_manager::PermitManager;
 use crate::policies::PolicySet;
 use crate::ports::{EnvironmentPort, HeaderNames, StoreChanges, TargetListing};
+use crate::quota_manager::QuotaManager;
 use crate::routes::RouteConfig;
 use crate::settings::GatewaySettings;
-use crate::sightings::SightingBuffer;
 use crate::stopping::StopState;
 use crate::suspension::{StartMark, SuspensionWatch};
 use crate::view::{
@@ -41,9 +41,9 @@
 
 /// How duties hear of what others took.
 pub(crate) struct DutyNotices {
-    pub(crate) credit: CreditDesk,
-    pub(crate) permits: PermitDesk,
-    pub(crate) sightings: SightingBuffer,
+    pub(crate) quotas: QuotaManager,
+    pub(crate) permits: PermitManager,
+    pub(crate) passive_samples: SampleBuffer,
     pub(crate) view_changed: async_channel::Sender<()>,
     pub(crate) newer_heard: async_channel::Sender<()>,
 }
@@ -57,12 +57,12 @@
     pub(crate) stopping: StopState,
     pub(crate) peers: Mutex<PeerTable>,
     /// Admits requests by their customers' quotas.
-    pub(crate) credit: CreditDesk,
+    pub(crate) quotas: QuotaManager,
     /// Permits to send to targets with a limit.
-    pub(crate) permits: PermitDesk,
-    pub(crate) sightings: SightingBuffer,
+    pub(crate) permits: PermitManager,
+    pub(crate) passive_samples: SampleBuffer,
     /// Which requests end targets.
-    pub(crate) crashes: CrashDesk,
+    pub(crate) crashes: CrashTracker,
     pub(crate) view_changed: async_channel::Sender<()>,
     /// Tells that a peer has a configuration that this box lacks, or that there is another one.
     pub(crate) newer_heard: async_channel::Sender<()>,
@@ -118,10 +118,10 @@
             policies,
             stopping,
             peers: Mutex::new(peers),
-            credit: notices.credit,
+            quotas: notices.quotas,
             permits: notices.permits,
-            sightings: notices.sightings,
-            crashes: CrashDesk::new(),
+            passive_samples: notices.passive_samples,
+            crashes: CrashTracker::new(),
             view_changed: notices.view_changed,
             newer_heard: notices.newer_heard,
             held_bodies: AtomicUsize::new(0),
@@ -223,7 +223,7 @@
     pub(crate) fn take_view(&self, mut view: StoreView, as_of: Instant, source: &str) {
         let revision = view.revision;
         // Before it opens the box to callers, who may ask for such a request first.
-        self.crashes.take_notes(std::mem::take(&mut view.crash_notes));
+        self.crashes.apply_notes(std::mem::take(&mut view.crash_notes));
         let change = self.change_view(|known| known.apply(view, as_of, &*self.port));
         let heard = self.settle_config(Vec::new());
         self.note_taken(&change, &TakenFrom { revision, as_of, source, heard });
@@ -302,7 +302,7 @@
             }
         }
         for target in &change.ended {
-            self.crashes.note_gone(*target);
+            self.crashes.record_target_ended(*target);
         }
         if let Some(config) = self.config().filter(|_| change.config.is_some()) {
             note_customers(&config);
--- a/crates/gateway/src/crash_desk.rs
+++ b/crates/gateway/src/crash_tracker.rs
@@ -18,16 +18,16 @@
 
 /// The one ledger of a box, with the clock that it goes by.
 #[derive(Debug)]
-pub(crate) struct CrashDesk {
+pub(crate) struct CrashTracker {
     ledger: Mutex<CrashLedger>,
     /// The notes that the store held last, which most readings bring again.
     notes: Mutex<Vec<Vec<u8>>>,
     started: Instant,
 }
 
-impl CrashDesk {
-    pub(crate) fn new() -> CrashDesk {
-        CrashDesk { ledger: Mutex::default(), notes: Mutex::default(), started: Instant::now() }
+impl CrashTracker {
+    pub(crate) fn new() -> CrashTracker {
+        CrashTracker { ledger: Mutex::default(), notes: Mutex::default(), started: Instant::now() }
     }
 
     /// Whether a request may be sent to a target.
@@ -36,49 +36,49 @@
     }
 
     /// A target ended under a request.
-    pub(crate) fn note_ended(&self, fingerprint: Fingerprint, target: TargetKey) {
+    pub(crate) fn record_crash(&self, fingerprint: Fingerprint, target: TargetKey) {
         let changes = lock(&self.ledger).record_crash(self.now(), fingerprint, target);
-        self.note_changes(&changes, "own");
+        self.log_changes(&changes, "own");
     }
 
     /// An attempt ended and this box doesn't know how.
-    pub(crate) fn note_unseen(&self, fingerprint: Fingerprint, target: TargetKey) {
+    pub(crate) fn record_unknown_outcome(&self, fingerprint: Fingerprint, target: TargetKey) {
         lock(&self.ledger).record_unknown_outcome(self.now(), fingerprint, target);
     }
 
     /// A target refuses connections, or another one has its address.
-    pub(crate) fn note_gone(&self, target: TargetKey) {
+    pub(crate) fn record_target_ended(&self, target: TargetKey) {
         let changes = lock(&self.ledger).record_target_ended(self.now(), target);
-        self.note_changes(&changes, "own");
+        self.log_changes(&changes, "own");
     }
 
     /// A target ran a request to a good end.
-    pub(crate) fn note_success(&self, fingerprint: Fingerprint) {
+    pub(crate) fn record_success(&self, fingerprint: Fingerprint) {
         let change = lock(&self.ledger).record_success(self.now(), fingerprint);
-        self.note_changes(change.as_slice(), "own");
+        self.log_changes(change.as_slice(), "own");
     }
 
     /// Takes what a peer told.
-    pub(crate) fn take(&self, records: &[CrashRecord], peer: &str) {
+    pub(crate) fn merge_records(&self, records: &[CrashRecord], peer: &str) {
         for record in records {
             let changes = lock(&self.ledger).merge_report(self.now(), &decode_record(record));
-            self.note_changes(&changes, peer);
+            self.log_changes(&changes, peer);
         }
     }
 
     /// What is new since the last call.
-    pub(crate) fn take_untold(&self) -> Vec<CrashRecord> {
+    pub(crate) fn take_unreported(&self) -> Vec<CrashRecord> {
         lock(&self.ledger).take_unreported(self.now()).iter().map(encode_news).collect()
     }
 
     /// What is told again and again, `most` requests at most.
-    pub(crate) fn retold(&self, most: usize) -> Vec<CrashRecord> {
+    pub(crate) fn records_to_repeat(&self, most: usize) -> Vec<CrashRecord> {
         lock(&self.ledger).reports_to_repeat(self.now(), most).iter().map(encode_news).collect()
     }
 
     /// Takes what boxes left in the store. Its times are those of the writers' clocks, which may differ
     /// by seconds: little beside the minutes of a refusal.
-    pub(crate) fn take_notes(&self, notes: Vec<Vec<u8>>) {
+    pub(crate) fn apply_notes(&self, notes: Vec<Vec<u8>>) {
         let mut known = lock(&self.notes);
         if *known == notes {
             return;
@@ -94,14 +94,14 @@
             let age_ms = unix_millis().saturating_sub(note.written_ms);
             let aged: Vec<CrashRecord> =
                 note.crashes.into_iter().map(|record| grown_older(record, age_ms)).collect();
-            self.take(&aged, "store");
+            self.merge_records(&aged, "store");
         }
         *known = notes;
     }
 
     /// The requests that are refused now, for the store; and a number that is another one when
     /// there is something else to write.
-    pub(crate) fn note(&self) -> (u64, Vec<u8>) {
+    pub(crate) fn encode_note(&self) -> (u64, Vec<u8>) {
         let refused = lock(&self.ledger).refused_reports(self.now(), NOTED);
         let known = refused.iter().map(|news| (news.fingerprint.0, news.ends.len()));
         let version = known.fold(0_u64, |sum, (fingerprint, ends)| {
@@ -116,7 +116,7 @@
         TimePoint::default() + BEFORE_START + self.started.elapsed()
     }
 
-    fn note_changes(&self, changes: &[CrashChange], by: &str) {
+    fn log_changes(&self, changes: &[CrashChange], by: &str) {
         if changes.is_empty() {
             return;
         }
--- a/crates/gateway/src/gossip/beacons.rs
+++ b/crates/gateway/src/gossip/heartbeats.rs
@@ -7,7 +7,7 @@
 use async_std::task;
 use wingbridge_wire::gossip::{DatagramBody, Heartbeat, ViewVersion};
 
-use super::GossipDuty;
+use super::Gossip;
 use crate::limit_reports::{limits_in_force, merge_limit};
 use crate::notices::update_excluded_gauges;
 use crate::view::KnownView;
@@ -37,16 +37,16 @@
 /// been told by the reader and wait for their turn there.
 const TOLD_OF_CONFIG: usize = 4;
 
-impl GossipDuty {
+impl Gossip {
     /// Sends signs of life, until the task is dropped.
-    pub(crate) async fn beat(self: Arc<Self>) {
+    pub(crate) async fn run_heartbeats(self: Arc<Self>) {
         let started = Instant::now();
         let mut round: u32 = 0;
         loop {
             // One box of another data centre is no use for what boxes of one share, and it
             // may be all that is heard at first: the search goes on for a while.
             update_excluded_gauges(&self.context);
-            let alone = self.context.peers().near().is_empty();
+            let alone = self.context.peers().local().is_empty();
             let lonely = self.context.peers().boxes() == 1;
             if lonely || (alone && started.elapsed() < NEAR_SEARCH_TIME) {
                 self.search().await;
@@ -54,69 +54,69 @@
                 continue;
             }
             round = round.wrapping_add(1);
-            self.beat_once(round).await;
+            self.send_heartbeats(round).await;
             task::sleep(NEAR_PERIOD).await;
         }
     }
 
     /// Tells the own data centre how new the view is.
-    pub(crate) async fn tell_mark(&self) {
-        let near = self.context.peers().near();
-        self.send_beacon(&near, Heartbeat { view_version: self.mark(), ..Heartbeat::default() })
+    pub(crate) async fn broadcast_view_version(&self) {
+        let near = self.context.peers().local();
+        self.send_heartbeat(&near, Heartbeat { view_version: self.mark(), ..Heartbeat::default() })
             .await;
     }
 
     /// Tells some boxes of the own data centre, so that they know one more whom to ask.
-    pub(crate) async fn tell_mark_to_some(&self) {
-        let some = self.context.peers().some_near(TOLD_OF_CONFIG);
-        self.send_beacon(&some, Heartbeat { view_version: self.mark(), ..Heartbeat::default() })
+    pub(crate) async fn send_view_version_to_some(&self) {
+        let some = self.context.peers().random_local(TOLD_OF_CONFIG);
+        self.send_heartbeat(&some, Heartbeat { view_version: self.mark(), ..Heartbeat::default() })
             .await;
     }
 
     /// Tells everybody that this box ends.
-    pub(crate) async fn tell_leaving(&self) {
-        let mut all = self.context.peers().near();
-        all.extend(self.context.peers().far());
-        self.send_beacon(&all, Heartbeat { stopping: true, ..Heartbeat::default() }).await;
+    pub(crate) async fn broadcast_stopping(&self) {
+        let mut all = self.context.peers().local();
+        all.extend(self.context.peers().remote());
+        self.send_heartbeat(&all, Heartbeat { stopping: true, ..Heartbeat::default() }).await;
     }
 
     /// Asks the boxes at `hosts` whom they know.
-    pub(crate) async fn ask(&self, hosts: &[IpAddr]) {
+    pub(crate) async fn request_heartbeats(&self, hosts: &[IpAddr]) {
         let beacon =
             Heartbeat { wants_reply: true, view_version: self.mark(), ..Heartbeat::default() };
-        self.send_beacon(hosts, beacon).await;
+        self.send_heartbeat(hosts, beacon).await;
     }
 
     /// Asks a box of another data centre how new its view is.
-    pub(crate) async fn ask_far(&self) {
-        let far = self.context.peers().some_far();
-        self.ask(far.as_slice()).await;
+    pub(crate) async fn request_remote_heartbeat(&self) {
+        let far = self.context.peers().random_remote();
+        self.request_heartbeats(far.as_slice()).await;
     }
 
     async fn search(&self) {
         let own = self.context.settings.host();
         let seeds = self.context.settings.seeds.iter().copied().filter(|seed| *seed != own);
         let mut hosts: Vec<IpAddr> = seeds.collect();
-        hosts.extend(self.context.peers().some_far());
-        self.ask(&hosts).await;
+        hosts.extend(self.context.peers().random_remote());
+        self.request_heartbeats(&hosts).await;
     }
 
-    async fn beat_once(&self, round: u32) {
+    async fn send_heartbeats(&self, round: u32) {
         let now = Instant::now();
         let (near, far, listed, gone) = {
             let mut peers = self.context.peers();
-            let gone = peers.drop_silent(now);
-            let far = if round.is_multiple_of(FAR_EVERY) { peers.some_far() } else { None };
-            let near = peers.near();
-            let listed = peers.listed(now, listed_by(near.len()));
+            let gone = peers.remove_unresponsive(now);
+            let far = if round.is_multiple_of(FAR_EVERY) { peers.random_remote() } else { None };
+            let near = peers.local();
+            let listed = peers.sample_records(now, listed_by(near.len()));
             (near, far, listed, gone)
         };
         for box_id in gone {
             log::info!(peer = box_id.as_str(); "peer-lost");
         }
-        self.note_boxes();
+        self.update_box_counts();
         let told = listed.iter().take(FAR_LISTED).cloned().collect();
-        let crashes = self.context.crashes.retold(listed_by(near.len()));
+        let crashes = self.context.crashes.records_to_repeat(listed_by(near.len()));
         let limits = limits_in_force(&self.context, MAX_REPORTED_LIMITS);
         let beacon = Heartbeat {
             view_version: self.mark(),
@@ -125,7 +125,7 @@
             limits: limits.clone(),
             ..Heartbeat::default()
         };
-        self.send_beacon(&near, beacon).await;
+        self.send_heartbeat(&near, beacon).await;
         if let Some(far) = far {
             let mark = self.mark();
             let beacon = Heartbeat {
@@ -136,40 +136,40 @@
                 limits,
                 ..Heartbeat::default()
             };
-            self.send_beacon(&[far], beacon).await;
+            self.send_heartbeat(&[far], beacon).await;
         }
     }
 
-    pub(super) fn note_boxes(&self) {
+    pub(super) fn update_box_counts(&self) {
         let (near, all) = {
             let peers = self.context.peers();
-            (peers.near().len() + 1, peers.boxes())
+            (peers.local().len() + 1, peers.boxes())
         };
         self.context.core().set_boxes(near, all);
     }
 
-    pub(super) async fn take_beacon(
+    pub(super) async fn on_heartbeat(
         &self,
         from: IpAddr,
         box_id: &str,
         now: Instant,
         beacon: Heartbeat,
     ) {
-        self.context.crashes.take(&beacon.crashes, box_id);
+        self.context.crashes.merge_records(&beacon.crashes, box_id);
         beacon.limits.iter().for_each(|limit| merge_limit(&self.context, limit, box_id));
         if beacon.stopping {
-            self.context.peers().note_leaving(from);
+            self.context.peers().record_stopping(from);
             return;
         }
         let found: Vec<IpAddr> = {
             let mut peers = self.context.peers();
-            let found = beacon.peers.iter().filter_map(|told| peers.note_told(now, told));
+            let found = beacon.peers.iter().filter_map(|told| peers.merge_record(now, told));
             let found: Vec<IpAddr> = found.collect();
-            found.into_iter().filter(|host| peers.is_near(*host)).collect()
+            found.into_iter().filter(|host| peers.is_local(*host)).collect()
         };
         if !found.is_empty() {
             // They learn of this box by it.
-            self.send_beacon(
+            self.send_heartbeat(
                 &found,
                 Heartbeat { view_version: self.mark(), ..Heartbeat::default() },
             )
@@ -178,10 +178,10 @@
         if beacon.wants_reply {
             let listed = {
                 let mut peers = self.context.peers();
-                let most = if peers.is_near(from) { NEAR_LISTED } else { FAR_LISTED };
-                peers.listed(now, most)
+                let most = if peers.is_local(from) { NEAR_LISTED } else { FAR_LISTED };
+                peers.sample_records(now, most)
             };
-            let crashes = self.context.crashes.retold(CRASHES_ANSWERED);
+            let crashes = self.context.crashes.records_to_repeat(CRASHES_ANSWERED);
             let mark = self.mark();
             let limits = limits_in_force(&self.context, MAX_REPORTED_LIMITS);
             let answer = Heartbeat {
@@ -191,7 +191,7 @@
                 limits,
                 ..Heartbeat::default()
             };
-            self.send_beacon(&[from], answer).await;
+            self.send_heartbeat(&[from], answer).await;
         }
         if let Some(mark) = beacon.view_version.filter(|_| !self.context.is_waking()) {
             self.compare_view(from, now, mark);
@@ -211,7 +211,7 @@
             known.config_revision()
         };
         if mark.config_revision > held {
-            self.note_newer(from, mark.config_revision, held);
+            self.record_newer_config(from, mark.config_revision, held);
         }
         let mut known = self.context.view();
         let newer = known.as_of().is_none_or(|held| as_of > held);
@@ -227,15 +227,15 @@
         // Bytes across have a price, and the own data centre's boxes have the same a moment later.
         let patient = held_for(&known, now) < self.context.budget.remote_fetch_age();
         drop(known);
-        if patient && !self.context.peers().is_near(from) {
+        if patient && !self.context.peers().is_local(from) {
             return;
         }
         // Full: one is being fetched, and the next beacon asks again.
         let _ = self.fetching.try_send(from);
     }
 
-    fn note_newer(&self, from: IpAddr, revision: u64, held: u64) {
-        let is_near = self.context.peers().is_near(from);
+    fn record_newer_config(&self, from: IpAddr, revision: u64, held: u64) {
+        let is_near = self.context.peers().is_local(from);
         if self.context.newer_config().note(from, is_near, revision, held) {
             log::info!(peer:% = from, config_revision = revision, held; "configuration-heard-of");
         }
@@ -247,7 +247,7 @@
         view_version_of(&self.context.view())
     }
 
-    async fn send_beacon(&self, hosts: &[IpAddr], beacon: Heartbeat) {
+    async fn send_heartbeat(&self, hosts: &[IpAddr], beacon: Heartbeat) {
         self.send(hosts, DatagramBody::Heartbeat(beacon)).await;
     }
 }
--- a/crates/gateway/src/gossip/mod.rs
+++ b/crates/gateway/src/gossip/mod.rs
@@ -1,7 +1,7 @@
 //! Datagrams between boxes: signs of life, the age of views, and what was seen of targets.
 
-mod beacons;
-mod telling;
+mod heartbeats;
+mod reports;
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::atomic::AtomicU64;
@@ -17,8 +17,8 @@
 use wingbridge_wire::limits::PermitMessage;
 
 use crate::context::BoxContext;
-use crate::credit_desk::quota_asker;
-use crate::peers::PeerNote;
+use crate::peers::PeerInfo;
+use crate::quota_manager::quota_requester;
 use crate::view_exchange::fetch_targets;
 
 /// Longest datagram that is read, in bytes.
@@ -27,26 +27,26 @@
 const READ_PAUSE: Duration = Duration::from_millis(20);
 
 /// Sends and takes datagrams.
-pub(crate) struct GossipDuty {
+pub(crate) struct Gossip {
     context: Arc<BoxContext>,
     socket: UdpSocket,
     incarnation: u64,
     fetching: async_channel::Sender<IpAddr>,
     /// News for other data centres so far.
-    news_told: AtomicU64,
-    news_heard: Mutex<DuplicateFilter>,
+    update_count: AtomicU64,
+    received_updates: Mutex<DuplicateFilter>,
 }
 
-impl GossipDuty {
+impl Gossip {
     /// A duty over `socket`; peers with newer targets are named to `fetching`.
     pub(crate) fn new(
         context: Arc<BoxContext>,
         socket: UdpSocket,
         incarnation: u64,
         fetching: async_channel::Sender<IpAddr>,
-    ) -> Arc<GossipDuty> {
-        let (news_told, news_heard) = (AtomicU64::new(0), Mutex::default());
-        Arc::new(GossipDuty { context, socket, incarnation, fetching, news_told, news_heard })
+    ) -> Arc<Gossip> {
+        let (update_count, received_updates) = (AtomicU64::new(0), Mutex::default());
+        Arc::new(Gossip { context, socket, incarnation, fetching, update_count, received_updates })
     }
 
     /// This box's number for this life, by which its peers know it.
@@ -55,7 +55,7 @@
     }
 
     /// Sends what concerns customers' credit to the box at `host`.
-    pub(crate) async fn send_credit(&self, host: IpAddr, news: TokenMessage) {
+    pub(crate) async fn send_tokens(&self, host: IpAddr, news: TokenMessage) {
         self.send(&[host], DatagramBody::Tokens(news)).await;
     }
 
@@ -88,39 +88,39 @@
     async fn take(&self, from: IpAddr, datagram: Datagram) {
         let now = Instant::now();
         let Datagram { box_id, data_centre, incarnation, body, link_mbps } = datagram;
-        let note = PeerNote {
+        let note = PeerInfo {
             host: from,
             box_id: &box_id,
             data_centre: &data_centre,
             incarnation,
             link_mbps,
-            heard: now,
+            last_seen: now,
         };
-        let new = self.context.peers().note_alive(note);
+        let new = self.context.peers().record_alive(note);
         if new {
             log::info!(peer = box_id.as_str(), data_centre = data_centre.as_str(); "peer-found");
-            self.note_boxes();
+            self.update_box_counts();
         }
         match body {
             Some(DatagramBody::Heartbeat(beacon)) => {
                 if beacon.stopping {
-                    self.context.credit.note_ended(quota_asker(&box_id, incarnation));
+                    self.context.quotas.record_box_stopped(quota_requester(&box_id, incarnation));
                 }
-                self.take_beacon(from, &box_id, now, beacon).await;
+                self.on_heartbeat(from, &box_id, now, beacon).await;
             }
             Some(DatagramBody::PassiveSamples(sightings)) => {
-                self.take_told(incarnation, &box_id, sightings).await;
+                self.on_passive_samples(incarnation, &box_id, sightings).await;
             }
             Some(DatagramBody::Tokens(news)) => {
                 let context = &self.context;
-                let peer = quota_asker(&box_id, incarnation);
-                if let Some(answer) = context.credit.take_news(context, peer, &news) {
-                    self.send_credit(from, answer).await;
+                let peer = quota_requester(&box_id, incarnation);
+                if let Some(answer) = context.quotas.handle_message(context, peer, &news) {
+                    self.send_tokens(from, answer).await;
                 }
             }
             Some(DatagramBody::Permits(news)) => {
                 let context = &self.context;
-                if let Some(answer) = context.permits.take_news(context, &box_id, &news) {
+                if let Some(answer) = context.permits.handle_message(context, &box_id, &news) {
                     self.send_permits(from, answer).await;
                 }
             }
--- a/crates/gateway/src/gossip/telling.rs
+++ b/crates/gateway/src/gossip/reports.rs
@@ -15,11 +15,11 @@
     CrashRecord, DatagramBody, OpenAttempt, PassiveSample, PassiveSamples, ServiceCounts, UpdateId,
 };
 
-use super::GossipDuty;
+use super::Gossip;
 use crate::context::{SeenBy, lock, log_replaced, millis, note_suspicion};
 use crate::limit_reports::merge_limit;
 use crate::notices::merge_draining;
-use crate::sightings::Urgency;
+use crate::passive_samples::Urgency;
 
 /// How long successes wait for more before they are told.
 const SOON: Duration = Duration::from_millis(25);
@@ -28,9 +28,9 @@
 /// Requests under which targets ended in one datagram at most: of one or two targets they take 40 bytes each.
 const CRASHES: usize = 8;
 
-impl GossipDuty {
+impl Gossip {
     /// Tells what was seen, until the ring closes.
-    pub(crate) async fn tell(self: Arc<Self>, wishes: Receiver<Urgency>) {
+    pub(crate) async fn run_reports(self: Arc<Self>, wishes: Receiver<Urgency>) {
         while let Ok(mut urgency) = wishes.recv().await {
             let since = Instant::now();
             while urgency == Urgency::Soon {
@@ -41,13 +41,13 @@
                     Err(_) => break,
                 }
             }
-            self.tell_once().await;
+            self.send_reports().await;
         }
     }
 
-    async fn tell_once(&self) {
-        let pending = self.context.sightings.take();
-        let crashes = self.context.crashes.take_untold();
+    async fn send_reports(&self) {
+        let pending = self.context.passive_samples.take();
+        let crashes = self.context.crashes.take_unreported();
         let seen: Vec<PassiveSample> = {
             let now = self.context.now();
             let core = self.context.core();
@@ -62,43 +62,49 @@
         let (full_report_peers, others, relays) = {
             let mut peers = self.context.peers();
             let (full_report_peers, mut others) = peers.full_report_peers();
-            let relays = if by_relays { peers.some_of_each_far(RELAYS) } else { Vec::new() };
+            let relays =
+                if by_relays { peers.random_of_each_remote_centre(RELAYS) } else { Vec::new() };
             if !by_relays {
-                others.extend(peers.far());
+                others.extend(peers.remote());
             }
             (full_report_peers, others, relays)
         };
         let retry_counts = self.unreported_retry_counts();
-        for told in in_parts(&seen, retry_counts, &crashes) {
-            self.send_sightings(&full_report_peers, told).await;
+        for told in into_parts(&seen, retry_counts, &crashes) {
+            self.send_samples(&full_report_peers, told).await;
         }
         let news = pending.iter().filter(|seen| seen.is_news).map(|seen| seen.sighting.clone());
         let news: Vec<PassiveSample> = news.collect();
         // Without what is open, by which a box knows that it is told all.
-        for told in in_parts(&news, Vec::new(), &crashes) {
+        for told in into_parts(&news, Vec::new(), &crashes) {
             if !relays.is_empty() {
-                let number = self.news_told.fetch_add(1, Ordering::Relaxed) + 1;
+                let number = self.update_count.fetch_add(1, Ordering::Relaxed) + 1;
                 let mark = UpdateId { number, relay: true, ..UpdateId::default() };
                 let news = PassiveSamples { update_id: Some(mark), ..told.clone() };
-                self.send_sightings(&relays, news).await;
+                self.send_samples(&relays, news).await;
             }
-            self.send_sightings(&others, told).await;
+            self.send_samples(&others, told).await;
         }
     }
 
     /// Takes what a peer saw, and hands it on if it is news for this data centre.
-    pub(super) async fn take_told(&self, incarnation: u64, box_id: &str, told: PassiveSamples) {
+    pub(super) async fn on_passive_samples(
+        &self,
+        incarnation: u64,
+        box_id: &str,
+        told: PassiveSamples,
+    ) {
         let Some(mark) = &told.update_id else {
-            self.take_sightings(incarnation, box_id, &told);
+            self.merge_samples(incarnation, box_id, &told);
             return;
         };
         let is_own = mark.origin_incarnation == 0;
         let origin = if is_own { incarnation } else { mark.origin_incarnation };
         let origin_id = if is_own { box_id } else { mark.origin_id.as_str() };
-        if origin == self.incarnation || !lock(&self.news_heard).insert(origin, mark.number) {
+        if origin == self.incarnation || !lock(&self.received_updates).insert(origin, mark.number) {
             return;
         }
-        self.take_sightings(origin, origin_id, &told);
+        self.merge_samples(origin, origin_id, &told);
         if !mark.relay {
             return;
         }
@@ -108,8 +114,8 @@
             origin_id: origin_id.to_string(),
             origin_incarnation: origin,
         };
-        let near = self.context.peers().near();
-        self.send_sightings(&near, PassiveSamples { update_id: Some(mark), ..told }).await;
+        let near = self.context.peers().local();
+        self.send_samples(&near, PassiveSamples { update_id: Some(mark), ..told }).await;
     }
 
     fn unreported_retry_counts(&self) -> Vec<ServiceCounts> {
@@ -124,8 +130,8 @@
         untold.map(counts).collect()
     }
 
-    fn take_sightings(&self, peer: u64, box_id: &str, sightings: &PassiveSamples) {
-        self.context.crashes.take(&sightings.crashes, box_id);
+    fn merge_samples(&self, peer: u64, box_id: &str, sightings: &PassiveSamples) {
+        self.context.crashes.merge_records(&sightings.crashes, box_id);
         let leaving = sightings.targets.iter().filter(|seen| seen.draining);
         leaving.for_each(|seen| merge_draining(&self.context, TargetKey(seen.target), box_id));
         let limits = sightings.targets.iter().filter_map(|seen| seen.limit.as_ref());
@@ -159,13 +165,13 @@
         }
     }
 
-    async fn send_sightings(&self, hosts: &[IpAddr], sightings: PassiveSamples) {
+    async fn send_samples(&self, hosts: &[IpAddr], sightings: PassiveSamples) {
         self.send(hosts, DatagramBody::PassiveSamples(sightings)).await;
     }
 }
 
 /// Divides what is told into datagrams.
-fn in_parts(
+fn into_parts(
     targets: &[PassiveSample],
     mut retry_counts: Vec<ServiceCounts>,
     crashes: &[CrashRecord],
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -5,7 +5,7 @@
 //! adapter implements [`ports::EnvironmentPort`] and hands in [`settings::GatewaySettings`].
 //! Duties: connections and requests are tasks of the I/O pool; [`store_duty`] keeps what is
 //! known of targets fresh, alone or by peers, and [`config_duty`] a large configuration;
-//! [`gossip`] tells peers what was seen, and [`credit_desk`] admits requests by customers' quotas. [`change_budget`] has the times of all of these.
+//! [`gossip`] tells peers what was seen, and [`quota_manager`] admits requests by customers' quotas. [`change_budget`] has the times of all of these.
 //! Decisions about targets are in `wingbridge_decide::steer`.
 
 mod answers;
@@ -16,12 +16,10 @@
 mod config_exchange;
 pub mod config_source;
 mod context;
-mod crash_desk;
-mod credit_desk;
+mod crash_tracker;
 pub mod customers;
 mod gate;
 mod gossip;
-mod held_credit;
 mod incarnations;
 mod limit_reports;
 mod listing_history;
@@ -30,19 +28,21 @@
 mod notices;
 pub mod odd_entries;
 mod open_attempt;
+mod passive_samples;
 mod peers;
-mod permit_desk;
+mod permit_manager;
 mod policies;
 pub mod ports;
+mod quota_manager;
 mod request_identity;
 mod request_log;
 mod requests;
+mod reserved_token;
 mod revision_history;
 pub mod routes;
 mod routing;
 pub mod run;
 pub mod settings;
-mod sightings;
 mod stopping;
 mod store_backoff;
 mod store_duty;
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -18,7 +18,7 @@
 use crate::attempt::is_for_other_request;
 use crate::context::{BoxContext, millis};
 use crate::limit_reports::{limit_of, log_limit};
-use crate::permit_desk::SendPermit;
+use crate::permit_manager::SendPermit;
 use crate::ports::HeaderNames;
 
 /// Bytes that a head may have which is read so, at most: those of targets have some 300.
@@ -27,7 +27,7 @@
 const LEAVES: &str = "1";
 
 /// One attempt's view of what its target has said.
-pub(crate) struct NoticeLink<'a> {
+pub(crate) struct AttemptNotices<'a> {
     context: &'a BoxContext,
     key: TargetKey,
     target: &'a str,
@@ -49,7 +49,7 @@
 pub(crate) struct UnreadHead<'a> {
     pub(crate) stream: TcpStream,
     pub(crate) method: &'a str,
-    pub(crate) link: &'a NoticeLink<'a>,
+    pub(crate) link: &'a AttemptNotices<'a>,
 }
 
 impl Drop for UnreadHead<'_> {
@@ -63,26 +63,26 @@
             return;
         };
         if let Ok(Some((start, _))) = RawResponseHead::parse(&bytes[..count], self.method) {
-            self.link.take(&start);
+            self.link.apply_head(&start);
         }
     }
 }
 
-impl<'a> NoticeLink<'a> {
+impl<'a> AttemptNotices<'a> {
     /// A link for an attempt of that `request` at the target `pick`.
     pub(crate) fn new(
         context: &'a BoxContext,
         pick: &'a SteerPick,
         request: Option<&'a str>,
         permit: Option<SendPermit>,
-    ) -> NoticeLink<'a> {
+    ) -> AttemptNotices<'a> {
         let heard = AtomicBool::new(false);
         let asked = context.now();
-        NoticeLink { context, key: pick.key, target: &pick.id, request, asked, permit, heard }
+        AttemptNotices { context, key: pick.key, target: &pick.id, request, asked, permit, heard }
     }
 
     /// Takes what the head of an answer says of the target.
-    pub(crate) fn take(&self, start: &RawResponseHead) {
+    pub(crate) fn apply_head(&self, start: &RawResponseHead) {
         self.heard.store(true, Ordering::Release);
         let names = &self.context.headers;
         if !is_own_word(start, names, self.request) {
@@ -98,7 +98,7 @@
         if let Some(limit) = limit {
             log_limit(self.target, limit, "own");
             if let Some(told) = limit_of(self.context, self.key) {
-                self.context.sightings.note_limit(self.key, told);
+                self.context.passive_samples.record_limit(self.key, told);
             }
         }
     }
@@ -119,7 +119,7 @@
                 None => return true,
                 // One for a higher limit was for more than the target takes now.
                 Some(limit) if self.permit.is_some_and(|permit| permit.under <= limit) => {
-                    self.note_limited_send(limit);
+                    self.log_limited_send(limit);
                     return true;
                 }
                 Some(_) => ("limit", Duration::ZERO),
@@ -132,7 +132,7 @@
     }
 
     /// Leaves a line of each send to a target with a limit: over all boxes they show whether it was kept.
-    fn note_limited_send(&self, limit: RequestRate) {
+    fn log_limited_send(&self, limit: RequestRate) {
         let by = self.permit.map_or("", |permit| permit.source.as_str());
         let (target, request) = (self.target, self.request_id());
         log::info!(target, request, per_second:% = limit, by; "limited-send");
@@ -148,7 +148,7 @@
         let (target, request) = (self.target, self.request_id());
         if change.draining {
             log::info!(target, request, status, by = "own"; "target-leaves");
-            self.context.sightings.note_leaving(self.key);
+            self.context.passive_samples.record_draining(self.key);
         }
         if let Some(rest) = change.backoff {
             log::info!(target, request, status, rest_ms = millis(rest); "target-rests");
--- a/crates/gateway/src/open_attempt.rs
+++ b/crates/gateway/src/open_attempt.rs
@@ -11,9 +11,9 @@
 
 use crate::attempt::{AttemptEnd, AttemptPlan, OutgoingRequest, attempt};
 use crate::context::{BoxContext, SeenBy, note_suspicion};
-use crate::notices::NoticeLink;
-use crate::permit_desk::SendPermit;
-use crate::sightings::SeenOutcome;
+use crate::notices::AttemptNotices;
+use crate::passive_samples::ObservedOutcome;
+use crate::permit_manager::SendPermit;
 
 /// Tells the core that an attempt is over, also when its future is dropped.
 pub(crate) struct OpenAttempt {
@@ -63,7 +63,7 @@
         } else {
             context.core().begin_untimed(now, pick.key, &route)
         };
-        context.sightings.note_open(pick.key);
+        context.passive_samples.record_open_attempts(pick.key);
         let started = Instant::now();
         OpenAttempt {
             context,
@@ -105,14 +105,14 @@
         drop(core);
         note_suspicion(news.change, SeenBy::Own);
         let suspect = self.pick.risk >= MIN_SUSPECT_RISK;
-        let seen = SeenOutcome {
+        let seen = ObservedOutcome {
             outcome,
             load,
             suspect,
             stalled: news.stalled,
             latency_ratio: news.latency_ratio,
         };
-        self.context.sightings.note(key, &seen);
+        self.context.passive_samples.record_outcome(key, &seen);
     }
 
     async fn await_end(&self, request: &OutgoingRequest, until: Instant) -> Option<AttemptEnd> {
@@ -124,7 +124,7 @@
             customer: self.customer.as_deref(),
             until,
             names: &context.headers,
-            notices: NoticeLink::new(
+            notices: AttemptNotices::new(
                 context,
                 &self.pick,
                 request.request_id.as_deref(),
@@ -148,7 +148,7 @@
         let news = context.core().record_overdue(context.now(), &self.handle);
         note_suspicion(news.change, SeenBy::Own);
         if news.stalled {
-            context.sightings.note_stall(self.pick.key);
+            context.passive_samples.record_stall(self.pick.key);
         }
     }
 }
@@ -157,7 +157,7 @@
     fn drop(&mut self) {
         if !self.ended {
             // Its caller hung up, or another attempt answered: its target may end under it unseen.
-            self.context.crashes.note_unseen(self.fingerprint, self.pick.key);
+            self.context.crashes.record_unknown_outcome(self.fingerprint, self.pick.key);
             self.end(SteerOutcome::Cancelled, None, 0);
         }
     }
--- a/crates/gateway/src/sightings.rs
+++ b/crates/gateway/src/passive_samples.rs
@@ -22,7 +22,7 @@
 
 /// How an attempt ended, as far as peers should know.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct SeenOutcome {
+pub(crate) struct ObservedOutcome {
     pub(crate) outcome: SteerOutcome,
     /// What the target told of its load.
     pub(crate) load: Option<LoadReport>,
@@ -36,7 +36,7 @@
 
 /// What was seen of a target, and whether other data centres need to know.
 #[derive(Debug, Clone)]
-pub(crate) struct PendingSighting {
+pub(crate) struct PendingSample {
     pub(crate) sighting: PassiveSample,
     /// It failed, has left or leaves, has another limit, or was a suspect and did not fail: the rest is not worth its
     /// price across.
@@ -45,22 +45,22 @@
 
 /// Collects what was seen and wakes the task that tells it.
 #[derive(Debug)]
-pub(crate) struct SightingBuffer {
-    pending: Mutex<HashMap<TargetKey, PendingSighting>>,
+pub(crate) struct SampleBuffer {
+    pending: Mutex<HashMap<TargetKey, PendingSample>>,
     wake: Sender<Urgency>,
 }
 
-impl SightingBuffer {
+impl SampleBuffer {
     /// A buffer, and where it asks to be emptied.
-    pub(crate) fn new() -> (SightingBuffer, Receiver<Urgency>) {
+    pub(crate) fn new() -> (SampleBuffer, Receiver<Urgency>) {
         /// Wishes that wait; one more is covered by those before it.
         const WISHES: usize = 4;
         let (wake, wishes) = async_channel::bounded(WISHES);
-        (SightingBuffer { pending: Mutex::default(), wake }, wishes)
+        (SampleBuffer { pending: Mutex::default(), wake }, wishes)
     }
 
     /// Notes how an attempt ended.
-    pub(crate) fn note(&self, key: TargetKey, ended: &SeenOutcome) {
+    pub(crate) fn record_outcome(&self, key: TargetKey, ended: &ObservedOutcome) {
         let mut seen = PassiveSample { target: key.0, ..PassiveSample::default() };
         seen.held_plus_one = ended.load.map_or(0, |load| load.held + 1);
         match ended.outcome {
@@ -77,7 +77,7 @@
     }
 
     /// Notes that a target has said that it leaves.
-    pub(crate) fn note_leaving(&self, key: TargetKey) {
+    pub(crate) fn record_draining(&self, key: TargetKey) {
         self.add(
             key,
             &PassiveSample { target: key.0, draining: true, ..PassiveSample::default() },
@@ -86,13 +86,13 @@
     }
 
     /// Notes that a target has named a limit, another one than before, or none any more.
-    pub(crate) fn note_limit(&self, key: TargetKey, limit: TargetLimit) {
+    pub(crate) fn record_limit(&self, key: TargetKey, limit: TargetLimit) {
         let seen = PassiveSample { target: key.0, limit: Some(limit), ..PassiveSample::default() };
         self.add(key, &seen, false);
     }
 
     /// Notes that an attempt that is still open counts as a stall.
-    pub(crate) fn note_stall(&self, key: TargetKey) {
+    pub(crate) fn record_stall(&self, key: TargetKey) {
         self.add(
             key,
             &PassiveSample { target: key.0, overdue: 1, ..PassiveSample::default() },
@@ -101,7 +101,7 @@
     }
 
     /// Notes that the number of open attempts changed.
-    pub(crate) fn note_open(&self, key: TargetKey) {
+    pub(crate) fn record_open_attempts(&self, key: TargetKey) {
         self.add(key, &PassiveSample::default(), false);
     }
 
@@ -110,7 +110,7 @@
         let is_news = failed || seen.limit.is_some() || (suspect && seen.good > 0);
         let mut pending = lock(&self.pending);
         let known = pending.entry(key);
-        let known = known.or_insert_with(|| PendingSighting {
+        let known = known.or_insert_with(|| PendingSample {
             sighting: PassiveSample { target: key.0, ..PassiveSample::default() },
             is_news: false,
         });
@@ -122,7 +122,7 @@
     }
 
     /// Takes all that was noted.
-    pub(crate) fn take(&self) -> Vec<PendingSighting> {
+    pub(crate) fn take(&self) -> Vec<PendingSample> {
         lock(&self.pending).drain().map(|(_, seen)| seen).collect()
     }
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -37,31 +37,31 @@
     pub(crate) incarnation: u64,
     /// What its link carries, in megabits a second; 0 if unknown.
     pub(crate) link_mbps: u32,
-    heard: Instant,
+    last_seen: Instant,
 }
 
 /// What a box says of itself, or another one of it.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct PeerNote<'a> {
+pub(crate) struct PeerInfo<'a> {
     pub(crate) host: IpAddr,
     pub(crate) box_id: &'a str,
     pub(crate) data_centre: &'a str,
     pub(crate) incarnation: u64,
     pub(crate) link_mbps: u32,
-    pub(crate) heard: Instant,
+    pub(crate) last_seen: Instant,
 }
 
 /// Who keeps a customer's credit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Keepers {
-    pub(crate) first: KeeperSeat,
+pub(crate) struct Coordinators {
+    pub(crate) primary: CoordinatorSeat,
     /// Steps in where the first can't be reached; `None` if this box knows no other.
-    pub(crate) deputy: Option<KeeperSeat>,
+    pub(crate) standby: Option<CoordinatorSeat>,
 }
 
 /// A box that keeps credit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum KeeperSeat {
+pub(crate) enum CoordinatorSeat {
     /// This one.
     Own,
     /// The one at this address.
@@ -95,8 +95,8 @@
     }
 
     /// Notes a sign of life; returns whether the box was unknown.
-    pub(crate) fn note_alive(&mut self, note: PeerNote<'_>) -> bool {
-        let PeerNote { host, box_id, data_centre, incarnation, link_mbps, heard } = note;
+    pub(crate) fn record_alive(&mut self, note: PeerInfo<'_>) -> bool {
+        let PeerInfo { host, box_id, data_centre, incarnation, link_mbps, last_seen } = note;
         if host == self.own_host {
             return false;
         }
@@ -104,7 +104,7 @@
         if let Some(peer) = self.peers.get_mut(&host)
             && peer.incarnation == incarnation
         {
-            peer.heard = peer.heard.max(heard);
+            peer.last_seen = peer.last_seen.max(last_seen);
             peer.link_mbps = link_mbps;
             return false;
         }
@@ -114,44 +114,44 @@
             box_id: box_id.to_string(),
             incarnation,
             link_mbps,
-            heard,
+            last_seen,
         };
         let known = self.peers.get(&host);
-        if known.is_some_and(|peer| peer.heard > heard) {
+        if known.is_some_and(|peer| peer.last_seen > last_seen) {
             return false;
         }
         self.peers.insert(host, entry).is_none()
     }
 
     /// Takes what a peer told of another box; returns its host if it was unknown.
-    pub(crate) fn note_told(&mut self, now: Instant, told: &PeerRecord) -> Option<IpAddr> {
+    pub(crate) fn merge_record(&mut self, now: Instant, told: &PeerRecord) -> Option<IpAddr> {
         let host = told.host.parse::<IpAddr>().ok()?;
         let age = Duration::from_millis(u64::from(told.age_ms));
         if age >= silence(&self.own_centre, &told.data_centre) {
             return None;
         }
-        let heard = now.checked_sub(age)?;
-        let new = self.note_alive(PeerNote {
+        let last_seen = now.checked_sub(age)?;
+        let new = self.record_alive(PeerInfo {
             host,
             box_id: &told.box_id,
             data_centre: &told.data_centre,
             incarnation: told.incarnation,
             link_mbps: told.link_mbps,
-            heard,
+            last_seen,
         });
         new.then_some(host)
     }
 
     /// A box said that it ends.
-    pub(crate) fn note_leaving(&mut self, host: IpAddr) {
+    pub(crate) fn record_stopping(&mut self, host: IpAddr) {
         self.peers.remove(&host);
     }
 
     /// Forgets boxes that were silent for too long; returns their names.
-    pub(crate) fn drop_silent(&mut self, now: Instant) -> Vec<String> {
+    pub(crate) fn remove_unresponsive(&mut self, now: Instant) -> Vec<String> {
         let own = self.own_centre.as_str();
         let is_silent = |peer: &PeerEntry| {
-            now.saturating_duration_since(peer.heard) >= silence(own, &peer.data_centre)
+            now.saturating_duration_since(peer.last_seen) >= silence(own, &peer.data_centre)
         };
         let gone = self.peers.extract_if(|_, peer| is_silent(peer)).map(|(_, peer)| peer);
         let gone: Vec<PeerEntry> = gone.collect();
@@ -162,13 +162,13 @@
     }
 
     /// Boxes of the own data centre.
-    pub(crate) fn near(&self) -> Vec<IpAddr> {
-        self.near_peers().map(|peer| peer.host).collect()
+    pub(crate) fn local(&self) -> Vec<IpAddr> {
+        self.local_peers().map(|peer| peer.host).collect()
     }
 
     /// Boxes of the own data centre that are told all that this one sees, and the others.
     pub(crate) fn full_report_peers(&self) -> (Vec<IpAddr>, Vec<IpAddr>) {
-        let near: Vec<&PeerEntry> = self.near_peers().collect();
+        let near: Vec<&PeerEntry> = self.local_peers().collect();
         let told = peer_subset(&self.own_id, &near, |peer| peer.box_id.as_str());
         let told: Vec<IpAddr> = told.iter().map(|peer| peer.host).collect();
         let others = near.iter().map(|peer| peer.host).filter(|host| !told.contains(host));
@@ -177,13 +177,13 @@
     }
 
     /// Boxes of other data centres.
-    pub(crate) fn far(&self) -> Vec<IpAddr> {
+    pub(crate) fn remote(&self) -> Vec<IpAddr> {
         let far = self.peers.values().filter(|peer| peer.data_centre != self.own_centre);
         far.map(|peer| peer.host).collect()
     }
 
     /// Some boxes of each other data centre, by chance, `most` of each at most.
-    pub(crate) fn some_of_each_far(&mut self, most: usize) -> Vec<IpAddr> {
+    pub(crate) fn random_of_each_remote_centre(&mut self, most: usize) -> Vec<IpAddr> {
         let mut centres: HashMap<&str, Vec<IpAddr>> = HashMap::new();
         for peer in self.peers.values().filter(|peer| peer.data_centre != self.own_centre) {
             centres.entry(&peer.data_centre).or_default().push(peer.host);
@@ -196,7 +196,7 @@
     }
 
     /// A box of another data centre, by chance.
-    pub(crate) fn some_far(&mut self) -> Option<IpAddr> {
+    pub(crate) fn random_remote(&mut self) -> Option<IpAddr> {
         let own = &self.own_centre;
         let far = self.peers.values().filter(|peer| peer.data_centre != *own);
         far.map(|peer| peer.host).choose(&mut self.random)
@@ -210,46 +210,51 @@
     /// This box's place among those of its data centre that read the store: 0 reads
     /// for the others, the next one steps in when it hears nothing, and so on. Boxes whose
     /// links carry twice as much go first: at 10 Mbit/s a megabyte takes 1.1 s, at 200 0.05.
-    pub(crate) fn reading_rank(&self) -> usize {
+    pub(crate) fn read_priority(&self) -> usize {
         let weight = |link_mbps: u32, box_id: &str| {
             (link_mbps.checked_ilog2(), rendezvous_weight(&self.own_centre, box_id))
         };
         let own = weight(self.own_link_mbps, &self.own_id);
-        self.near_peers().filter(|peer| weight(peer.link_mbps, &peer.box_id) > own).count()
+        self.local_peers().filter(|peer| weight(peer.link_mbps, &peer.box_id) > own).count()
     }
 
     /// Whether all boxes of the own data centre are heard that this one knows of and that did not
     /// say that they end: it is not cut off from a part of them.
-    pub(crate) fn hears_all(&self, now: Instant) -> bool {
-        let heard = |peer: &PeerEntry| now.saturating_duration_since(peer.heard) < NEAR_DOUBT;
-        self.lost.is_empty() && self.near_peers().all(heard)
+    pub(crate) fn reaches_all(&self, now: Instant) -> bool {
+        let is_reached =
+            |peer: &PeerEntry| now.saturating_duration_since(peer.last_seen) < NEAR_DOUBT;
+        self.lost.is_empty() && self.local_peers().all(is_reached)
     }
 
     /// The boxes that keep the credit of `customer`: the first by rank, and its deputy. Boxes
     /// whose links carry twice as much go first: there a keeper's answers cost a fifth of the
     /// processor's share that they cost on the small ones.
-    pub(crate) fn keepers(&self, customer: &str) -> Keepers {
+    pub(crate) fn coordinators(&self, customer: &str) -> Coordinators {
         let subject = stable_hash(customer);
         let weight = |link_mbps: u32, box_id: &str| {
             (link_mbps.checked_ilog2(), rendezvous_weight_for_hash(subject, box_id))
         };
-        let own = (weight(self.own_link_mbps, &self.own_id), KeeperSeat::Own);
+        let own = (weight(self.own_link_mbps, &self.own_id), CoordinatorSeat::Own);
         let mut first = own;
-        let mut deputy: Option<(_, KeeperSeat)> = None;
+        let mut deputy: Option<(_, CoordinatorSeat)> = None;
         for peer in self.peers.values() {
-            let place = (weight(peer.link_mbps, &peer.box_id), KeeperSeat::Peer(peer.host));
+            let place = (weight(peer.link_mbps, &peer.box_id), CoordinatorSeat::Peer(peer.host));
             if place.0 > first.0 {
                 deputy = Some(std::mem::replace(&mut first, place));
             } else if deputy.as_ref().is_none_or(|deputy| place.0 > deputy.0) {
                 deputy = Some(place);
             }
         }
-        Keepers { first: first.1, deputy: deputy.map(|deputy| deputy.1) }
+        Coordinators { primary: first.1, standby: deputy.map(|deputy| deputy.1) }
     }
 
     /// The box that keeps the permits of a target in `data_centre`: one there, which most requests for it come
     /// by, and of any other only where this box knows none there. Links count as for customers' credit.
-    pub(crate) fn permit_keeper(&self, data_centre: &str, target: TargetKey) -> KeeperSeat {
+    pub(crate) fn permit_coordinator(
+        &self,
+        data_centre: &str,
+        target: TargetKey,
+    ) -> CoordinatorSeat {
         let weight = |centre: &str, link_mbps: u32, box_id: &str| {
             let weight = rendezvous_weight_for_hash(target.0, box_id);
             (centre == data_centre, link_mbps.checked_ilog2(), weight)
@@ -257,47 +262,47 @@
         let own = weight(&self.own_centre, self.own_link_mbps, &self.own_id);
         let peers = self.peers.values().map(|peer| {
             let weight = weight(&peer.data_centre, peer.link_mbps, &peer.box_id);
-            (weight, KeeperSeat::Peer(peer.host))
+            (weight, CoordinatorSeat::Peer(peer.host))
         });
         let first = peers.max_by_key(|(weight, _)| *weight).filter(|(weight, _)| *weight > own);
-        first.map_or(KeeperSeat::Own, |(_, seat)| seat)
+        first.map_or(CoordinatorSeat::Own, |(_, seat)| seat)
     }
 
     /// The part of the boxes of the own data centre that this one hears, of those that did not say that they
     /// end.
-    pub(crate) fn heard_part(&self) -> f64 {
-        let heard = self.near_peers().count() + 1;
-        heard as f64 / (heard + self.lost.len()) as f64
+    pub(crate) fn reachable_share(&self) -> f64 {
+        let last_seen = self.local_peers().count() + 1;
+        last_seen as f64 / (last_seen + self.lost.len()) as f64
     }
 
     /// Some boxes of the own data centre, by chance, `most` at most.
-    pub(crate) fn some_near(&mut self, most: usize) -> Vec<IpAddr> {
+    pub(crate) fn random_local(&mut self, most: usize) -> Vec<IpAddr> {
         let own = &self.own_centre;
         let near = self.peers.values().filter(|peer| peer.data_centre == *own);
         near.map(|peer| peer.host).choose_multiple(&mut self.random, most)
     }
 
     /// Whether the box at `host` is one of the own data centre.
-    pub(crate) fn is_near(&self, host: IpAddr) -> bool {
+    pub(crate) fn is_local(&self, host: IpAddr) -> bool {
         self.peers.get(&host).is_some_and(|peer| peer.data_centre == self.own_centre)
     }
 
     /// Some known boxes for a message, `most` at most.
-    pub(crate) fn listed(&mut self, now: Instant, most: usize) -> Vec<PeerRecord> {
+    pub(crate) fn sample_records(&mut self, now: Instant, most: usize) -> Vec<PeerRecord> {
         let record = |peer: &PeerEntry| PeerRecord {
             host: peer.host.to_string(),
             data_centre: peer.data_centre.clone(),
             box_id: peer.box_id.clone(),
             incarnation: peer.incarnation,
             link_mbps: peer.link_mbps,
-            age_ms: u32::try_from(millis(now.saturating_duration_since(peer.heard)))
+            age_ms: u32::try_from(millis(now.saturating_duration_since(peer.last_seen)))
                 .unwrap_or(u32::MAX),
         };
         let chosen = self.peers.values().choose_multiple(&mut self.random, most);
         chosen.into_iter().map(record).collect()
     }
 
-    fn near_peers(&self) -> impl Iterator<Item = &PeerEntry> {
+    fn local_peers(&self) -> impl Iterator<Item = &PeerEntry> {
         self.peers.values().filter(|peer| peer.data_centre == self.own_centre)
     }
 }
--- a/crates/gateway/src/permit_desk.rs
+++ b/crates/gateway/src/permit_manager.rs
@@ -14,9 +14,9 @@
 use wingbridge_wire::limits::{PermitMessage, PermitReply, PermitRequest};
 
 use crate::context::{BoxContext, lock, millis};
-use crate::gossip::GossipDuty;
+use crate::gossip::Gossip;
 use crate::limit_reports::{limit_of, merge_limit};
-use crate::peers::KeeperSeat;
+use crate::peers::CoordinatorSeat;
 
 /// An ask without an answer is given up after this long: a round trip takes some milliseconds, and
 /// boxes with a tenth of a core answer some tens of milliseconds late when they are busy.
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PermitSource {
     /// The box that keeps the target's permits.
-    Keeper,
+    Coordinator,
     /// This box alone, while no keeper answers it.
     OwnShare,
 }
@@ -59,7 +59,7 @@
 /// It waits once in vain at most: where several boxes have ended it would go from one silent keeper to the next,
 /// and be refused long after it came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub(crate) enum KeeperWait {
+pub(crate) enum CoordinatorWait {
     /// It has not met a silent one.
     #[default]
     Allowed,
@@ -69,7 +69,7 @@
 
 /// Gets permits for this box, and keeps those of others.
 #[derive(Debug)]
-pub(crate) struct PermitDesk {
+pub(crate) struct PermitManager {
     state: Mutex<DeskState>,
     outgoing: Sender<(IpAddr, PermitMessage)>,
 }
@@ -79,7 +79,7 @@
     keeper: PermitCoordinator,
     asks: u64,
     /// Requests that wait for the answer to an ask.
-    waiting: HashMap<u64, Sender<PeerWord>>,
+    waiting: HashMap<u64, Sender<PeerReply>>,
     /// What this box sends by itself, where no keeper answers it.
     shares: HashMap<TargetKey, FallbackShare>,
     /// Boxes that did not answer, and until when they are not asked.
@@ -88,31 +88,31 @@
 
 /// What a box that was asked says.
 #[derive(Debug, Clone, Copy)]
-enum PeerWord {
+enum PeerReply {
     Answer(PermitAnswer),
     /// It is not the keeper; this one is, if it knows one.
     Passed(Option<IpAddr>),
 }
 
-impl PermitDesk {
+impl PermitManager {
     /// A desk, and what it wants sent.
-    pub(crate) fn new() -> (PermitDesk, Receiver<(IpAddr, PermitMessage)>) {
+    pub(crate) fn new() -> (PermitManager, Receiver<(IpAddr, PermitMessage)>) {
         let (outgoing, wishes) = async_channel::bounded(OUTGOING);
-        (PermitDesk { state: Mutex::default(), outgoing }, wishes)
+        (PermitManager { state: Mutex::default(), outgoing }, wishes)
     }
 
     /// Asks for a permit to send a request to `pick`, which has the limit `rate`. Waits for the answer of its
     /// keeper, and never for room there.
-    pub(crate) async fn ask(
+    pub(crate) async fn acquire(
         &self,
         context: &BoxContext,
         pick: &SteerPick,
         rate: RequestRate,
-        wait: &mut KeeperWait,
+        wait: &mut CoordinatorWait,
     ) -> Result<SendPermit, NoPermit> {
         let kept = match self.seat(context, pick) {
-            Some(KeeperSeat::Own) => Some(self.keep(context, pick.key, rate)),
-            Some(KeeperSeat::Peer(host)) if *wait == KeeperWait::Allowed => {
+            Some(CoordinatorSeat::Own) => Some(self.keep(context, pick.key, rate)),
+            Some(CoordinatorSeat::Peer(host)) if *wait == CoordinatorWait::Allowed => {
                 self.ask_peers(context, host, pick.key, wait).await
             }
             _ => None,
@@ -120,7 +120,7 @@
         let (answer, source) = match kept {
             Some(answer) => {
                 lock(&self.state).shares.remove(&pick.key);
-                (answer, PermitSource::Keeper)
+                (answer, PermitSource::Coordinator)
             }
             None => (self.take_alone(context, pick.key, rate), PermitSource::OwnShare),
         };
@@ -141,14 +141,14 @@
     }
 
     /// Sends what it wants sent, until the ring closes.
-    pub(crate) async fn run(gossip: Arc<GossipDuty>, wishes: Receiver<(IpAddr, PermitMessage)>) {
+    pub(crate) async fn run(gossip: Arc<Gossip>, wishes: Receiver<(IpAddr, PermitMessage)>) {
         while let Ok((host, news)) = wishes.recv().await {
             gossip.send_permits(host, news).await;
         }
     }
 
     /// Takes what a peer asks and answers; returns the answers to it.
-    pub(crate) fn take_news(
+    pub(crate) fn handle_message(
         &self,
         context: &BoxContext,
         peer: &str,
@@ -169,8 +169,8 @@
     }
 
     /// Who keeps the permits of a target; `None` while this box is not to know.
-    fn seat(&self, context: &BoxContext, pick: &SteerPick) -> Option<KeeperSeat> {
-        is_settled(context).then(|| context.peers().permit_keeper(&pick.data_centre, pick.key))
+    fn seat(&self, context: &BoxContext, pick: &SteerPick) -> Option<CoordinatorSeat> {
+        is_settled(context).then(|| context.peers().permit_coordinator(&pick.data_centre, pick.key))
     }
 
     /// The keeper's answer; `None` if there is none in time, or nobody is the keeper by its own view.
@@ -179,13 +179,13 @@
         context: &BoxContext,
         first: IpAddr,
         key: TargetKey,
-        wait: &mut KeeperWait,
+        wait: &mut CoordinatorWait,
     ) -> Option<PermitAnswer> {
         let mut host = first;
         for _ in 0..ASKED_BOXES {
             match self.query_peer(context, host, key, wait).await? {
-                PeerWord::Answer(answer) => return Some(answer),
-                PeerWord::Passed(next) => host = next?,
+                PeerReply::Answer(answer) => return Some(answer),
+                PeerReply::Passed(next) => host = next?,
             }
         }
         None
@@ -197,8 +197,8 @@
         context: &BoxContext,
         host: IpAddr,
         key: TargetKey,
-        wait: &mut KeeperWait,
-    ) -> Option<PeerWord> {
+        wait: &mut CoordinatorWait,
+    ) -> Option<PeerReply> {
         let limit = limit_of(context, key);
         let cold = context.core().cold_rate(context.now(), key);
         let (answered, answer) = async_channel::bounded(1);
@@ -223,7 +223,7 @@
             Some(_) => drop(state.silent.remove(&host)),
             None => {
                 state.note_silent(host);
-                *wait = KeeperWait::Spent;
+                *wait = CoordinatorWait::Spent;
             }
         }
         word
@@ -253,8 +253,8 @@
         let Some(data_centre) = data_centre else {
             return passed(String::new());
         };
-        let seat = context.peers().permit_keeper(&data_centre, key);
-        if let KeeperSeat::Peer(host) = seat {
+        let seat = context.peers().permit_coordinator(&data_centre, key);
+        if let CoordinatorSeat::Peer(host) = seat {
             // With two keepers for a moment, twice the limit would be given out.
             return passed(host.to_string());
         }
@@ -274,7 +274,7 @@
 
     /// The answer to an ask for a target whose permits this box keeps.
     fn keep(&self, context: &BoxContext, key: TargetKey, rate: RequestRate) -> PermitAnswer {
-        let part = context.peers().heard_part();
+        let part = context.peers().reachable_share();
         lock(&self.state).keeper.answer(context.now(), key, rate, part)
     }
 
@@ -296,7 +296,7 @@
 
 impl DeskState {
     /// Notes a request that waits; returns the number of its ask.
-    fn note_waiting(&mut self, answered: Sender<PeerWord>) -> u64 {
+    fn note_waiting(&mut self, answered: Sender<PeerReply>) -> u64 {
         if self.waiting.len() >= REMEMBERED {
             // Their callers have left.
             self.waiting.retain(|_, waiting| !waiting.is_closed());
@@ -319,19 +319,19 @@
     /// Its name in logs.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
-            PermitSource::Keeper => "keeper",
+            PermitSource::Coordinator => "keeper",
             PermitSource::OwnShare => "own share",
         }
     }
 }
 
-fn decode_reply(reply: &PermitReply) -> PeerWord {
+fn decode_reply(reply: &PermitReply) -> PeerReply {
     if reply.redirected {
         // A text that is no address names nobody.
-        return PeerWord::Passed(reply.coordinator.parse().ok());
+        return PeerReply::Passed(reply.coordinator.parse().ok());
     }
     let wait = Duration::from_millis(reply.wait_ms.into());
-    PeerWord::Answer(match reply.granted {
+    PeerReply::Answer(match reply.granted {
         true => PermitAnswer::Granted,
         false => PermitAnswer::Denied(wait),
     })
--- a/crates/gateway/src/credit_desk.rs
+++ b/crates/gateway/src/quota_manager.rs
@@ -19,8 +19,8 @@
 
 use crate::context::{BoxContext, lock, millis};
 use crate::customers::Customer;
-use crate::gossip::GossipDuty;
-use crate::peers::KeeperSeat;
+use crate::gossip::Gossip;
+use crate::peers::CoordinatorSeat;
 
 /// A request waits for credit this long at most: both keepers can be asked within it.
 const CREDIT_WAIT: Duration = Duration::from_millis(250);
@@ -44,7 +44,7 @@
 
 /// Admits requests by their customers' quotas.
 #[derive(Debug)]
-pub(crate) struct CreditDesk {
+pub(crate) struct QuotaManager {
     state: Mutex<DeskState>,
     wake: Sender<()>,
 }
@@ -64,16 +64,16 @@
     waiting: HashMap<Name, Vec<Sender<()>>>,
 }
 
-impl CreditDesk {
+impl QuotaManager {
     /// A desk, and where it asks to have its asks sent.
-    pub(crate) fn new(slack: QuotaSlack) -> (CreditDesk, Receiver<()>) {
+    pub(crate) fn new(slack: QuotaSlack) -> (QuotaManager, Receiver<()>) {
         let (wake, notices) = async_channel::bounded(1);
         let state = DeskState {
             book: TokenAccounts::default(),
             keeper: QuotaCoordinator::new(TimePoint::default(), slack),
             waiting: HashMap::new(),
         };
-        (CreditDesk { state: Mutex::new(state), wake }, notices)
+        (QuotaManager { state: Mutex::new(state), wake }, notices)
     }
 
     /// Admits a request of `customer`, which waits for credit until `until` at most.
@@ -134,7 +134,7 @@
     }
 
     /// An admitted request ran nowhere.
-    pub(crate) fn give_back(&self, context: &BoxContext, customer: &Customer) {
+    pub(crate) fn refund(&self, context: &BoxContext, customer: &Customer) {
         if customer.quota.is_some() {
             lock(&self.state).book.refund(context.now(), &customer.name);
         }
@@ -150,17 +150,13 @@
     }
 
     /// Sends asks as they are due, until the ring of notices closes.
-    pub(crate) async fn run(
-        context: Arc<BoxContext>,
-        gossip: Arc<GossipDuty>,
-        notices: Receiver<()>,
-    ) {
+    pub(crate) async fn run(context: Arc<BoxContext>, gossip: Arc<Gossip>, notices: Receiver<()>) {
         loop {
-            let desk = &context.credit;
+            let desk = &context.quotas;
             let due = desk.due_asks(&context);
-            let own = quota_asker(&context.settings.box_id, gossip.incarnation());
+            let own = quota_requester(&context.settings.box_id, gossip.incarnation());
             for (host, news) in desk.sort_asks(&context, own, due) {
-                gossip.send_credit(host, news).await;
+                gossip.send_tokens(host, news).await;
             }
             let next = lock(&desk.state).book.next_due(context.now());
             let wait = next.map_or(IDLE_WAIT, |next| next.since(context.now()));
@@ -171,7 +167,7 @@
     }
 
     /// Takes what the box at `host` asks and grants; returns the answers to it.
-    pub(crate) fn take_news(
+    pub(crate) fn handle_message(
         &self,
         context: &BoxContext,
         peer: QuotaRequester,
@@ -191,7 +187,7 @@
     }
 
     /// A peer ends as planned.
-    pub(crate) fn note_ended(&self, peer: QuotaRequester) {
+    pub(crate) fn record_box_stopped(&self, peer: QuotaRequester) {
         lock(&self.state).keeper.record_box_stopped(peer);
     }
 
@@ -214,13 +210,13 @@
     ) -> HashMap<IpAddr, TokenMessage> {
         let mut sorted: HashMap<IpAddr, TokenMessage> = HashMap::new();
         for DueRequest { customer, rank, request } in due {
-            let keepers = context.peers().keepers(&customer);
-            let seat = if rank == 0 { Some(keepers.first) } else { keepers.deputy };
+            let coordinators = context.peers().coordinators(&customer);
+            let seat = if rank == 0 { Some(coordinators.primary) } else { coordinators.standby };
             match seat {
-                Some(KeeperSeat::Peer(host)) => {
+                Some(CoordinatorSeat::Peer(host)) => {
                     sorted.entry(host).or_default().requests.push(encode_ask(&customer, &request));
                 }
-                Some(KeeperSeat::Own) => {
+                Some(CoordinatorSeat::Own) => {
                     if let Some(grant) = self.answer(context, own, &customer, &request) {
                         self.take_grant(context, &customer, &grant);
                     }
@@ -241,15 +237,15 @@
         ask: &QuotaRequest,
     ) -> Option<QuotaGrant> {
         let limit = context.config()?.quota_of(customer)?;
-        let (first, hears_all) = {
+        let (first, reaches_all) = {
             let peers = context.peers();
-            (peers.keepers(customer).first, peers.hears_all(Instant::now()))
+            (peers.coordinators(customer).primary, peers.reaches_all(Instant::now()))
         };
         let role = match first {
-            KeeperSeat::Own => CoordinatorRole::Primary,
-            KeeperSeat::Peer(_) => CoordinatorRole::Standby,
+            CoordinatorSeat::Own => CoordinatorRole::Primary,
+            CoordinatorSeat::Peer(_) => CoordinatorRole::Standby,
         };
-        let status = CoordinatorStatus { role, reaches_all: hears_all };
+        let status = CoordinatorStatus { role, reaches_all };
         let now = context.now();
         Some(lock(&self.state).keeper.answer(now, asker, customer, limit, ask, status))
     }
@@ -270,7 +266,7 @@
 }
 
 /// A box as keepers of credit know it.
-pub(crate) fn quota_asker(box_id: &str, incarnation: u64) -> QuotaRequester {
+pub(crate) fn quota_requester(box_id: &str, incarnation: u64) -> QuotaRequester {
     QuotaRequester { box_key: stable_hash(box_id), incarnation }
 }
 
--- a/crates/gateway/src/requests/admission.rs
+++ b/crates/gateway/src/requests/admission.rs
@@ -6,7 +6,7 @@
 use wingbridge_decide::steer::SteerPick;
 
 use super::RequestRun;
-use crate::permit_desk::{NoPermit, SendPermit};
+use crate::permit_manager::{NoPermit, SendPermit};
 use crate::routes::AccessDecision;
 
 /// Why a request that was let in goes no further.
@@ -29,7 +29,7 @@
             return Ok(None);
         };
         let desk = &self.context.permits;
-        desk.ask(&self.context, pick, rate, &mut self.keeper_wait).await.map(Some)
+        desk.acquire(&self.context, pick, rate, &mut self.keeper_wait).await.map(Some)
     }
 
     /// Judges it by the configuration in force, if that is another one by now.
--- a/crates/gateway/src/requests/mod.rs
+++ b/crates/gateway/src/requests/mod.rs
@@ -17,10 +17,10 @@
 use crate::answers::CallerAnswer;
 use crate::attempt::{AttemptEnd, CONNECTION_REFUSED, OutgoingRequest, TargetAnswer};
 use crate::context::{BoxContext, log_ended, log_replaced};
-use crate::held_credit::HeldCredit;
 use crate::open_attempt::{AttemptRequest, EndedAttempt, OpenAttempt};
-use crate::permit_desk::{KeeperWait, NoPermit, SendPermit};
+use crate::permit_manager::{CoordinatorWait, NoPermit, SendPermit};
 use crate::request_log::RequestTrace;
+use crate::reserved_token::ReservedToken;
 use crate::routes::RouteKind;
 use crate::routing::RequestPlan;
 use crate::suspension::StartMark;
@@ -48,7 +48,7 @@
     outgoing: Arc<OutgoingRequest>,
     plan: RequestPlan,
     /// What it took of its customer's quota.
-    credit: Option<HeldCredit>,
+    credit: Option<ReservedToken>,
     /// When its first byte was read.
     since: Instant,
     /// From when on the time counts for which the machine is suspended.
@@ -63,7 +63,7 @@
     /// A target's failure, for the caller if nothing better comes.
     fallback: Option<Box<TargetAnswer>>,
     /// Whether it may wait for a keeper of permits.
-    keeper_wait: KeeperWait,
+    keeper_wait: CoordinatorWait,
     trace: RequestTrace,
 }
 
@@ -84,7 +84,7 @@
         context: Arc<BoxContext>,
         outgoing: OutgoingRequest,
         plan: RequestPlan,
-        credit: Option<HeldCredit>,
+        credit: Option<ReservedToken>,
         since: Instant,
         trace: RequestTrace,
     ) -> RequestRun {
@@ -101,7 +101,7 @@
             arrivals: 0,
             open: 0,
             fallback: None,
-            keeper_wait: KeeperWait::default(),
+            keeper_wait: CoordinatorWait::default(),
             trace,
         }
     }
@@ -112,7 +112,7 @@
         if self.runs == 0
             && let Some(credit) = &mut self.credit
         {
-            credit.note_not_run();
+            credit.record_not_run();
         }
         (answer, self.trace)
     }
@@ -216,9 +216,9 @@
         self.trace.note_pick(&pick, self.since.elapsed());
         if let Some(credit) = &mut self.credit {
             if self.runs + self.open > 0 {
-                credit.note_sent_again();
+                credit.record_resent();
             }
-            credit.note_sent();
+            credit.record_sent();
         }
         self.open += 1;
         let route = self.plan.route.name.clone();
@@ -277,7 +277,7 @@
         let Some(end) = end else {
             // Time is over and the target still works: whether it will run to its end is unknown.
             self.note_sent();
-            self.context.crashes.note_unseen(self.outgoing.fingerprint, open.pick.key);
+            self.context.crashes.record_unknown_outcome(self.outgoing.fingerprint, open.pick.key);
             open.end(SteerOutcome::DeadlineExceeded, None, 0);
             return self.go_on("the time is over and a target was still at work");
         };
@@ -290,7 +290,7 @@
             }
             AttemptEnd::WrongTarget => {
                 self.arrivals += 1;
-                self.context.crashes.note_gone(open.pick.key);
+                self.context.crashes.record_target_ended(open.pick.key);
                 open.end(SteerOutcome::WrongTarget, None, 0);
                 if self.context.core().record_replaced(open.pick.key) {
                     log_replaced(&open.pick.id, "own");
@@ -303,14 +303,16 @@
             }
             AttemptEnd::NotConnected(why) => {
                 if why == CONNECTION_REFUSED {
-                    self.context.crashes.note_gone(open.pick.key);
+                    self.context.crashes.record_target_ended(open.pick.key);
                 }
                 open.end(SteerOutcome::ConnectFailed, None, 0);
                 self.go_on(why)
             }
             AttemptEnd::Broken(reason) => {
                 self.note_sent();
-                self.context.crashes.note_unseen(self.outgoing.fingerprint, open.pick.key);
+                self.context
+                    .crashes
+                    .record_unknown_outcome(self.outgoing.fingerprint, open.pick.key);
                 open.end(SteerOutcome::Incomplete, None, 0);
                 self.go_on(&reason)
             }
@@ -323,7 +325,7 @@
                 self.note_sent();
                 log_ended(&open.pick.id, self.outgoing.fingerprint);
                 // Before its end is told, so that both go in one datagram.
-                self.context.crashes.note_ended(self.outgoing.fingerprint, open.pick.key);
+                self.context.crashes.record_crash(self.outgoing.fingerprint, open.pick.key);
                 open.end(SteerOutcome::Incomplete, None, 0);
                 self.go_on(&format!("{reason}, and the target has ended"))
             }
@@ -339,7 +341,7 @@
         self.note_sent();
         let failed = answer.start.status >= 500;
         if (200..300).contains(&answer.start.status) {
-            self.context.crashes.note_success(self.outgoing.fingerprint);
+            self.context.crashes.record_success(self.outgoing.fingerprint);
         }
         let outcome =
             if failed { SteerOutcome::Failed } else { SteerOutcome::Good(open.started.elapsed()) };
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -12,12 +12,12 @@
 use crate::answers::{CallerAnswer, CallerOutcome};
 use crate::attempt::OutgoingRequest;
 use crate::context::{BoxContext, millis};
-use crate::credit_desk::BeyondQuota;
 use crate::customers::{Customer, PresentedKey};
-use crate::held_credit::HeldCredit;
+use crate::quota_manager::BeyondQuota;
 use crate::request_identity::RequestIdentity;
 use crate::request_log::{RequestTrace, log_request};
 use crate::requests::{RequestRun, deadly_answer};
+use crate::reserved_token::ReservedToken;
 use crate::routes::{AccessDecision, Route, RouteConfig};
 use crate::streamed_body::BodyRest;
 
@@ -236,12 +236,12 @@
 async fn take_credit(
     context: &Arc<BoxContext>,
     plan: &RequestPlan,
-) -> Result<Option<HeldCredit>, Box<CallerAnswer>> {
+) -> Result<Option<ReservedToken>, Box<CallerAnswer>> {
     let Some(customer) = &plan.customer else {
         return Ok(None);
     };
-    match context.credit.admit(context, customer, plan.until).await {
-        Ok(()) => Ok(Some(HeldCredit::new(Arc::clone(context), Arc::clone(customer)))),
+    match context.quotas.admit(context, customer, plan.until).await {
+        Ok(()) => Ok(Some(ReservedToken::new(Arc::clone(context), Arc::clone(customer)))),
         Err(BeyondQuota { retry_after, alone }) => {
             metrics::counter!("wingbridge_beyond_quota").increment(1);
             let why = if alone {
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -14,13 +14,13 @@
 use crate::caller_connections::accept_callers;
 use crate::config_duty::{ConfigDuty, ConfigReader};
 use crate::context::{BoxContext, DutyNotices, millis};
-use crate::credit_desk::CreditDesk;
-use crate::gossip::{GossipDuty, fetch_listings};
-use crate::permit_desk::PermitDesk;
+use crate::gossip::{Gossip, fetch_listings};
+use crate::passive_samples::SampleBuffer;
+use crate::permit_manager::PermitManager;
 use crate::policies::PolicySet;
 use crate::ports::EnvironmentPort;
+use crate::quota_manager::QuotaManager;
 use crate::settings::GatewaySettings;
-use crate::sightings::SightingBuffer;
 use crate::stopping::StopState;
 use crate::store_duty::StoreDuty;
 use crate::view_exchange::serve_peers;
@@ -60,11 +60,11 @@
     let readiness = TcpListener::bind(settings.readiness).await?;
     let exchange = TcpListener::bind(settings.exchange).await?;
     let socket = UdpSocket::bind(SocketAddr::new(settings.host(), settings.gossip_port)).await?;
-    let (sightings, wishes) = SightingBuffer::new();
+    let (passive_samples, wishes) = SampleBuffer::new();
     let (view_changed, notices) = async_channel::bounded(1);
     let (newer_heard, heard) = async_channel::bounded(1);
-    let (credit, credit_wishes) = CreditDesk::new(settings.quota_slack);
-    let (permits, permit_wishes) = PermitDesk::new();
+    let (quotas, quota_wishes) = QuotaManager::new(settings.quota_slack);
+    let (permits, permit_wishes) = PermitManager::new();
     let (fetching, named) = async_channel::bounded(1);
     let stopping = StopState::new();
     log::info!(
@@ -76,9 +76,9 @@
         log::warn!(without:% = settings.mechanisms; "parts-of-the-pick-off");
     }
     let policies = PolicySet::compile()?;
-    let duty_notices = DutyNotices { credit, permits, sightings, view_changed, newer_heard };
+    let duty_notices = DutyNotices { quotas, permits, passive_samples, view_changed, newer_heard };
     let context = BoxContext::new(settings, port, policies, stopping, duty_notices, seed);
-    let gossip = GossipDuty::new(Arc::clone(&context), socket, seed, fetching);
+    let gossip = Gossip::new(Arc::clone(&context), socket, seed, fetching);
     let reader = ConfigReader::new(Arc::clone(&context), Arc::clone(&gossip));
     let store =
         StoreDuty::new(Arc::clone(&context), Arc::clone(&gossip), Arc::clone(&reader), seed);
@@ -87,11 +87,11 @@
         task::spawn(serve_readiness(readiness, Arc::clone(&context))),
         task::spawn(serve_peers(exchange, Arc::clone(&context))),
         task::spawn(Arc::clone(&gossip).receive()),
-        task::spawn(Arc::clone(&gossip).beat()),
-        task::spawn(Arc::clone(&gossip).tell(wishes)),
+        task::spawn(Arc::clone(&gossip).run_heartbeats()),
+        task::spawn(Arc::clone(&gossip).run_reports(wishes)),
         task::spawn(fetch_listings(Arc::clone(&context), named)),
-        task::spawn(CreditDesk::run(Arc::clone(&context), Arc::clone(&gossip), credit_wishes)),
-        task::spawn(PermitDesk::run(Arc::clone(&gossip), permit_wishes)),
+        task::spawn(QuotaManager::run(Arc::clone(&context), Arc::clone(&gossip), quota_wishes)),
+        task::spawn(PermitManager::run(Arc::clone(&gossip), permit_wishes)),
         task::spawn(store.run(notices)),
         task::spawn(config.run(heard)),
         task::spawn(note_reloads(reloads)),
@@ -99,7 +99,7 @@
     ];
     stop.wait().await;
     let whole = wind_down(&context).await;
-    gossip.tell_leaving().await;
+    gossip.broadcast_stopping().await;
     log::info!(whole, open = context.stopping.open_connections(); "stopped");
     for duty in duties {
         duty.cancel().await;
--- a/crates/gateway/src/store_duty.rs
+++ b/crates/gateway/src/store_duty.rs
@@ -18,7 +18,7 @@
 
 use crate::config_duty::{ConfigReader, is_large};
 use crate::context::{BoxContext, millis};
-use crate::gossip::GossipDuty;
+use crate::gossip::Gossip;
 use crate::ports::{StoreError, StorePoll};
 use crate::store_backoff::StoreBackoff;
 use crate::suspension::StartMark;
@@ -44,7 +44,7 @@
 /// The duty's state.
 pub(crate) struct StoreDuty {
     context: Arc<BoxContext>,
-    gossip: Arc<GossipDuty>,
+    gossip: Arc<Gossip>,
     config: Arc<ConfigReader>,
     random: SmallRng,
     backoff: StoreBackoff,
@@ -62,7 +62,7 @@
 impl StoreDuty {
     pub(crate) fn new(
         context: Arc<BoxContext>,
-        gossip: Arc<GossipDuty>,
+        gossip: Arc<Gossip>,
         config: Arc<ConfigReader>,
         seed: u64,
     ) -> StoreDuty {
@@ -112,7 +112,7 @@
 
     /// The age at which this box reads.
     fn reading_age(&mut self) -> Duration {
-        let rank = self.context.peers().reading_rank();
+        let rank = self.context.peers().read_priority();
         self.context.budget.read_age(rank, self.random.random())
     }
 
@@ -127,7 +127,7 @@
                 }
                 self.backoff.reset();
                 metrics::counter!("wingbridge_store_reads", "outcome" => "good").increment(1);
-                self.gossip.tell_mark().await;
+                self.gossip.broadcast_view_version().await;
             }
             Err(error) => {
                 if self.backoff.failures() == 0 {
@@ -135,7 +135,7 @@
                     log::warn!(reason:% = error, view_age_ms = age_ms; "store-lost");
                 }
                 metrics::counter!("wingbridge_store_reads", "outcome" => "failed").increment(1);
-                self.gossip.ask_far().await;
+                self.gossip.request_remote_heartbeat().await;
                 self.backoff.record_failure(self.random.random());
             }
         }
@@ -217,7 +217,7 @@
     async fn mind_contacts(&mut self) {
         let (boxes, rank, near) = {
             let peers = self.context.peers();
-            (peers.boxes(), peers.reading_rank(), peers.near())
+            (peers.boxes(), peers.read_priority(), peers.local())
         };
         if boxes == 1
             && self.started.elapsed() >= LONELY_AFTER
@@ -227,7 +227,7 @@
             match self.context.port.read_bootstrap_addresses().await {
                 Ok(hosts) => {
                     log::info!(found = hosts.len(); "contacts-read");
-                    self.gossip.ask(&hosts).await;
+                    self.gossip.request_heartbeats(&hosts).await;
                 }
                 Err(error) => log::warn!(reason:% = error; "contacts-not-read"),
             }
@@ -248,10 +248,10 @@
     /// Leaves in the store which requests are refused, if that has changed: a fleet that lost power as a
     /// whole would let each of them end three more targets.
     async fn mind_crashes(&mut self) {
-        if self.context.peers().reading_rank() > 0 {
+        if self.context.peers().read_priority() > 0 {
             return;
         }
-        let (version, note) = self.context.crashes.note();
+        let (version, note) = self.context.crashes.encode_note();
         if version == self.crashes_noted {
             return;
         }
