--- a/crates/gateway/src/caller_connections.rs
+++ b/crates/gateway/src/caller_connections.rs
@@ -43,7 +43,7 @@
 /// Takes callers' connections, until the task is dropped.
 pub(crate) async fn accept_callers(listener: TcpListener, context: Arc<BoxContext>) {
     loop {
-        if context.stopping.open_connections() >= context.settings.connections {
+        if context.stopping.open_connections() >= context.settings.max_connections {
             // They wait in the listener's queue: an accepted one would count as taken.
             task::sleep(ACCEPT_PAUSE).await;
             continue;
@@ -51,7 +51,7 @@
         match listener.accept().await {
             Ok((stream, peer)) => {
                 let context = Arc::clone(&context);
-                let held = context.stopping.hold_connection();
+                let held = context.stopping.count_connection();
                 task::spawn(async move {
                     serve_caller(stream, peer.ip().to_string(), &context).await;
                     drop(held);
@@ -73,7 +73,7 @@
     let mut connection =
         CallerConnection { reader: RawReader::new(stream.clone()), stream, caller };
     while connection.wait_request(context).await {
-        let busy = context.stopping.hold_request();
+        let busy = context.stopping.count_request();
         let goes_on = connection.serve_one(context).await;
         drop(busy);
         if !goes_on {
@@ -366,7 +366,7 @@
 fn started(context: &Arc<BoxContext>, request: CallerRequest) -> BoxFuture<'static, CallerAnswer> {
     let context = Arc::clone(context);
     Box::pin(async move {
-        let _busy = context.stopping.hold_request();
+        let _busy = context.stopping.count_request();
         answer_request(&context, request).await
     })
 }
@@ -446,7 +446,7 @@
     /// always go on, so that a body at the limit is read however small the room is.
     async fn wait_for(&mut self, bytes: usize, until: Instant) -> Result<(), HttpError> {
         self.take(bytes);
-        let most = self.context.settings.held_body_bytes;
+        let most = self.context.settings.max_held_body_bytes;
         loop {
             let all = self.context.held_bodies.load(Ordering::Acquire);
             if all <= most || all == self.held {
--- a/crates/gateway/src/config_duty.rs
+++ b/crates/gateway/src/config_duty.rs
@@ -22,7 +22,7 @@
 use crate::gossip::Gossip;
 use crate::ports::{ConfigPoll, StoreError};
 use crate::store_backoff::StoreBackoff;
-use crate::suspension::StartMark;
+use crate::suspension::ClockSample;
 use crate::transfer_slots::BUSY_RETRY_DELAY;
 use crate::view::ConfigText;
 
@@ -59,15 +59,15 @@
             return true;
         }
         let began = Instant::now();
-        let mark = self.context.start_mark();
+        let mark = self.context.clock_sample();
         let outcome = self.read(&mark).await;
         self.reading.store(false, Ordering::Relaxed);
         match outcome {
             Ok(Some(config)) => {
                 let (revision, bytes) = (config.revision, config.text.len());
                 log::info!(revision, bytes, taken_ms = millis(began.elapsed()); "configuration-read");
-                let as_of = self.context.corrected(&mark);
-                self.context.take_config(config, Vec::new(), as_of, "store");
+                let as_of = self.context.corrected_time(&mark);
+                self.context.apply_config(config, Vec::new(), as_of, "store");
                 self.gossip.broadcast_view_version().await;
                 true
             }
@@ -81,7 +81,7 @@
     }
 
     /// A configuration that is not held yet; `None` if the store has none.
-    async fn read(&self, mark: &StartMark) -> Result<Option<ConfigText>, StoreError> {
+    async fn read(&self, mark: &ClockSample) -> Result<Option<ConfigText>, StoreError> {
         let port = &self.context.port;
         let (held, after) = {
             let known = self.context.view();
@@ -92,7 +92,7 @@
         };
         let config = match port.poll_config(after).await? {
             ConfigPoll::Unchanged => {
-                let as_of = self.context.corrected(mark);
+                let as_of = self.context.corrected_time(mark);
                 self.context.view().confirm_config(held, as_of);
                 return Ok(None);
             }
@@ -103,7 +103,7 @@
             }
         };
         if config.as_ref().is_some_and(|config| config.revision == held) {
-            let as_of = self.context.corrected(mark);
+            let as_of = self.context.corrected_time(mark);
             self.context.view().confirm_config(held, as_of);
             return Ok(None);
         }
@@ -143,9 +143,9 @@
                 self.read(&notices).await;
                 continue;
             }
-            match self.ask_holder().await {
+            match self.fetch_from_seeder().await {
                 // A holder that failed is asked no more, until it tells of itself again.
-                Some(ConfigFetch::Taken | ConfigFetch::Failed) => continue,
+                Some(ConfigFetch::Applied | ConfigFetch::Failed) => continue,
                 Some(ConfigFetch::Busy(_)) => {
                     task::sleep(BUSY_RETRY_DELAY.mul_f64(1.0 + self.random.random::<f64>())).await;
                     continue;
@@ -160,7 +160,7 @@
     }
 
     /// Asks a box that has a newer configuration for it; `None` if there is nobody to ask.
-    async fn ask_holder(&mut self) -> Option<ConfigFetch> {
+    async fn fetch_from_seeder(&mut self) -> Option<ConfigFetch> {
         let far = self
             .context
             .config_age()
@@ -172,16 +172,16 @@
         };
         let fetched = fetch_config(&self.context, host).await;
         match &fetched {
-            ConfigFetch::Taken => self.gossip.send_view_version_to_some().await,
+            ConfigFetch::Applied => self.gossip.send_view_version_to_some().await,
             ConfigFetch::Busy(holders) => {
                 let held = self.context.view().config_revision();
                 let own = self.context.settings.host();
                 let mut newer = self.context.newer_config();
                 for holder in holders.iter().filter(|holder| **holder != own) {
-                    newer.note(*holder, true, revision, held);
+                    newer.record(*holder, true, revision, held);
                 }
             }
-            ConfigFetch::Failed => self.context.newer_config().drop_holder(host),
+            ConfigFetch::Failed => self.context.newer_config().remove_seeder(host),
         }
         Some(fetched)
     }
@@ -229,7 +229,7 @@
     /// Says once that peers have worked by a newer configuration for all the time that a
     /// change has.
     fn note_behind(&mut self) {
-        if !self.context.is_behind() {
+        if !self.context.is_stale() {
             return;
         }
         let pending = self.context.newer_config().pending();
--- a/crates/gateway/src/config_exchange.rs
+++ b/crates/gateway/src/config_exchange.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum ConfigFetch {
     /// It is held now.
-    Taken,
+    Applied,
     /// The peer sends to as many others as it can; those have it.
     Busy(Vec<IpAddr>),
     /// The peer has none that is newer, or can't be reached, or sent nonsense.
@@ -29,7 +29,7 @@
 /// Fetches the configuration of the peer at `host`, and takes it.
 pub(crate) async fn fetch_config(context: &BoxContext, host: IpAddr) -> ConfigFetch {
     let began = Instant::now();
-    let start = context.start_mark();
+    let start = context.clock_sample();
     let held = context.view().config_text().cloned();
     let revision = held.as_ref().map_or(0, |held| held.revision);
     let question = ExchangeQuestion::Config(ConfigRequest { revision });
@@ -51,7 +51,7 @@
         log::info!(peer:% = host, revision = reply.revision; "configuration-not-newer");
         return ConfigFetch::Failed;
     };
-    match follow_steps(held.as_ref(), &reply.deltas) {
+    match apply_deltas(held.as_ref(), &reply.deltas) {
         Ok(text) => {
             log::info!(
                 peer:% = host, revision = text.revision, from = reply.deltas[0].from,
@@ -59,8 +59,8 @@
                 taken_ms = millis(began.elapsed());
                 "configuration-fetched"
             );
-            context.take_config(text, reply.deltas, as_of, "peer");
-            ConfigFetch::Taken
+            context.apply_config(text, reply.deltas, as_of, "peer");
+            ConfigFetch::Applied
         }
         Err(reason) => {
             log::warn!(peer:% = host, reason; "configuration-not-fetched");
@@ -83,12 +83,12 @@
     let time = context.budget.config_fetch_timeout();
     timeout(time, send_message(stream, source.message())).await.map_err(late)??;
     if !source.message().deltas.is_empty() {
-        context.config_source.note_holder(peer, source.message().revision);
+        context.config_source.record_seeder(peer, source.message().revision);
     }
     Ok(())
 }
 
-fn follow_steps(
+fn apply_deltas(
     held: Option<&ConfigText>,
     steps: &[ConfigDelta],
 ) -> Result<ConfigText, &'static str> {
--- a/crates/gateway/src/config_source.rs
+++ b/crates/gateway/src/config_source.rs
@@ -120,7 +120,7 @@
     }
 
     /// Notes that the box at `host` has the configuration of `revision` from here.
-    pub fn note_holder(&self, host: IpAddr, revision: u64) {
+    pub fn record_seeder(&self, host: IpAddr, revision: u64) {
         let mut state = lock(&self.state);
         if state.text.as_ref().is_none_or(|text| text.revision != revision) {
             return;
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -15,10 +15,10 @@
 use crate::change_budget::ChangeBudget;
 use crate::config_source::ConfigSource;
 use crate::crash_tracker::CrashTracker;
-use crate::gate::OpenGate;
+use crate::invalid_entries::InvalidEntry;
+use crate::latch::ReadyLatch;
 use crate::listing_source::ListingSource;
 use crate::newer_config::NewerConfig;
-use crate::odd_entries::OddEntry;
 use crate::passive_samples::SampleBuffer;
 use crate::peers::PeerTable;
 use crate::permit_manager::PermitManager;
@@ -28,7 +28,7 @@
 use crate::routes::RouteConfig;
 use crate::settings::GatewaySettings;
 use crate::stopping::StopState;
-use crate::suspension::{StartMark, SuspensionWatch};
+use crate::suspension::{ClockSample, SuspensionWatch};
 use crate::view::{
     ConfigText, KnownView, PeerListingDelta, StoreView, TargetEntry, TargetUpdate, ViewChange,
 };
@@ -40,12 +40,12 @@
 const HOMES_NAMED: usize = 16;
 
 /// How duties hear of what others took.
-pub(crate) struct DutyNotices {
+pub(crate) struct DutyHandles {
     pub(crate) quotas: QuotaManager,
     pub(crate) permits: PermitManager,
     pub(crate) passive_samples: SampleBuffer,
     pub(crate) view_changed: async_channel::Sender<()>,
-    pub(crate) newer_heard: async_channel::Sender<()>,
+    pub(crate) config_changed: async_channel::Sender<()>,
 }
 
 /// What callers, targets, peers and the store have in common within a box.
@@ -65,7 +65,7 @@
     pub(crate) crashes: CrashTracker,
     pub(crate) view_changed: async_channel::Sender<()>,
     /// Tells that a peer has a configuration that this box lacks, or that there is another one.
-    pub(crate) newer_heard: async_channel::Sender<()>,
+    pub(crate) config_changed: async_channel::Sender<()>,
     /// How the time of a change is spent.
     pub(crate) budget: ChangeBudget,
     /// The configuration as it is handed on.
@@ -82,7 +82,7 @@
     split: Mutex<WeightedSplit>,
     /// Opens once a configuration and the targets are known: with the configuration alone a box
     /// that has just started turned each caller away.
-    pub(crate) first_view: OpenGate,
+    pub(crate) first_view: ReadyLatch,
 }
 
 impl BoxContext {
@@ -91,7 +91,7 @@
         port: Arc<dyn EnvironmentPort>,
         policies: PolicySet,
         stopping: StopState,
-        notices: DutyNotices,
+        handles: DutyHandles,
         seed: u64,
     ) -> Arc<BoxContext> {
         let core = SteerCore::new(SteerSetup {
@@ -118,19 +118,19 @@
             policies,
             stopping,
             peers: Mutex::new(peers),
-            quotas: notices.quotas,
-            permits: notices.permits,
-            passive_samples: notices.passive_samples,
+            quotas: handles.quotas,
+            permits: handles.permits,
+            passive_samples: handles.passive_samples,
             crashes: CrashTracker::new(),
-            view_changed: notices.view_changed,
-            newer_heard: notices.newer_heard,
+            view_changed: handles.view_changed,
+            config_changed: handles.config_changed,
             held_bodies: AtomicUsize::new(0),
             started: Instant::now(),
             suspension,
             view: Mutex::default(),
             core: Mutex::new(core),
             split: Mutex::new(WeightedSplit::new(seed as f64 / u64::MAX as f64)),
-            first_view: OpenGate::default(),
+            first_view: ReadyLatch::default(),
         })
     }
 
@@ -157,24 +157,24 @@
     }
 
     /// A mark from which on the time counts for which this machine is suspended.
-    pub(crate) fn start_mark(&self) -> StartMark {
-        StartMark::now(self.port.suspended())
+    pub(crate) fn clock_sample(&self) -> ClockSample {
+        ClockSample::now(self.port.suspended())
     }
 
     /// `time` as it is on a clock that counted what was suspended since `mark`.
-    pub(crate) fn correct(&self, mark: &StartMark, time: Instant) -> Instant {
+    pub(crate) fn correct(&self, mark: &ClockSample, time: Instant) -> Instant {
         mark.correct(time, self.port.suspended())
     }
 
     /// When `mark` was taken, on that clock.
-    pub(crate) fn corrected(&self, mark: &StartMark) -> Instant {
-        mark.corrected(self.port.suspended())
+    pub(crate) fn corrected_time(&self, mark: &ClockSample) -> Instant {
+        mark.corrected_time(self.port.suspended())
     }
 
     /// Whether this machine was suspended until a moment ago: what peers told meanwhile has no age.
-    pub(crate) fn is_waking(&self) -> bool {
+    pub(crate) fn recently_resumed(&self) -> bool {
         drop(self.view());
-        self.suspension.is_waking()
+        self.suspension.recently_resumed()
     }
 
     /// The peers.
@@ -209,31 +209,31 @@
 
     /// Whether the balancer should send callers.
     pub(crate) fn is_ready(&self) -> bool {
-        self.first_view.is_open() && !self.stopping.is_stopping() && !self.is_behind()
+        self.first_view.is_open() && !self.stopping.is_stopping() && !self.is_stale()
     }
 
     /// Whether this box has known for the whole time of a change that peers work by a newer
     /// configuration and could not get it: callers are better served by those peers.
-    pub(crate) fn is_behind(&self) -> bool {
+    pub(crate) fn is_stale(&self) -> bool {
         let pending = self.newer_config().pending();
         pending.is_some_and(|(heard, _)| heard.elapsed() >= self.budget.total())
     }
 
     /// Takes all that the store holds, and puts it in force.
-    pub(crate) fn take_view(&self, mut view: StoreView, as_of: Instant, source: &str) {
+    pub(crate) fn apply_view(&self, mut view: StoreView, as_of: Instant, source: &str) {
         let revision = view.revision;
         // Before it opens the box to callers, who may ask for such a request first.
         self.crashes.apply_notes(std::mem::take(&mut view.crash_notes));
         let change = self.change_view(|known| known.apply(view, as_of, &*self.port));
         let heard = self.settle_config(Vec::new());
-        self.note_taken(&change, &TakenFrom { revision, as_of, source, heard });
+        self.on_view_change(&change, &ChangeOrigin { revision, as_of, source, heard });
     }
 
     /// Takes a listing of targets and puts it in force.
     pub(crate) fn apply_listing(&self, listing: TargetListing, as_of: Instant, source: &str) {
         let revision = listing.revision;
         let change = self.change_view(|known| known.apply_listing(listing, as_of));
-        self.note_taken(&change, &TakenFrom { revision, as_of, source, heard: None });
+        self.on_view_change(&change, &ChangeOrigin { revision, as_of, source, heard: None });
     }
 
     /// Takes what a peer tells of a listing and puts it in force; returns whether it fits the one that is
@@ -244,7 +244,7 @@
             return false;
         };
         let source = "peer";
-        self.note_taken(&change, &TakenFrom { revision, as_of, source, heard: None });
+        self.on_view_change(&change, &ChangeOrigin { revision, as_of, source, heard: None });
         true
     }
 
@@ -253,12 +253,12 @@
         let revision = news.revision;
         let change = self.change_view(|known| known.apply_changes(news, as_of, &*self.port));
         let heard = self.settle_config(Vec::new());
-        self.note_taken(&change, &TakenFrom { revision, as_of, source: "store", heard });
+        self.on_view_change(&change, &ChangeOrigin { revision, as_of, source: "store", heard });
     }
 
     /// Takes a configuration that was the newest at `as_of`; `steps` are those by which a peer
     /// sent it.
-    pub(crate) fn take_config(
+    pub(crate) fn apply_config(
         &self,
         config: ConfigText,
         steps: Vec<ConfigDelta>,
@@ -272,7 +272,7 @@
             change
         });
         let heard = self.settle_config(steps);
-        self.note_taken(&change, &TakenFrom { revision, as_of, source, heard });
+        self.on_view_change(&change, &ChangeOrigin { revision, as_of, source, heard });
     }
 
     /// Hands on the configuration that is held now. Returns since when this box had known that
@@ -289,13 +289,13 @@
         heard
     }
 
-    fn note_taken(&self, change: &ViewChange, from: &TakenFrom<'_>) {
+    fn on_view_change(&self, change: &ViewChange, from: &ChangeOrigin<'_>) {
         let knows_all = self.config().is_some() && self.view_age().is_some();
         if knows_all && self.first_view.open() {
             let age_ms = millis(from.as_of.elapsed());
             log::info!(source = from.source, revision = from.revision, age_ms; "ready");
         }
-        note_change(change, from);
+        log_change(change, from);
         for name in &change.evacuated {
             if !self.settings.regions.is_empty() && !self.settings.regions.contains_key(&**name) {
                 log::warn!(data_centre:% = name; "evacuated-data-centre-unknown");
@@ -305,19 +305,19 @@
             self.crashes.record_target_ended(*target);
         }
         if let Some(config) = self.config().filter(|_| change.config.is_some()) {
-            note_customers(&config);
-            note_odd_entries(&config);
-            self.note_unknown_homes(&config);
+            log_customer_problems(&config);
+            log_invalid_entries(&config);
+            self.log_unknown_homes(&config);
             // Its duty waits by what was held before: one that came with the targets left a box
             // without a reading of its own for a minute. Full: a notice already waits.
-            let _ = self.newer_heard.try_send(());
+            let _ = self.config_changed.try_send(());
         }
         // Full: a notice already waits.
         let _ = self.view_changed.try_send(());
     }
 
     /// Says which homes of a configuration are no region of this deployment: nothing is served there.
-    fn note_unknown_homes(&self, config: &RouteConfig) {
+    fn log_unknown_homes(&self, config: &RouteConfig) {
         let regions = &self.settings.regions;
         let is_unknown = |home: &&Name| !regions.values().any(|region| region == *home);
         let unknown: BTreeSet<&Name> = config.home_regions().filter(is_unknown).collect();
@@ -369,7 +369,7 @@
 
 /// Whose attempts moved what is believed of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum SeenBy {
+pub(crate) enum ObservedBy {
     /// This box's.
     Own,
     /// A peer's.
@@ -380,17 +380,17 @@
 ///
 /// Only what this box saw has a line: the peer that saw the rest has one. With a line for each at each
 /// box a quiet day of 113 boxes had 4.4 lines of hearsay for each request.
-pub(crate) fn note_suspicion(change: Option<SuspicionChange>, by: SeenBy) {
+pub(crate) fn log_suspicion(change: Option<SuspicionChange>, by: ObservedBy) {
     let Some(SuspicionChange { id, service, risk, suspect }) = change else {
         return;
     };
     let event = if suspect { "target-suspected" } else { "target-trusted" };
     let by = match by {
-        SeenBy::Own => {
+        ObservedBy::Own => {
             log::info!(target:% = id, service:% = service, risk:% = format!("{risk:.3}"); "{event}");
             "own"
         }
-        SeenBy::Peer => "peer",
+        ObservedBy::Peer => "peer",
     };
     metrics::counter!("wingbridge_suspicions", "event" => event, "by" => by).increment(1);
 }
@@ -412,7 +412,7 @@
 }
 
 /// Says what is odd about the customers of a configuration that came into force.
-fn note_customers(config: &RouteConfig) {
+fn log_customer_problems(config: &RouteConfig) {
     let version = config.version;
     if config.has_unusable_closed_routes() {
         log::warn!(version; "closed-routes-without-customers");
@@ -424,21 +424,21 @@
 }
 
 /// Says which entries of a configuration that came into force can't be used, and what holds instead.
-fn note_odd_entries(config: &RouteConfig) {
+fn log_invalid_entries(config: &RouteConfig) {
     let version = config.version;
-    metrics::gauge!("wingbridge_odd_entries").set(config.odd_entries.count() as f64);
-    for entry in config.odd_entries.told() {
-        let OddEntry { table, name, reason, instead } = entry;
+    metrics::gauge!("wingbridge_odd_entries").set(config.invalid_entries.count() as f64);
+    for entry in config.invalid_entries.logged() {
+        let InvalidEntry { table, name, reason, instead } = entry;
         log::warn!(version, table, name = name.as_str(), reason = reason.as_str(), instead; "entry-odd");
     }
-    let untold = config.odd_entries.count() - config.odd_entries.told().len();
+    let untold = config.invalid_entries.count() - config.invalid_entries.logged().len();
     if untold > 0 {
         log::warn!(version, untold; "more-entries-odd");
     }
 }
 
 /// Where something that was taken came from, for the log.
-struct TakenFrom<'a> {
+struct ChangeOrigin<'a> {
     revision: u64,
     as_of: Instant,
     source: &'a str,
@@ -446,8 +446,8 @@
     heard: Option<Instant>,
 }
 
-fn note_change(change: &ViewChange, from: &TakenFrom<'_>) {
-    let TakenFrom { revision, as_of, source, heard } = *from;
+fn log_change(change: &ViewChange, from: &ChangeOrigin<'_>) {
+    let ChangeOrigin { revision, as_of, source, heard } = *from;
     let age_ms = millis(as_of.elapsed());
     if let Some(version) = change.config {
         let heard_ms = heard.map_or(0, |heard| millis(heard.elapsed()));
--- a/crates/gateway/src/gossip/heartbeats.rs
+++ b/crates/gateway/src/gossip/heartbeats.rs
@@ -193,7 +193,7 @@
             };
             self.send_heartbeat(&[from], answer).await;
         }
-        if let Some(mark) = beacon.view_version.filter(|_| !self.context.is_waking()) {
+        if let Some(mark) = beacon.view_version.filter(|_| !self.context.recently_resumed()) {
             self.compare_view(from, now, mark);
         }
     }
@@ -236,11 +236,11 @@
 
     fn record_newer_config(&self, from: IpAddr, revision: u64, held: u64) {
         let is_near = self.context.peers().is_local(from);
-        if self.context.newer_config().note(from, is_near, revision, held) {
+        if self.context.newer_config().record(from, is_near, revision, held) {
             log::info!(peer:% = from, config_revision = revision, held; "configuration-heard-of");
         }
         // Full: a notice already waits.
-        let _ = self.context.newer_heard.try_send(());
+        let _ = self.context.config_changed.try_send(());
     }
 
     fn mark(&self) -> Option<ViewVersion> {
--- a/crates/gateway/src/gossip/reports.rs
+++ b/crates/gateway/src/gossip/reports.rs
@@ -16,7 +16,7 @@
 };
 
 use super::Gossip;
-use crate::context::{SeenBy, lock, log_replaced, millis, note_suspicion};
+use crate::context::{ObservedBy, lock, log_replaced, log_suspicion, millis};
 use crate::limit_reports::merge_limit;
 use crate::notices::merge_draining;
 use crate::passive_samples::Urgency;
@@ -153,7 +153,7 @@
                 informative: seen.informative.iter().map(|open| decode_age(now, open)).collect(),
             };
             let change = core.merge_peer_sample(now, peer, TargetKey(seen.target), &sample);
-            note_suspicion(change, SeenBy::Peer);
+            log_suspicion(change, ObservedBy::Peer);
         }
         for told in &sightings.service_counts {
             let counts = RetryCounts {
--- a/crates/gateway/src/odd_entries.rs
+++ b/crates/gateway/src/invalid_entries.rs
@@ -5,13 +5,13 @@
 //! configuration alone, so that it is the same in each box, however the configuration came there.
 
 /// Odd entries that are told one by one; of more, the count is.
-const TOLD: usize = 16;
+const MAX_LOGGED: usize = 16;
 /// Signs of a name and of a reason that are kept: either may repeat what stands in the entry.
 const TEXT_LENGTH: usize = 200;
 
 /// An entry that can't be used as it stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OddEntry {
+pub struct InvalidEntry {
     /// The table that it stands in.
     pub table: &'static str,
     /// Its name there.
@@ -24,15 +24,15 @@
 
 /// The odd entries of one configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct OddEntries {
+pub struct InvalidEntries {
     count: usize,
-    first: Vec<OddEntry>,
+    logged: Vec<InvalidEntry>,
 }
 
-impl OddEntry {
+impl InvalidEntry {
     /// One that is as if it did not stand there.
-    pub fn left_out(table: &'static str, name: &str, reason: &str) -> OddEntry {
-        OddEntry::replaced(table, name, reason, "nothing")
+    pub fn excluded(table: &'static str, name: &str, reason: &str) -> InvalidEntry {
+        InvalidEntry::replaced(table, name, reason, "nothing")
     }
 
     /// One with something else in its place.
@@ -41,17 +41,17 @@
         name: &str,
         reason: &str,
         instead: &'static str,
-    ) -> OddEntry {
-        OddEntry { table, name: shortened(name), reason: shortened(reason), instead }
+    ) -> InvalidEntry {
+        InvalidEntry { table, name: shortened(name), reason: shortened(reason), instead }
     }
 }
 
-impl OddEntries {
+impl InvalidEntries {
     /// Adds one.
-    pub fn note(&mut self, entry: OddEntry) {
+    pub fn add(&mut self, entry: InvalidEntry) {
         self.count += 1;
-        if self.first.len() < TOLD {
-            self.first.push(entry);
+        if self.logged.len() < MAX_LOGGED {
+            self.logged.push(entry);
         }
     }
 
@@ -61,8 +61,8 @@
     }
 
     /// The first of them.
-    pub fn told(&self) -> &[OddEntry] {
-        &self.first
+    pub fn logged(&self) -> &[InvalidEntry] {
+        &self.logged
     }
 }
 
--- a/crates/gateway/src/gate.rs
+++ b/crates/gateway/src/latch.rs
@@ -6,19 +6,19 @@
 
 /// Closed at first. It opens by closing a channel on which nothing is ever sent.
 #[derive(Debug, Clone)]
-pub(crate) struct OpenGate {
+pub(crate) struct ReadyLatch {
     sender: Sender<Infallible>,
     receiver: Receiver<Infallible>,
 }
 
-impl Default for OpenGate {
-    fn default() -> OpenGate {
+impl Default for ReadyLatch {
+    fn default() -> ReadyLatch {
         let (sender, receiver) = async_channel::bounded(1);
-        OpenGate { sender, receiver }
+        ReadyLatch { sender, receiver }
     }
 }
 
-impl OpenGate {
+impl ReadyLatch {
     /// Opens it; returns whether it was closed before.
     pub(crate) fn open(&self) -> bool {
         self.sender.close()
--- a/crates/gateway/src/newer_config.rs
+++ b/crates/gateway/src/newer_config.rs
@@ -21,7 +21,7 @@
 impl NewerConfig {
     /// Notes that the box at `host` holds the configuration of `revision`, while this box
     /// holds that of `held`. Returns whether it is the first to say so.
-    pub(crate) fn note(&mut self, host: IpAddr, is_near: bool, revision: u64, held: u64) -> bool {
+    pub(crate) fn record(&mut self, host: IpAddr, is_near: bool, revision: u64, held: u64) -> bool {
         self.settle(held);
         if revision <= held || revision < self.revision {
             return false;
@@ -46,7 +46,7 @@
     }
 
     /// Takes the box at `host` for one that can't hand it over now.
-    pub(crate) fn drop_holder(&mut self, host: IpAddr) {
+    pub(crate) fn remove_seeder(&mut self, host: IpAddr) {
         self.near.retain(|known| *known != host);
         self.far.retain(|known| *known != host);
     }
--- a/crates/gateway/src/open_attempt.rs
+++ b/crates/gateway/src/open_attempt.rs
@@ -10,7 +10,7 @@
 use wingbridge_decide::{Fingerprint, Name};
 
 use crate::attempt::{AttemptEnd, AttemptPlan, OutgoingRequest, attempt};
-use crate::context::{BoxContext, SeenBy, note_suspicion};
+use crate::context::{BoxContext, ObservedBy, log_suspicion};
 use crate::notices::AttemptNotices;
 use crate::passive_samples::ObservedOutcome;
 use crate::permit_manager::SendPermit;
@@ -103,7 +103,7 @@
             core.record_load(now, key, load);
         }
         drop(core);
-        note_suspicion(news.change, SeenBy::Own);
+        log_suspicion(news.change, ObservedBy::Own);
         let suspect = self.pick.risk >= MIN_SUSPECT_RISK;
         let seen = ObservedOutcome {
             outcome,
@@ -146,7 +146,7 @@
     fn note_overdue(&self) {
         let context = &self.context;
         let news = context.core().record_overdue(context.now(), &self.handle);
-        note_suspicion(news.change, SeenBy::Own);
+        log_suspicion(news.change, ObservedBy::Own);
         if news.stalled {
             context.passive_samples.record_stall(self.pick.key);
         }
--- a/crates/gateway/src/requests/mod.rs
+++ b/crates/gateway/src/requests/mod.rs
@@ -23,7 +23,7 @@
 use crate::reserved_token::ReservedToken;
 use crate::routes::RouteKind;
 use crate::routing::RequestPlan;
-use crate::suspension::StartMark;
+use crate::suspension::ClockSample;
 use final_answers::passed_on;
 
 pub(crate) use final_answers::deadly_answer;
@@ -52,7 +52,7 @@
     /// When its first byte was read.
     since: Instant,
     /// From when on the time counts for which the machine is suspended.
-    start: StartMark,
+    start: ClockSample,
     tried: Vec<TargetKey>,
     /// Targets that may have run it.
     runs: u32,
@@ -88,7 +88,7 @@
         since: Instant,
         trace: RequestTrace,
     ) -> RequestRun {
-        let start = context.start_mark();
+        let start = context.clock_sample();
         RequestRun {
             context,
             start,
--- a/crates/gateway/src/routes.rs
+++ b/crates/gateway/src/routes.rs
@@ -9,7 +9,7 @@
 use wingbridge_decide::steer::RequestRate;
 
 use crate::customers::{Customer, CustomerTable, PresentedKey};
-use crate::odd_entries::OddEntries;
+use crate::invalid_entries::InvalidEntries;
 
 /// Whether and how a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -161,7 +161,7 @@
     /// for services that have such a bound.
     pub cold_rates: HashMap<Name, RequestRate>,
     /// Entries that can't be used as they stand.
-    pub odd_entries: OddEntries,
+    pub invalid_entries: InvalidEntries,
     routes: HashMap<String, Vec<Arc<Route>>>,
 }
 
@@ -190,8 +190,8 @@
     }
 
     /// The same with what is odd about it.
-    pub fn with_odd_entries(self, odd_entries: OddEntries) -> RouteConfig {
-        RouteConfig { odd_entries, ..self }
+    pub fn with_invalid_entries(self, invalid_entries: InvalidEntries) -> RouteConfig {
+        RouteConfig { invalid_entries, ..self }
     }
 
     /// Whether a request with that key may go on by `route`.
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -180,7 +180,7 @@
         }
     };
     let until = answer_until(context, request, policy.deadline);
-    if context.stopping.ends_before(until) {
+    if context.stopping.could_interrupt(until) {
         return Err(not_run(context, &route.name, "this box ends before it could answer"));
     }
     let service = Name::from(policy.service.as_str());
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -13,7 +13,7 @@
 
 use crate::caller_connections::accept_callers;
 use crate::config_duty::{ConfigDuty, ConfigReader};
-use crate::context::{BoxContext, DutyNotices, millis};
+use crate::context::{BoxContext, DutyHandles, millis};
 use crate::gossip::{Gossip, fetch_listings};
 use crate::passive_samples::SampleBuffer;
 use crate::permit_manager::PermitManager;
@@ -60,11 +60,11 @@
     let readiness = TcpListener::bind(settings.readiness).await?;
     let exchange = TcpListener::bind(settings.exchange).await?;
     let socket = UdpSocket::bind(SocketAddr::new(settings.host(), settings.gossip_port)).await?;
-    let (passive_samples, wishes) = SampleBuffer::new();
+    let (passive_samples, sample_requests) = SampleBuffer::new();
     let (view_changed, notices) = async_channel::bounded(1);
-    let (newer_heard, heard) = async_channel::bounded(1);
-    let (quotas, quota_wishes) = QuotaManager::new(settings.quota_slack);
-    let (permits, permit_wishes) = PermitManager::new();
+    let (config_changed, heard) = async_channel::bounded(1);
+    let (quotas, quota_requests) = QuotaManager::new(settings.quota_slack);
+    let (permits, permit_requests) = PermitManager::new();
     let (fetching, named) = async_channel::bounded(1);
     let stopping = StopState::new();
     log::info!(
@@ -76,8 +76,9 @@
         log::warn!(without:% = settings.mechanisms; "parts-of-the-pick-off");
     }
     let policies = PolicySet::compile()?;
-    let duty_notices = DutyNotices { quotas, permits, passive_samples, view_changed, newer_heard };
-    let context = BoxContext::new(settings, port, policies, stopping, duty_notices, seed);
+    let duty_handles =
+        DutyHandles { quotas, permits, passive_samples, view_changed, config_changed };
+    let context = BoxContext::new(settings, port, policies, stopping, duty_handles, seed);
     let gossip = Gossip::new(Arc::clone(&context), socket, seed, fetching);
     let reader = ConfigReader::new(Arc::clone(&context), Arc::clone(&gossip));
     let store =
@@ -88,10 +89,10 @@
         task::spawn(serve_peers(exchange, Arc::clone(&context))),
         task::spawn(Arc::clone(&gossip).receive()),
         task::spawn(Arc::clone(&gossip).run_heartbeats()),
-        task::spawn(Arc::clone(&gossip).run_reports(wishes)),
+        task::spawn(Arc::clone(&gossip).run_reports(sample_requests)),
         task::spawn(fetch_listings(Arc::clone(&context), named)),
-        task::spawn(QuotaManager::run(Arc::clone(&context), Arc::clone(&gossip), quota_wishes)),
-        task::spawn(PermitManager::run(Arc::clone(&gossip), permit_wishes)),
+        task::spawn(QuotaManager::run(Arc::clone(&context), Arc::clone(&gossip), quota_requests)),
+        task::spawn(PermitManager::run(Arc::clone(&gossip), permit_requests)),
         task::spawn(store.run(notices)),
         task::spawn(config.run(heard)),
         task::spawn(note_reloads(reloads)),
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -49,9 +49,9 @@
     /// the store for those with less.
     pub link_mbps: u32,
     /// Connections of callers at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Bytes of request bodies that are held at once, in all requests together.
-    pub held_body_bytes: usize,
+    pub max_held_body_bytes: usize,
     /// How much is logged.
     pub log_level: String,
 }
--- a/crates/gateway/src/stopping.rs
+++ b/crates/gateway/src/stopping.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, OnceLock};
 use std::time::Instant;
 
-use crate::gate::OpenGate;
+use crate::latch::ReadyLatch;
 
 #[derive(Debug, Clone, Copy)]
 struct StopTimes {
@@ -23,7 +23,7 @@
     /// Requests that are read and not yet answered.
     busy: Arc<AtomicUsize>,
     /// Opens when connections that rest are to be closed.
-    closing: OpenGate,
+    closing: ReadyLatch,
 }
 
 impl StopState {
@@ -33,7 +33,7 @@
             end: Arc::default(),
             open: Arc::default(),
             busy: Arc::default(),
-            closing: OpenGate::default(),
+            closing: ReadyLatch::default(),
         }
     }
 
@@ -45,7 +45,7 @@
     }
 
     /// Whether a request that may take until `until` could be cut by a planned stop.
-    pub(crate) fn ends_before(&self, until: Instant) -> bool {
+    pub(crate) fn could_interrupt(&self, until: Instant) -> bool {
         self.end.get().is_some_and(|times| Instant::now() >= times.careful && until > times.end)
     }
 
@@ -70,12 +70,12 @@
     }
 
     /// Counts a connection until the guard is dropped.
-    pub(crate) fn hold_connection(&self) -> CountGuard {
+    pub(crate) fn count_connection(&self) -> CountGuard {
         CountGuard::new(&self.open)
     }
 
     /// Counts a request until the guard is dropped.
-    pub(crate) fn hold_request(&self) -> CountGuard {
+    pub(crate) fn count_request(&self) -> CountGuard {
         CountGuard::new(&self.busy)
     }
 
--- a/crates/gateway/src/store_duty.rs
+++ b/crates/gateway/src/store_duty.rs
@@ -21,7 +21,7 @@
 use crate::gossip::Gossip;
 use crate::ports::{StoreError, StorePoll};
 use crate::store_backoff::StoreBackoff;
-use crate::suspension::StartMark;
+use crate::suspension::ClockSample;
 
 /// How long a listing that is there waits for the word that the configuration is unchanged,
 /// so that peers are told of both at once. The store answers in 4 ms.
@@ -118,7 +118,7 @@
 
     async fn read(&mut self) {
         let began = Instant::now();
-        let mark = self.context.start_mark();
+        let mark = self.context.clock_sample();
         match self.read_once(began, mark).await {
             Ok(()) => {
                 let revision = self.context.view().revision();
@@ -143,7 +143,7 @@
 
     /// Reads all in one call, or, where the configuration is large, lists the targets and
     /// has news of the configuration read beside that.
-    async fn read_once(&mut self, began: Instant, mark: StartMark) -> Result<(), StoreError> {
+    async fn read_once(&mut self, began: Instant, mark: ClockSample) -> Result<(), StoreError> {
         if let Some(after) = self.news_from()
             && self.read_news(after, began, &mark).await?
         {
@@ -157,7 +157,7 @@
                 revision = view.revision, with_config = true, taken_ms = millis(began.elapsed());
                 "view-read"
             );
-            self.context.take_view(view, self.context.corrected(&mark), "store");
+            self.context.apply_view(view, self.context.corrected_time(&mark), "store");
             return Ok(());
         }
         let reader = Arc::clone(&self.config);
@@ -170,7 +170,7 @@
         // Targets don't wait for a configuration that takes long: they are in force from here
         // on, and peers are told at once. Waiting made requests reach targets 3 s after these
         // had said that they leave, by the requests' lines.
-        self.context.apply_listing(listing, self.context.corrected(&mark), "store");
+        self.context.apply_listing(listing, self.context.corrected_time(&mark), "store");
         // Late: it goes on by itself, and is told when it is there.
         let _ = timeout(CONFIG_WAIT, reading).await;
         Ok(())
@@ -198,7 +198,7 @@
         &self,
         after: u64,
         began: Instant,
-        mark: &StartMark,
+        mark: &ClockSample,
     ) -> Result<bool, StoreError> {
         let StorePoll::Changed(news) = self.context.port.poll_changes(after).await? else {
             log::info!(after; "history-forgotten");
@@ -209,7 +209,7 @@
             taken_ms = millis(began.elapsed());
             "news-read"
         );
-        self.context.apply_changes(*news, self.context.corrected(mark));
+        self.context.apply_changes(*news, self.context.corrected_time(mark));
         Ok(true)
     }
 
--- a/crates/gateway/src/suspension.rs
+++ b/crates/gateway/src/suspension.rs
@@ -15,15 +15,15 @@
 
 /// When something began, and how long the machine had been suspended by then.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct StartMark {
+pub(crate) struct ClockSample {
     at: Instant,
     suspended: Duration,
 }
 
-impl StartMark {
+impl ClockSample {
     /// A mark for now, `suspended` being the machine's whole suspended time.
-    pub(crate) fn now(suspended: Duration) -> StartMark {
-        StartMark { at: Instant::now(), suspended }
+    pub(crate) fn now(suspended: Duration) -> ClockSample {
+        ClockSample { at: Instant::now(), suspended }
     }
 
     /// A time after this mark as it is on a clock that counted what was suspended since, up to `suspended`.
@@ -35,7 +35,7 @@
     }
 
     /// When it began, on that clock.
-    pub(crate) fn corrected(&self, suspended: Duration) -> Instant {
+    pub(crate) fn corrected_time(&self, suspended: Duration) -> Instant {
         self.correct(self.at, suspended)
     }
 }
@@ -68,7 +68,7 @@
     }
 
     /// Whether it woke a moment ago.
-    pub(crate) fn is_waking(&self) -> bool {
+    pub(crate) fn recently_resumed(&self) -> bool {
         lock(&self.state).woke.is_some_and(|woke| woke.elapsed() < WAKING)
     }
 }
--- a/crates/gateway/src/view_exchange.rs
+++ b/crates/gateway/src/view_exchange.rs
@@ -111,7 +111,7 @@
     digest: u64,
 ) -> Result<FetchedTargets, WireError> {
     let began = Instant::now();
-    let start = context.start_mark();
+    let start = context.clock_sample();
     let question = ExchangeQuestion::Targets(TargetsRequest { digest });
     let time = context.budget.fetch_timeout();
     let reply: TargetsReply = query_peer(context, host, question, time).await?;
--- a/crates/gateway/tests/answers.rs
+++ b/crates/gateway/tests/answers.rs
@@ -3,8 +3,8 @@
 mod harness;
 
 use harness::{
-    BEGUN, BoxUnderTest, CallerStandin, LONG, Script, StoreStandin, TargetStandin, config, counted,
-    eventually, header, route,
+    BEGUN_ANSWER_BYTES, BoxUnderTest, CallerStandin, LONG_ANSWER_BYTES, Script, StoreStandin,
+    TargetStandin, config, counter_value, eventually, header, route,
 };
 use wingbridge_gateway::routes::RouteKind;
 use wingbridge_process::metrics::start_metrics;
@@ -99,7 +99,7 @@
     AnswerCase {
         name: "another instance at the address: not run",
         kind: ONCE,
-        scripts: &[Script::Other],
+        scripts: &[Script::OtherInstance],
         status: 503,
         body: None,
         sends: (1, 1),
@@ -107,7 +107,7 @@
     AnswerCase {
         name: "another instance, then the right one",
         kind: ONCE,
-        scripts: &[Script::Other, Script::Good],
+        scripts: &[Script::OtherInstance, Script::Good],
         status: 200,
         body: Some("hello"),
         sends: (1, 2),
@@ -131,7 +131,7 @@
     AnswerCase {
         name: "an order without an answer is unknown and not repeated",
         kind: ONCE,
-        scripts: &[Script::Silent, Script::Silent],
+        scripts: &[Script::ClosesUnanswered, Script::ClosesUnanswered],
         status: 502,
         body: None,
         sends: (1, 1),
@@ -174,9 +174,9 @@
         store.put_config(config(1, vec![route("r", "service", case.kind)]));
         store.put_targets(targets.iter().map(|target| target.entry.clone()).collect());
         let gateway = BoxUnderTest::start(store.port(true), &[]);
-        let reply = gateway.wait_ready().ask("POST", "/r/x");
+        let reply = gateway.wait_ready().request("POST", "/r/x");
         assert_eq!(reply.status, case.status, "{}: {reply:?}", case.name);
-        assert!(reply.whole, "{}", case.name);
+        assert!(reply.complete, "{}", case.name);
         if let Some(body) = case.body {
             assert_eq!(reply.body, body, "{}", case.name);
             assert_eq!(header(&reply.head, "x-proof"), Some("p"), "{}", case.name);
@@ -187,7 +187,7 @@
             "{}",
             case.name
         );
-        let sends: usize = targets.iter().map(|target| target.seen().len()).sum();
+        let sends: usize = targets.iter().map(|target| target.requests().len()).sum();
         assert!(case.sends.0 <= sends && sends <= case.sends.1, "{}: {sends} sends", case.name);
     }
 }
@@ -214,7 +214,7 @@
         "X-Left: 4000\r\nX-Other: o\r\nConnection: X-Hop\r\nX-Hop: h\r\nX-Wanted: forged\r\n";
     caller.send("POST", "/order/a?b=c", headers, "body");
     assert_eq!(caller.read().expect("an answer").status, 200);
-    let seen = target.seen();
+    let seen = target.requests();
     let (head, body) = seen[0].split_once("\r\n\r\n").expect("a message");
     assert!(head.starts_with("POST /order/a?b=c HTTP/1.1\r\n"), "{head}");
     assert_eq!(body, "body");
@@ -236,23 +236,23 @@
          3\r\nabc\r\n0\r\nTrailer: t\r\n\r\n",
     );
     assert_eq!(caller.read().expect("an answer").status, 200);
-    let seen = target.seen();
+    let seen = target.requests();
     assert!(seen[0].ends_with("\r\n\r\nabc"), "{}", seen[0]);
     assert!(seen[0].contains("Content-Length: 3\r\n"), "{}", seen[0]);
 }
 
 #[test]
 fn a_second_answer_never_reaches_a_caller() {
-    let (_store, _target, gateway) = one_target(Script::Twice);
+    let (_store, _target, gateway) = one_target(Script::AnswersTwice);
     let mut caller = gateway.connect();
     for _ in 0..3 {
-        assert_eq!(caller.ask("GET", "/get/x", "").body, "hello");
+        assert_eq!(caller.request("GET", "/get/x", "").body, "hello");
     }
 }
 
 #[test]
 fn an_answer_that_comes_before_the_body_is_read_is_taken() {
-    let (_store, _target, gateway) = one_target(Script::Early);
+    let (_store, _target, gateway) = one_target(Script::AnswersBeforeBody);
     let mut caller = gateway.connect();
     caller.send("POST", "/order/x", "", &"b".repeat(4 << 20));
     assert_eq!(caller.read().expect("an answer").body, "hello");
@@ -263,7 +263,7 @@
     let (_store, target, gateway) = one_target(Script::Hangs);
     let mut caller = gateway.connect();
     caller.send("GET", "/get/x", "", "");
-    eventually("the target works", || target.seen().len() == 1);
+    eventually("the target works", || target.requests().len() == 1);
     drop(caller);
     eventually("its connection is closed", || target.hang_ups() == 1);
 }
@@ -277,10 +277,10 @@
     let (_store, target, gateway) = one_target(Script::LongHangs);
     let mut caller = gateway.connect();
     caller.send("GET", "/get/x", "", "");
-    caller.read_beginning(BEGUN);
+    caller.read_beginning(BEGUN_ANSWER_BYTES);
     drop(caller);
     eventually("its connection is closed", || target.hang_ups() == 1);
-    eventually("the box saw that it left", || counted(LEFT) == 1);
+    eventually("the box saw that it left", || counter_value(LEFT) == 1);
 }
 
 /// A request of that kind that hangs at the only target, with a good one that joins then.
@@ -294,7 +294,7 @@
     gateway.wait_ready();
     let mut caller = gateway.connect();
     caller.send("POST", "/r/x", "", "body");
-    eventually("it hangs", || hangs.seen().len() == 1);
+    eventually("it hangs", || hangs.requests().len() == 1);
     store.put_targets(vec![hangs.entry.clone(), good.entry.clone()]);
     (caller, [hangs, good], gateway)
 }
@@ -306,7 +306,7 @@
     let (mut caller, [hangs, good], _gateway) = hang_beside_a_good_target(REPEATABLE);
     let reply = caller.read().expect("an answer");
     assert_eq!((reply.status, reply.body.as_str()), (200, "hello"), "{reply:?}");
-    assert_eq!((hangs.seen().len(), good.seen().len()), (1, 1));
+    assert_eq!((hangs.requests().len(), good.requests().len()), (1, 1));
     eventually("what lost the race is cancelled", || hangs.hang_ups() == 1);
 }
 
@@ -316,16 +316,16 @@
     let (_caller, [hangs, good], gateway) = hang_beside_a_good_target(ONCE);
     // Another request finds the good target, so this box knows of it.
     let mut others = Vec::new();
-    while good.seen().is_empty() {
+    while good.requests().is_empty() {
         let mut other = gateway.connect();
-        let sends = hangs.seen().len();
+        let sends = hangs.requests().len();
         other.send("POST", "/r/other", "", "");
         others.push(other);
-        eventually("it arrives", || hangs.seen().len() > sends || !good.seen().is_empty());
+        eventually("it arrives", || hangs.requests().len() > sends || !good.requests().is_empty());
     }
     // Five times the time after which one that may be repeated is sent again.
     std::thread::sleep(std::time::Duration::from_millis(1500));
-    let sends = hangs.seen().len() + good.seen().len();
+    let sends = hangs.requests().len() + good.requests().len();
     assert_eq!(sends, 1 + others.len(), "each order went to one target");
 }
 
@@ -338,7 +338,7 @@
     store.put_config(config(1, vec![short]));
     store.put_targets(vec![target.entry.clone()]);
     let gateway = BoxUnderTest::start(store.port(true), &[]);
-    let reply = gateway.wait_ready().ask("POST", "/order/x");
+    let reply = gateway.wait_ready().request("POST", "/order/x");
     assert_eq!(reply.status, 504, "{reply:?}");
     assert_eq!(header(&reply.head, "retry-after"), None, "it may have run");
     eventually("the work is cancelled", || target.hang_ups() == 1);
@@ -354,27 +354,27 @@
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     gateway.wait_ready();
     for _ in 0..10 {
-        assert_eq!(gateway.ask("POST", "/order/x").status, 200);
+        assert_eq!(gateway.request("POST", "/order/x").status, 200);
     }
 }
 
 #[test]
 fn a_long_answer_passes_whole_or_breaks_off_visibly() {
     let (_store, target, gateway) = one_target(Script::Long);
-    let reply = gateway.ask("GET", "/get/x");
-    assert!(reply.whole && reply.body.len() == LONG);
-    target.follow(Script::LongCutShort);
-    let reply = gateway.ask("GET", "/get/x");
+    let reply = gateway.request("GET", "/get/x");
+    assert!(reply.complete && reply.body.len() == LONG_ANSWER_BYTES);
+    target.set_script(Script::LongTruncated);
+    let reply = gateway.request("GET", "/get/x");
     assert_eq!(reply.status, 200);
-    assert!(!reply.whole, "the connection closes short of the announced length");
+    assert!(!reply.complete, "the connection closes short of the announced length");
 }
 
 #[test]
 fn what_no_route_takes_is_not_found() {
     let (_store, target, gateway) = one_target(Script::Good);
-    assert_eq!(gateway.ask("GET", "/unknown/x").status, 404);
-    assert_eq!(gateway.ask("GET", "/get").status, 404);
-    assert_eq!(target.seen().len(), 0);
+    assert_eq!(gateway.request("GET", "/unknown/x").status, 404);
+    assert_eq!(gateway.request("GET", "/get").status, 404);
+    assert_eq!(target.requests().len(), 0);
 }
 
 #[test]
@@ -384,5 +384,5 @@
     caller.send_raw("POST /order/x HTTP/1.1\r\nHost: host.example\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd");
     assert_eq!(caller.read().expect("an answer").status, 400);
     assert!(caller.read().is_none(), "the connection is closed");
-    assert_eq!(target.seen().len(), 0);
+    assert_eq!(target.requests().len(), 0);
 }
--- a/crates/gateway/tests/cold_targets.rs
+++ b/crates/gateway/tests/cold_targets.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 use harness::{
-    BoxUnderTest, Script, StoreStandin, TargetStandin, ask_while, config, eventually, most_within,
-    own_host, route,
+    BoxUnderTest, Script, StoreStandin, TargetStandin, config, eventually, max_within, own_host,
+    request_while, route,
 };
 use wingbridge_decide::steer::RequestRate;
 use wingbridge_gateway::routes::RouteKind;
@@ -69,8 +69,8 @@
 #[test]
 fn six_boxes_keep_to_what_a_cold_target_takes_and_use_it() {
     let world = World::start();
-    let ask = |gateway: &BoxUnderTest| drop(gateway.ask("POST", "/r/x"));
-    let from = ask_while(&world.boxes, ask, PAUSE, || {
+    let ask = |gateway: &BoxUnderTest| drop(gateway.request("POST", "/r/x"));
+    let from = request_while(&world.boxes, ask, PAUSE, || {
         world.list(true);
         thread::sleep(NEWS_TIME);
         let from = Instant::now();
@@ -78,14 +78,14 @@
         from
     });
     let arrivals = world.cold.arrivals();
-    let most = most_within(&arrivals, from, Duration::from_secs(1));
+    let most = max_within(&arrivals, from, Duration::from_secs(1));
     assert!(most <= MOST, "{most} in a second");
     let used = arrivals.iter().filter(|at| **at >= from).count();
     assert!(used >= ASKED_FOR.as_secs() as usize, "{used}: it is to be used all the same");
     world.list(false);
-    let before = world.cold.seen().len();
+    let before = world.cold.requests().len();
     eventually("warm again, it is asked as before", || {
-        world.boxes.iter().for_each(|asked| drop(asked.ask("POST", "/r/x")));
-        world.cold.seen().len() >= before + 60
+        world.boxes.iter().for_each(|asked| drop(asked.request("POST", "/r/x")));
+        world.cold.requests().len() >= before + 60
     });
 }
--- a/crates/gateway/tests/crash_reports.rs
+++ b/crates/gateway/tests/crash_reports.rs
@@ -55,7 +55,7 @@
 }
 
 fn start() -> (TargetStandin, StoreStandin, BoxUnderTest) {
-    let target = TargetStandin::start("t", "service", Script::EndsByDeadly);
+    let target = TargetStandin::start("t", "service", Script::CrashesOnPoison);
     let store = StoreStandin::default();
     store.put_config(config(1, vec![route("r", "service", RouteKind::AtMostOnce)]));
     store.put_targets(vec![target.entry.clone()]);
@@ -76,7 +76,7 @@
 fn a_target_s_end_is_told_with_the_request_at_once() {
     let (_target, _store, gateway) = start();
     let peer = PeerStandin::known_to(&gateway);
-    assert_eq!(gateway.ask("POST", "/r/deadly").status, 502);
+    assert_eq!(gateway.request("POST", "/r/deadly").status, 502);
     let told = peer.hear(of_sightings);
     assert_eq!(told.crashes[0].targets.len(), 1);
     let bad = told.targets.iter().find(|seen| seen.bad > 0).expect("in the failure's datagram");
@@ -88,7 +88,7 @@
 fn it_is_told_again_with_signs_of_life() {
     let (_target, _store, gateway) = start();
     let peer = PeerStandin::known_to(&gateway);
-    assert_eq!(gateway.ask("POST", "/r/deadly").status, 502);
+    assert_eq!(gateway.request("POST", "/r/deadly").status, 502);
     let crashes = peer.hear(|body| match body {
         DatagramBody::Heartbeat(beacon) if !beacon.crashes.is_empty() => Some(beacon.crashes),
         _ => None,
@@ -124,5 +124,5 @@
         DatagramBody::Heartbeat(Heartbeat { wants_reply: true, ..Heartbeat::default() }),
     );
     peer.hear(|body| matches!(body, DatagramBody::Heartbeat(_)).then_some(()));
-    assert_eq!(gateway.ask("POST", "/r/sound").status, 200);
+    assert_eq!(gateway.request("POST", "/r/sound").status, 200);
 }
--- a/crates/gateway/tests/ended_targets.rs
+++ b/crates/gateway/tests/ended_targets.rs
@@ -2,7 +2,7 @@
 
 mod harness;
 
-use harness::{BoxUnderTest, Script, StoreStandin, TargetStandin, config, counted, route};
+use harness::{BoxUnderTest, Script, StoreStandin, TargetStandin, config, counter_value, route};
 use wingbridge_gateway::routes::RouteKind;
 use wingbridge_process::metrics::start_metrics;
 
@@ -14,8 +14,8 @@
 }
 
 const CASES: &[EndCase] = &[
-    EndCase { name: "the target ended", script: Script::Ends, ended: 1 },
-    EndCase { name: "its answer was lost", script: Script::Silent, ended: 0 },
+    EndCase { name: "the target ended", script: Script::Crashes, ended: 1 },
+    EndCase { name: "its answer was lost", script: Script::ClosesUnanswered, ended: 0 },
     EndCase { name: "its answer was cut short", script: Script::Truncated, ended: 0 },
     EndCase { name: "it failed", script: Script::Fails, ended: 0 },
 ];
@@ -32,10 +32,10 @@
         store.put_targets(vec![target.entry.clone()]);
         let gateway = BoxUnderTest::start(store.port(true), &[]);
         gateway.wait_ready();
-        let before = counted("wingbridge_targets_ended");
-        let reply = gateway.ask("POST", "/r/x");
+        let before = counter_value("wingbridge_targets_ended");
+        let reply = gateway.request("POST", "/r/x");
         assert!(reply.status >= 500, "{}: {}", case.name, reply.status);
-        let ended = counted("wingbridge_targets_ended") - before;
+        let ended = counter_value("wingbridge_targets_ended") - before;
         assert_eq!(ended, case.ended, "{}", case.name);
     }
 }
--- a/crates/gateway/tests/evacuations.rs
+++ b/crates/gateway/tests/evacuations.rs
@@ -46,17 +46,17 @@
 /// Waits until the box sends nothing to `target`, and asks it often enough to be sure.
 fn sends_nothing(gateway: &BoxUnderTest, target: &TargetStandin) {
     eventually("nothing more is sent there", || {
-        let before = target.seen().len();
-        (0..ASKED).all(|_| gateway.ask("POST", "/r/x").status == 200)
-            && target.seen().len() == before
+        let before = target.requests().len();
+        (0..ASKED).all(|_| gateway.request("POST", "/r/x").status == 200)
+            && target.requests().len() == before
     });
 }
 
 fn sends_again(gateway: &BoxUnderTest, target: &TargetStandin) {
-    let before = target.seen().len();
+    let before = target.requests().len();
     eventually("it gets requests again", || {
-        gateway.ask("POST", "/r/x");
-        target.seen().len() > before
+        gateway.request("POST", "/r/x");
+        target.requests().len() > before
     });
 }
 
@@ -80,13 +80,16 @@
     let gateway = world.start(true, &[]);
     sends_nothing(&gateway, &world.near);
     world.store.put_targets(vec![world.far.entry.clone(), world.near.entry.clone()]);
-    world.store.set_forgetful(true);
+    world.store.set_history_lost(true);
     sends_nothing(&gateway, &world.near);
     let second = world.start(true, &[gateway.host()]);
-    world.store.set_away(true);
+    world.store.set_unreachable(true);
     sends_nothing(&gateway, &world.near);
     sends_nothing(&second, &world.near);
-    assert!(world.near.seen().is_empty(), "a box that starts knows it before its first request");
+    assert!(
+        world.near.requests().is_empty(),
+        "a box that starts knows it before its first request"
+    );
 }
 
 #[test]
@@ -106,8 +109,8 @@
     let world = World::new(0);
     let gateway = world.start(true, &[]);
     world.store.put_evacuated(&["centre", "elsewhere", "nowhere"]);
-    eventually("requests are refused", || gateway.ask("POST", "/r/x").status == 503);
-    let before = (world.near.seen().len(), world.far.seen().len());
-    assert!((0..ASKED).all(|_| gateway.ask("POST", "/r/x").status == 503));
-    assert_eq!((world.near.seen().len(), world.far.seen().len()), before);
+    eventually("requests are refused", || gateway.request("POST", "/r/x").status == 503);
+    let before = (world.near.requests().len(), world.far.requests().len());
+    assert!((0..ASKED).all(|_| gateway.request("POST", "/r/x").status == 503));
+    assert_eq!((world.near.requests().len(), world.far.requests().len()), before);
 }
--- a/crates/gateway/tests/exchange.rs
+++ b/crates/gateway/tests/exchange.rs
@@ -11,8 +11,8 @@
 use async_std::net::TcpListener;
 use async_std::task;
 use harness::{
-    BoxUnderTest, EXCHANGE, GOSSIP, Script, StoreStandin, TargetStandin, ask_on, ask_targets,
-    config, connect_exchange, eventually, own_host, packed, route, unpacked,
+    BoxUnderTest, EXCHANGE, GOSSIP, Script, StoreStandin, TargetStandin, config, connect_exchange,
+    eventually, exchange_on, fetch_targets, own_host, packed, route, unpacked,
 };
 use prost::Message;
 use rand::rngs::SmallRng;
@@ -35,7 +35,7 @@
 
 fn ask_config(host: IpAddr, revision: u64) -> ConfigReply {
     let question = ExchangeQuestion::Config(ConfigRequest { revision });
-    ask_on(&connect_exchange(host), Some(question)).expect("it answers")
+    exchange_on(&connect_exchange(host), Some(question)).expect("it answers")
 }
 
 #[test]
@@ -50,7 +50,7 @@
     let text = apply_patch(b"", &first.deltas[0].patch).expect("it fits the empty text");
     assert!(text.len() > 200_000);
     store.put_config(config(3, vec![route("later", "service", RouteKind::Repeatable)]));
-    eventually("the change is in force", || gateway.ask("GET", "/later/x").status != 404);
+    eventually("the change is in force", || gateway.request("GET", "/later/x").status != 404);
     // A box works by a configuration a moment before it can hand it on: what is new has to be worked out.
     eventually("it is handed on", || {
         ask_config(gateway.host(), first.revision).revision > first.revision
@@ -99,7 +99,7 @@
             continue;
         }
         let holder: IpAddr = "10.0.0.9".parse().expect("an address");
-        source.note_holder(holder, 7);
+        source.record_seeder(holder, 7);
         assert_eq!(ask().message().seeders, ["10.0.0.9"], "{}", case.name);
         replies.remove(0);
         assert!(!ask().message().busy, "{}: one has been sent", case.name);
@@ -119,26 +119,26 @@
     store.put_targets(vec![leaves.entry.clone(), stays.entry.clone()]);
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     gateway.wait_ready();
-    let all = ask_targets(gateway.host(), 0);
+    let all = fetch_targets(gateway.host(), 0);
     assert_eq!((all.base, unpacked(&all).len()), (0, 2));
     let digest = all.version.expect("it knows some").digest;
     store.put_targets(vec![stays.entry.clone()]);
     let mut news = TargetsReply::default();
     eventually("one is gone", || {
-        news = ask_targets(gateway.host(), digest);
+        news = fetch_targets(gateway.host(), digest);
         news.version.is_some_and(|mark| mark.digest != digest)
     });
     assert_eq!((news.base, unpacked(&news).len()), (digest, 0));
     assert_eq!(news.removed, ["leaves"]);
-    assert_eq!(ask_targets(gateway.host(), 77).base, 0, "an unknown listing");
+    assert_eq!(fetch_targets(gateway.host(), 77).base, 0, "an unknown listing");
 }
 
 #[test]
 fn a_question_of_no_kind_ends_its_connection_alone() {
     let gateway = BoxUnderTest::start(store().port(true), &[]);
     gateway.wait_ready();
-    assert!(ask_on::<TargetsReply>(&connect_exchange(gateway.host()), None).is_err());
-    assert!(ask_targets(gateway.host(), 0).version.is_some());
+    assert!(exchange_on::<TargetsReply>(&connect_exchange(gateway.host()), None).is_err());
+    assert!(fetch_targets(gateway.host(), 0).version.is_some());
 }
 
 /// In a data centre with links of 10 and 200 Mbit/s a box with 10 read for all, and a large
@@ -180,7 +180,7 @@
         peer.tell(&gateway, mark);
         !gateway.is_ready()
     });
-    assert_ne!(gateway.ask("GET", "/r/x").status, 404, "what still comes is served");
+    assert_ne!(gateway.request("GET", "/r/x").status, 404, "what still comes is served");
 }
 
 /// A peer that tells what a test wants and answers each question with the next reply of a list.
@@ -271,9 +271,9 @@
         whole_asked.load(Ordering::Relaxed)
     });
     for _ in 0..20 {
-        assert_eq!(gateway.ask("GET", "/r/x").status, 200);
+        assert_eq!(gateway.request("GET", "/r/x").status, 200);
     }
-    assert_eq!(strange.seen().len(), 0);
+    assert_eq!(strange.requests().len(), 0);
 }
 
 /// Steps that lead elsewhere, or that don't follow, change nothing.
@@ -299,6 +299,6 @@
         peer.tell(&gateway, mark);
         answered.load(Ordering::Relaxed) >= 3
     });
-    assert_ne!(gateway.ask("GET", "/r/x").status, 404, "the configuration before is in force");
+    assert_ne!(gateway.request("GET", "/r/x").status, 404, "the configuration before is in force");
     assert_eq!(ask_config(gateway.host(), 0).revision, 1);
 }
--- a/crates/gateway/tests/first_view.rs
+++ b/crates/gateway/tests/first_view.rs
@@ -101,7 +101,7 @@
     let target = TargetStandin::start("t", "service", Script::Good);
     let store = StoreStandin::default();
     store.put_config(config(1, vec![route("r", "service", RouteKind::Repeatable)]));
-    store.set_away(true);
+    store.set_unreachable(true);
     let record = TargetRecord {
         id: "t".into(),
         address: target.entry.address.to_string(),
@@ -115,7 +115,7 @@
     eventually("it misses the store", || store.reads() > 0);
     eventually("the configuration is in force", || {
         peer.tell(gateway.host());
-        gateway.ask("GET", "/none/x").status == 404
+        gateway.request("GET", "/none/x").status == 404
     });
     assert!(!gateway.is_ready(), "it would turn each caller away");
     peer.lists.store(true, Ordering::Release);
@@ -123,5 +123,5 @@
         peer.tell(gateway.host());
         gateway.is_ready()
     });
-    assert_eq!(gateway.ask("GET", "/r/x").status, 200);
+    assert_eq!(gateway.request("GET", "/r/x").status, 200);
 }
--- a/crates/gateway/tests/harness/caller.rs
+++ b/crates/gateway/tests/harness/caller.rs
@@ -18,7 +18,7 @@
     pub head: String,
     pub body: String,
     /// Whether the body was as long as its head says.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl CallerStandin {
@@ -28,7 +28,7 @@
     }
 
     /// Sends a request with the id "id-1" and reads the answer.
-    pub fn ask(&mut self, method: &str, path: &str, more_headers: &str) -> CallerReply {
+    pub fn request(&mut self, method: &str, path: &str, more_headers: &str) -> CallerReply {
         self.send(method, path, more_headers, "");
         self.read().expect("an answer")
     }
@@ -68,7 +68,7 @@
                 Ok(count) => body.push_str(&String::from_utf8_lossy(&chunk[..count])),
             }
         }
-        let whole = body.len() == length;
-        Some(CallerReply { status, head, body, whole })
+        let complete = body.len() == length;
+        Some(CallerReply { status, head, body, complete })
     }
 }
--- a/crates/gateway/tests/harness/gateway.rs
+++ b/crates/gateway/tests/harness/gateway.rs
@@ -100,8 +100,8 @@
     }
 
     /// One request on a connection of its own.
-    pub fn ask(&self, method: &str, path: &str) -> CallerReply {
-        self.connect().ask(method, path, "")
+    pub fn request(&self, method: &str, path: &str) -> CallerReply {
+        self.connect().request(method, path, "")
     }
 
     /// Begins a planned stop.
@@ -138,8 +138,8 @@
         cross_cost: 0.01,
         mechanisms: Default::default(),
         link_mbps: 0,
-        connections: 100,
-        held_body_bytes: 16 << 20,
+        max_connections: 100,
+        max_held_body_bytes: 16 << 20,
         log_level: "off".into(),
     }
 }
--- a/crates/gateway/tests/harness/load.rs
+++ b/crates/gateway/tests/harness/load.rs
@@ -6,7 +6,7 @@
 
 /// Has each of `boxes` asked again and again by a thread of its own, each `pause` after it has answered, for as
 /// long as `meanwhile` lasts.
-pub fn ask_while<B: Sync, T>(
+pub fn request_while<B: Sync, T>(
     boxes: &[B],
     ask: impl Fn(&B) + Sync,
     pause: Duration,
@@ -38,7 +38,7 @@
 }
 
 /// The most that came within `window` from `from` on.
-pub fn most_within(arrivals: &[Instant], from: Instant, window: Duration) -> usize {
+pub fn max_within(arrivals: &[Instant], from: Instant, window: Duration) -> usize {
     let mut late: Vec<Instant> = arrivals.iter().copied().filter(|at| *at >= from).collect();
     late.sort_unstable();
     let within = |first: Instant| move |at: &&Instant| **at >= first && **at < first + window;
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -25,10 +25,12 @@
 
 pub use caller::{CallerReply, CallerStandin};
 pub use gateway::{BoxUnderTest, EXCHANGE, GOSSIP};
-pub use load::{ask_while, most_within};
-pub use peer::{ask_on, ask_targets, connect_exchange, packed, unpacked};
+pub use load::{max_within, request_while};
+pub use peer::{connect_exchange, exchange_on, fetch_targets, packed, unpacked};
 pub use store::StoreStandin;
-pub use target::{BEGUN, DEADLY, LONG, Script, TargetStandin, entry};
+pub use target::{
+    BEGUN_ANSWER_BYTES, LONG_ANSWER_BYTES, POISON_PATH_PART, Script, TargetStandin, entry,
+};
 
 /// Looks at something that is about to happen; then the test fails.
 const LOOKS: usize = 1000;
@@ -58,7 +60,7 @@
 }
 
 /// The count of a metric without labels, over all boxes of this process; 0 before the first.
-pub fn counted(name: &str) -> u64 {
+pub fn counter_value(name: &str) -> u64 {
     let text = render_metrics();
     let mut lines = text.lines().filter_map(|line| line.split_once(' '));
     let found = lines.find(|(known, _)| *known == name);
--- a/crates/gateway/tests/harness/peer.rs
+++ b/crates/gateway/tests/harness/peer.rs
@@ -18,7 +18,7 @@
 }
 
 /// Asks a question on a connection.
-pub fn ask_on<M: Message + Default>(
+pub fn exchange_on<M: Message + Default>(
     stream: &TcpStream,
     question: Option<ExchangeQuestion>,
 ) -> Result<M, WireError> {
@@ -29,9 +29,9 @@
 }
 
 /// Asks for the targets that lead from the listing with that hash; 0 for all of them.
-pub fn ask_targets(host: IpAddr, digest: u64) -> TargetsReply {
+pub fn fetch_targets(host: IpAddr, digest: u64) -> TargetsReply {
     let question = ExchangeQuestion::Targets(TargetsRequest { digest });
-    ask_on(&connect_exchange(host), Some(question)).expect("it answers")
+    exchange_on(&connect_exchange(host), Some(question)).expect("it answers")
 }
 
 /// Targets as boxes send them to each other.
--- a/crates/gateway/tests/harness/store.rs
+++ b/crates/gateway/tests/harness/store.rs
@@ -43,7 +43,7 @@
     crash_notes: BTreeMap<String, Vec<u8>>,
     reads: usize,
     config_reads: usize,
-    news_asked: usize,
+    config_change_requests: usize,
     /// Time for which the machines of its boxes were suspended.
     suspended: Duration,
     /// Whether it has no history.
@@ -51,7 +51,7 @@
     /// What became of targets, with the revisions at which that was written.
     written: Vec<(u64, Name, Option<TargetEntry>)>,
     /// Questions for all that is new.
-    all_news_asked: usize,
+    change_requests: usize,
     /// Bytes that make the next configuration longer.
     padding: usize,
     /// The same of bytes that are all different and stay the same.
@@ -91,7 +91,7 @@
     }
 
     /// Whether calls fail from now on.
-    pub fn set_away(&self, away: bool) {
+    pub fn set_unreachable(&self, away: bool) {
         lock(&self.state).away = away;
     }
 
@@ -112,18 +112,18 @@
     }
 
     /// Whether it forgets its history from now on.
-    pub fn set_forgetful(&self, forgetful: bool) {
+    pub fn set_history_lost(&self, forgetful: bool) {
         lock(&self.state).forgetful = forgetful;
     }
 
     /// Questions for news of the configuration so far.
-    pub fn news_asked(&self) -> usize {
-        lock(&self.state).news_asked
+    pub fn config_change_requests(&self) -> usize {
+        lock(&self.state).config_change_requests
     }
 
     /// Questions for all that is new so far.
-    pub fn all_news_asked(&self) -> usize {
-        lock(&self.state).all_news_asked
+    pub fn change_requests(&self) -> usize {
+        lock(&self.state).change_requests
     }
 
     /// Readings of the whole configuration so far.
@@ -154,7 +154,7 @@
 }
 
 impl StandinPort {
-    fn ask<T>(&self, work: impl FnOnce(&mut StoreState) -> T) -> Result<T, StoreError> {
+    fn request<T>(&self, work: impl FnOnce(&mut StoreState) -> T) -> Result<T, StoreError> {
         let mut state = lock(&self.store.state);
         if state.away || !self.reachable {
             return Err(StoreError::new(StoreErrorKind::Unreachable, "the stand-in is away"));
@@ -175,13 +175,13 @@
 impl EnvironmentPort for StandinPort {
     fn read_all(&self) -> BoxFuture<'_, Result<StoreView, StoreError>> {
         lock(&self.store.state).reads += 1;
-        let view = self.ask(|state| state.view.clone());
+        let view = self.request(|state| state.view.clone());
         Box::pin(async { view })
     }
 
     fn read_targets(&self) -> BoxFuture<'_, Result<TargetListing, StoreError>> {
         lock(&self.store.state).reads += 1;
-        let listing = self.ask(|state| TargetListing {
+        let listing = self.request(|state| TargetListing {
             revision: state.view.revision,
             targets: state.view.targets.clone(),
             evacuated: state.view.evacuated.clone(),
@@ -190,8 +190,8 @@
     }
 
     fn poll_changes(&self, after: u64) -> BoxFuture<'_, Result<StorePoll, StoreError>> {
-        lock(&self.store.state).all_news_asked += 1;
-        let news = self.ask(|state| {
+        lock(&self.store.state).change_requests += 1;
+        let news = self.request(|state| {
             if state.forgetful {
                 return StorePoll::Forgotten;
             }
@@ -221,7 +221,7 @@
     }
 
     fn read_config(&self) -> BoxFuture<'_, Result<Option<ConfigText>, StoreError>> {
-        let config = self.ask(|state| {
+        let config = self.request(|state| {
             state.config_reads += 1;
             state.view.config.clone()
         });
@@ -229,8 +229,8 @@
     }
 
     fn poll_config(&self, after: u64) -> BoxFuture<'_, Result<ConfigPoll, StoreError>> {
-        let news = self.ask(|state| {
-            state.news_asked += 1;
+        let news = self.request(|state| {
+            state.config_change_requests += 1;
             match &state.view.config {
                 _ if state.forgetful => ConfigPoll::Forgotten,
                 Some(config) if config.revision > after => ConfigPoll::Changed(config.clone()),
@@ -246,7 +246,7 @@
     }
 
     fn read_bootstrap_addresses(&self) -> BoxFuture<'_, Result<Vec<IpAddr>, StoreError>> {
-        let contacts = self.ask(|state| state.contacts.clone());
+        let contacts = self.request(|state| state.contacts.clone());
         Box::pin(async { contacts })
     }
 
@@ -255,7 +255,7 @@
         _: &'a str,
         hosts: &'a [IpAddr],
     ) -> BoxFuture<'a, Result<(), StoreError>> {
-        let written = self.ask(|state| state.contacts = hosts.to_vec());
+        let written = self.request(|state| state.contacts = hosts.to_vec());
         Box::pin(async { written })
     }
 
@@ -264,7 +264,7 @@
         data_centre: &'a str,
         note: &'a [u8],
     ) -> BoxFuture<'a, Result<(), StoreError>> {
-        let written = self.ask(|state| {
+        let written = self.request(|state| {
             state.crash_notes.insert(data_centre.to_string(), note.to_vec());
             state.view.revision += 1;
             state.view.crash_notes = state.crash_notes.values().cloned().collect();
--- a/crates/gateway/tests/harness/target.rs
+++ b/crates/gateway/tests/harness/target.rs
@@ -29,11 +29,11 @@
     /// Refuses, and doesn't say whether it ran.
     Busy,
     /// Is another instance than the one that was meant.
-    Other,
+    OtherInstance,
     /// Runs it and closes within the body.
     Truncated,
     /// Runs it and closes without an answer.
-    Silent,
+    ClosesUnanswered,
     /// Answers well without its proof.
     NoProof,
     /// Gives the answer to another request.
@@ -43,35 +43,35 @@
     /// Encodes the body.
     Encoded,
     /// Answers well, and sends another answer behind.
-    Twice,
+    AnswersTwice,
     /// Answers well before it has read the body.
-    Early,
+    AnswersBeforeBody,
     /// Works until its connection is closed.
     Hangs,
     /// Answers well once the test lets it.
-    Gated,
+    WaitsForRelease,
     /// Refuses once the test lets it, and says that it ran nothing.
-    GatedSheds,
+    WaitsThenSheds,
     /// Answers with two megabytes and breaks off within them.
-    LongCutShort,
+    LongTruncated,
     /// Answers with two megabytes.
     Long,
     /// Begins an answer of two megabytes and works on the rest until its connection is closed.
     LongHangs,
     /// Begins to run it and ends by it, with all that is open there; its address refuses from then on.
-    Ends,
-    /// Ends by what is asked of [`DEADLY`], and answers all else well.
-    EndsByDeadly,
+    Crashes,
+    /// Ends by what is asked of [`POISON_PATH_PART`], and answers all else well.
+    CrashesOnPoison,
     /// The same, once the connection by which it came has closed.
-    EndsByDeadlyLate,
+    CrashesOnPoisonAfterClose,
 }
 
 /// The part of a path that marks requests under which targets end.
-pub const DEADLY: &str = "deadly";
+pub const POISON_PATH_PART: &str = "deadly";
 /// Bytes of a long answer.
-pub const LONG: usize = 2 << 20;
+pub const LONG_ANSWER_BYTES: usize = 2 << 20;
 /// Bytes of one that is begun and not finished.
-pub const BEGUN: usize = 1000;
+pub const BEGUN_ANSWER_BYTES: usize = 1000;
 
 /// A request that came, head and body, and when.
 struct SeenRequest {
@@ -117,7 +117,7 @@
                 let script = *lock(&followed);
                 if ends_by(script, &stream) {
                     note_deadly(&stream, &noted);
-                    if script == Script::EndsByDeadlyLate {
+                    if script == Script::CrashesOnPoisonAfterClose {
                         wait_closed(&stream);
                     }
                     drop(listener);
@@ -139,7 +139,7 @@
     }
 
     /// The requests that came, head and body.
-    pub fn seen(&self) -> Vec<String> {
+    pub fn requests(&self) -> Vec<String> {
         lock(&self.seen).iter().map(|seen| seen.text.clone()).collect()
     }
 
@@ -153,18 +153,18 @@
         *lock(&self.hang_ups)
     }
 
-    /// Lets what waits under [`Script::Gated`] go on.
-    pub fn open_gate(&self) {
+    /// Lets what waits under [`Script::WaitsForRelease`] go on.
+    pub fn release(&self) {
         self.gate.store(true, Ordering::Release);
     }
 
     /// Has those header lines in each answer from the next request on; each ends its line.
-    pub fn say(&self, lines: &str) {
+    pub fn set_answer_headers(&self, lines: &str) {
         *lock(&self.said) = lines.to_string();
     }
 
     /// Follows another script from the next request on.
-    pub fn follow(&self, script: Script) {
+    pub fn set_script(&self, script: Script) {
         *lock(&self.script) = script;
     }
 }
@@ -187,12 +187,12 @@
 /// Whether a target of `script` ends by the request that comes on `stream`.
 fn ends_by(script: Script, stream: &TcpStream) -> bool {
     match script {
-        Script::Ends => true,
-        Script::EndsByDeadly | Script::EndsByDeadlyLate => {
+        Script::Crashes => true,
+        Script::CrashesOnPoison | Script::CrashesOnPoisonAfterClose => {
             let mut beginning = [0; 256];
             let read = stream.peek(&mut beginning).unwrap_or(0);
             let line = String::from_utf8_lossy(&beginning[..read]).into_owned();
-            line.lines().next().is_some_and(|line| line.contains(DEADLY))
+            line.lines().next().is_some_and(|line| line.contains(POISON_PATH_PART))
         }
         _ => false,
     }
@@ -230,14 +230,17 @@
     hang_ups: &Mutex<usize>,
     gate: &AtomicBool,
 ) {
-    let Some((head, body)) = read_message(&mut stream, script != Script::Early) else {
+    let Some((head, body)) = read_message(&mut stream, script != Script::AnswersBeforeBody) else {
         return;
     };
     let id = header(&head, "x-id").unwrap_or_default().to_string();
     lock(seen).push(SeenRequest::now(&head, &body));
     let ok = format!("HTTP/1.1 200 Fine\r\nX-Id: {id}\r\nX-Proof: p\r\nX-Kept: k\r\n{said}");
     let answer = match script {
-        Script::Good | Script::EndsByDeadly | Script::EndsByDeadlyLate | Script::Early => {
+        Script::Good
+        | Script::CrashesOnPoison
+        | Script::CrashesOnPoisonAfterClose
+        | Script::AnswersBeforeBody => {
             format!("{ok}Content-Length: 5\r\n\r\nhello")
         }
         Script::Chunked => format!("{ok}Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n"),
@@ -259,14 +262,14 @@
             "HTTP/1.1 503 Busy\r\nX-Id: {id}\r\nX-Proof: p\r\n{said}Content-Length: 0\r\n\r\n"
         ),
         // It ran nothing, and says that as well.
-        Script::Other => {
+        Script::OtherInstance => {
             format!(
                 "HTTP/1.1 421 Other\r\nX-Id: {id}\r\nX-Not-Run: 1\r\n{said}Content-Length: 0\r\n\r\n"
             )
         }
         Script::Truncated => format!("{ok}Content-Length: 50\r\n\r\nhello"),
         // A target that ends never comes here.
-        Script::Silent | Script::Ends => String::new(),
+        Script::ClosesUnanswered | Script::Crashes => String::new(),
         Script::NoProof => {
             format!("HTTP/1.1 200 Fine\r\nX-Id: {id}\r\n{said}Content-Length: 5\r\n\r\nhello")
         }
@@ -276,7 +279,7 @@
             format!("HTTP/1.1 503 Full\r\nX-Id: {id}\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
         }
         Script::Encoded => format!("{ok}Content-Encoding: gzip\r\nContent-Length: 5\r\n\r\nhello"),
-        Script::Twice => {
+        Script::AnswersTwice => {
             let one = format!("{ok}Content-Length: 5\r\n\r\nhello");
             format!("{one}{}", one.replace("hello", "again"))
         }
@@ -287,20 +290,23 @@
             return;
         }
         Script::LongHangs => {
-            let begun = format!("{ok}Content-Length: {LONG}\r\n\r\n{}", "x".repeat(BEGUN));
+            let begun = format!(
+                "{ok}Content-Length: {LONG_ANSWER_BYTES}\r\n\r\n{}",
+                "x".repeat(BEGUN_ANSWER_BYTES)
+            );
             // The box may have gone away, which counts as a hang-up as well.
             let _ = stream.write_all(begun.as_bytes());
             let _ = stream.read(&mut [0; 16]);
             *lock(hang_ups) += 1;
             return;
         }
-        Script::Gated => {
+        Script::WaitsForRelease => {
             while !gate.load(Ordering::Acquire) {
                 thread::sleep(LOOK_PAUSE);
             }
             format!("{ok}Content-Length: 5\r\n\r\nhello")
         }
-        Script::GatedSheds => {
+        Script::WaitsThenSheds => {
             while !gate.load(Ordering::Acquire) {
                 thread::sleep(LOOK_PAUSE);
             }
@@ -308,9 +314,10 @@
                 "HTTP/1.1 503 Full\r\nX-Id: {id}\r\nX-Not-Run: 1\r\n{said}Content-Length: 0\r\n\r\n"
             )
         }
-        Script::Long | Script::LongCutShort => {
-            let length = if script == Script::Long { LONG } else { LONG - 10 };
-            format!("{ok}Content-Length: {LONG}\r\n\r\n{}", "x".repeat(length))
+        Script::Long | Script::LongTruncated => {
+            let length =
+                if script == Script::Long { LONG_ANSWER_BYTES } else { LONG_ANSWER_BYTES - 10 };
+            format!("{ok}Content-Length: {LONG_ANSWER_BYTES}\r\n\r\n{}", "x".repeat(length))
         }
     };
     // The box may have gone away, which is the test's business.
--- a/crates/gateway/tests/homes.rs
+++ b/crates/gateway/tests/homes.rs
@@ -98,12 +98,12 @@
     });
     gateway.wait_ready();
     for _ in 0..40 {
-        let reply = gateway.connect().ask("GET", "/r/x", "X-Key: key-of-one\r\n");
+        let reply = gateway.connect().request("GET", "/r/x", "X-Key: key-of-one\r\n");
         assert_eq!(reply.status, case.status, "{}", case.name);
     }
-    assert_eq!(!abroad.seen().is_empty(), case.abroad, "{}", case.name);
+    assert_eq!(!abroad.requests().is_empty(), case.abroad, "{}", case.name);
     if case.status == 503 && case.script == Script::Good {
-        assert!(home.seen().is_empty(), "{}", case.name);
+        assert!(home.requests().is_empty(), "{}", case.name);
     }
 }
 
--- a/crates/gateway/tests/keys.rs
+++ b/crates/gateway/tests/keys.rs
@@ -163,10 +163,10 @@
 fn requests_are_let_in_by_their_keys_and_told_apart() {
     let (_store, target, gateway) = one_target(with_customers(1, two_customers()));
     for case in ENTRANCES {
-        let before = target.seen().len();
-        let reply = gateway.connect().ask("POST", case.path, case.headers);
+        let before = target.requests().len();
+        let reply = gateway.connect().request("POST", case.path, case.headers);
         assert_eq!(reply.status, case.status, "{}", case.name);
-        let seen = target.seen();
+        let seen = target.requests();
         assert_eq!(seen.len() > before, case.status == 200, "{}: it runs or not", case.name);
         if case.status == 200 {
             let head = seen.last().expect("it came");
@@ -192,7 +192,7 @@
         assert!(header(&reply.head, "www-authenticate").is_some());
         assert_eq!(header(&reply.head, "retry-after"), None, "waiting would not help");
     }
-    let reply = caller.ask("POST", "/r/x", &format!("X-Key: {KEY}\r\n"));
+    let reply = caller.request("POST", "/r/x", &format!("X-Key: {KEY}\r\n"));
     assert_eq!(reply.status, 200, "the next one is judged anew");
     let trailers = format!(
         "POST /public/x HTTP/1.1\nHost: host.example\nX-Id: id-1\nTransfer-Encoding: chunked\n\n\
@@ -200,7 +200,7 @@
     );
     caller.send_raw(&trailers);
     assert_eq!(caller.read().expect("an answer").status, 200);
-    let head = target.seen().pop().expect("it came").to_lowercase();
+    let head = target.requests().pop().expect("it came").to_lowercase();
     assert!(!head.contains("x-customer") && !head.contains("x-key"), "{head}");
 }
 
@@ -274,12 +274,12 @@
     let mut caller = gateway.connect();
     for (number, case) in CHANGES.iter().enumerate() {
         store.put_config(marked(number, (case.customers)()));
-        eventually(case.name, || gateway.ask("GET", &format!("/v{number}/x")).status == 200);
+        eventually(case.name, || gateway.request("GET", &format!("/v{number}/x")).status == 200);
         for (key, (status, customer)) in [(KEY, case.first), (SECOND_KEY, case.second)] {
-            let reply = caller.ask("POST", "/r/x", &format!("X-Key: {key}\r\n"));
+            let reply = caller.request("POST", "/r/x", &format!("X-Key: {key}\r\n"));
             assert_eq!(reply.status, status, "{}: {key}", case.name);
             if customer.is_some() {
-                let seen = target.seen();
+                let seen = target.requests();
                 let head = seen.last().expect("it came");
                 assert_eq!(header(head, "x-customer"), customer, "{}: {key}", case.name);
             }
@@ -290,7 +290,7 @@
 #[test]
 fn closed_routes_stay_closed_without_a_table_of_customers() {
     let (_store, _target, gateway) = one_target(config(1, routes()));
-    let ask = |path: &str| gateway.connect().ask("POST", path, "X-Key: nobody-s\r\n").status;
+    let ask = |path: &str| gateway.connect().request("POST", path, "X-Key: nobody-s\r\n").status;
     assert_eq!(ask("/closed/x"), 401);
     assert_eq!(ask("/public/x"), 200);
     assert_eq!(ask("/r/x"), 200, "a deployment that knows no customers asks for no keys");
@@ -300,22 +300,22 @@
 fn a_request_is_judged_again_before_it_is_sent_again() {
     let store = StoreStandin::default();
     let ids = ["t0", "t1"];
-    let targets = ids.map(|id| TargetStandin::start(id, "service", Script::GatedSheds));
+    let targets = ids.map(|id| TargetStandin::start(id, "service", Script::WaitsThenSheds));
     store.put_config(with_customers(1, two_customers()));
     store.put_targets(targets.iter().map(|target| target.entry.clone()).collect());
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     let mut caller = gateway.wait_ready().connect();
     caller.send("POST", "/r/x", &format!("X-Key: {KEY}\r\n"), "");
-    let sends = || targets.iter().map(|target| target.seen().len()).sum::<usize>();
+    let sends = || targets.iter().map(|target| target.requests().len()).sum::<usize>();
     eventually("a target has it", || sends() == 1);
     let mut routes = routes();
     let later = Route { access: RouteAccess::Public, ..route("later", "nothing", ONCE) };
     routes.push(later);
     let withdrawn = CustomerTable::new(vec![customer("one", &[SECOND_KEY])]);
     store.put_config(config(2, routes).with_customers(withdrawn));
-    eventually("the key is withdrawn", || gateway.ask("POST", "/later/x").status != 404);
+    eventually("the key is withdrawn", || gateway.request("POST", "/later/x").status != 404);
     for target in &targets {
-        target.open_gate();
+        target.release();
     }
     assert_eq!(caller.read().expect("an answer").status, 401);
     assert_eq!(sends(), 1, "the other target never gets it");
@@ -342,7 +342,7 @@
 #[test]
 fn a_key_that_peers_know_already_is_waited_for() {
     let (store, target, gateway) = one_target(with_customers(1, two_customers()));
-    store.set_away(true);
+    store.set_unreachable(true);
     let mut newer = two_customers();
     newer.push(customer("three", &["key-of-three"]));
     store.put_config(with_customers(2, newer));
@@ -370,10 +370,10 @@
     let to = SocketAddr::new(gateway.host(), GOSSIP);
     socket.send_to(&datagram.encode_to_vec(), to).expect("loopback");
     waits.recv().expect("the box asks the peer");
-    let reply = caller.ask("POST", "/r/x", "X-Key: key-of-three\r\n");
+    let reply = caller.request("POST", "/r/x", "X-Key: key-of-three\r\n");
     serving.join().expect("the peer served");
     assert_eq!(reply.status, 200);
-    let seen = target.seen();
+    let seen = target.requests();
     assert_eq!(header(seen.last().expect("it came"), "x-customer"), Some("three"));
 }
 
--- a/crates/gateway/tests/large_configurations.rs
+++ b/crates/gateway/tests/large_configurations.rs
@@ -47,16 +47,16 @@
     leaving.draining = true;
     store.put_targets(vec![leaving, joins.entry.clone()]);
     for gateway in [&first, &second] {
-        let before = joins.seen().len();
+        let before = joins.requests().len();
         eventually("the target that joined is used", || {
-            gateway.ask("GET", "/r/x");
-            joins.seen().len() > before
+            gateway.request("GET", "/r/x");
+            joins.requests().len() > before
         });
-        let before = leaves.seen().len();
+        let before = leaves.requests().len();
         for _ in 0..10 {
-            assert_eq!(gateway.ask("GET", "/r/x").status, 200);
+            assert_eq!(gateway.request("GET", "/r/x").status, 200);
         }
-        assert_eq!(leaves.seen().len(), before, "a target that leaves gets no new work");
+        assert_eq!(leaves.requests().len(), before, "a target that leaves gets no new work");
     }
 }
 
@@ -72,7 +72,7 @@
     stalls.wait_ready();
     store.put_config(config(2, vec![route("later", "service", RouteKind::Repeatable)]));
     for (name, gateway) in [("the reader", &reads), ("the other", &stalls)] {
-        eventually(name, || gateway.ask("GET", "/later/x").status == 200);
+        eventually(name, || gateway.request("GET", "/later/x").status == 200);
     }
 }
 
@@ -97,7 +97,7 @@
         store.put_config(config(version, vec![route(&name, "service", RouteKind::Repeatable)]));
         for gateway in others.iter().chain([&reader]) {
             let path = format!("/{name}/x");
-            eventually(&path, || gateway.ask("GET", &path).status == 200);
+            eventually(&path, || gateway.request("GET", &path).status == 200);
         }
     }
 }
@@ -122,6 +122,6 @@
     stalls.wait_ready();
     store.put_config(config(2, vec![route("later", "service", RouteKind::Repeatable)]));
     for (name, gateway) in [("the one that can", &reads), ("its reader", &stalls)] {
-        eventually(name, || gateway.ask("GET", "/later/x").status == 200);
+        eventually(name, || gateway.request("GET", "/later/x").status == 200);
     }
 }
--- a/crates/gateway/tests/lifecycle.rs
+++ b/crates/gateway/tests/lifecycle.rs
@@ -23,11 +23,11 @@
 #[test]
 fn without_a_configuration_a_box_is_not_ready_and_refuses_truly() {
     let store = StoreStandin::default();
-    store.set_away(true);
+    store.set_unreachable(true);
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     eventually("it listens", || store.reads() > 0);
     assert!(!gateway.is_ready());
-    let reply = gateway.ask("GET", "/r/x");
+    let reply = gateway.request("GET", "/r/x");
     assert_eq!(reply.status, 503);
     assert!(header(&reply.head, "retry-after").is_some());
 }
@@ -38,14 +38,14 @@
 fn a_request_waits_for_the_first_configuration() {
     let target = TargetStandin::start("t", "service", Script::Good);
     let store = store_with(&[&target]);
-    store.set_away(true);
+    store.set_unreachable(true);
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     eventually("it misses the store", || store.reads() > 0);
     let mut early = gateway.connect();
     early.send("GET", "/r/x", "", "");
-    store.set_away(false);
+    store.set_unreachable(false);
     assert_eq!(early.read().expect("an answer").status, 200);
-    assert_eq!(target.seen().len(), 1);
+    assert_eq!(target.requests().len(), 1);
 }
 
 #[test]
@@ -56,17 +56,17 @@
     gateway.wait_ready();
     let mut busy = gateway.connect();
     let mut resting = gateway.connect();
-    assert_eq!(resting.ask("GET", "/r/x", "").status, 200);
-    target.follow(Script::Gated);
+    assert_eq!(resting.request("GET", "/r/x", "").status, 200);
+    target.set_script(Script::WaitsForRelease);
     busy.send("GET", "/r/x", "", "");
-    eventually("the target works", || target.seen().len() == 2);
+    eventually("the target works", || target.requests().len() == 2);
     gateway.begin_stop();
     eventually("it is not ready", || !gateway.is_ready());
-    target.open_gate();
+    target.release();
     let reply = busy.read().expect("the request in flight is finished");
     assert_eq!((reply.status, reply.body.as_str()), (200, "hello"));
     assert_eq!(header(&reply.head, "connection"), Some("close"));
-    let reply = resting.ask("GET", "/r/x", "");
+    let reply = resting.request("GET", "/r/x", "");
     assert_eq!(reply.status, 200, "a connection that is still used is served");
     assert_eq!(header(&reply.head, "connection"), Some("close"));
     assert_eq!(gateway.wait_end(), Outcome::Done);
@@ -82,24 +82,24 @@
     gateway.wait_ready();
     // A box without connections ends early: this one rests until the end.
     let mut resting = gateway.connect();
-    assert_eq!(resting.ask("GET", "/r/x", "").status, 200);
+    assert_eq!(resting.request("GET", "/r/x", "").status, 200);
     gateway.begin_stop();
     // The route's time is longer than what is left from half of the stop on. Until then
     // each answer ends its connection, so each further request needs a new one.
     let mut served = 1;
     eventually("a request is refused", || {
-        let reply = gateway.ask("GET", "/r/x");
+        let reply = gateway.request("GET", "/r/x");
         served += usize::from(reply.status == 200);
         reply.status == 503 && header(&reply.head, "retry-after").is_some()
     });
-    assert_eq!(target.seen().len(), served, "what was refused went nowhere");
+    assert_eq!(target.requests().len(), served, "what was refused went nowhere");
 }
 
 /// A request that was held for a saturated service was cut by the end of the process (grown
 /// Dakar, scale-2, seed 301437178563).
 #[test]
 fn a_box_that_stops_holds_no_request_back() {
-    let mut target = TargetStandin::start("t", "service", Script::Gated);
+    let mut target = TargetStandin::start("t", "service", Script::WaitsForRelease);
     // Slow from its start, so that each request is taken to wait there for long.
     target.entry.cold_time = Duration::from_secs(1000);
     let store = store_with(&[&target]);
@@ -107,17 +107,17 @@
     gateway.wait_ready();
     let mut kept = gateway.connect();
     kept.send("GET", "/r/x", "", "");
-    eventually("the target works", || target.seen().len() == 1);
+    eventually("the target works", || target.requests().len() == 1);
     // Its usual time is what this answer takes.
     thread::sleep(Duration::from_millis(700));
-    target.open_gate();
+    target.release();
     assert_eq!(kept.read().expect("an answer").status, 200);
     gateway.begin_stop();
     eventually("it is not ready", || !gateway.is_ready());
-    let reply = kept.ask("GET", "/r/x", "");
+    let reply = kept.request("GET", "/r/x", "");
     assert_eq!(reply.status, 503, "{reply:?}");
     assert!(header(&reply.head, "retry-after").is_some());
-    assert_eq!(target.seen().len(), 1, "it went nowhere");
+    assert_eq!(target.requests().len(), 1, "it went nowhere");
 }
 
 #[test]
@@ -131,19 +131,19 @@
     reader.wait_ready();
     let cut_off = BoxUnderTest::start(store.port(false), &[reader.host()]);
     cut_off.wait_ready();
-    assert_eq!(cut_off.ask("GET", "/r/x").status, 200);
+    assert_eq!(cut_off.request("GET", "/r/x").status, 200);
     let mut leaving = old.entry.clone();
     leaving.draining = true;
     store.put_targets(vec![leaving, new.entry.clone()]);
     eventually("the box that is cut off uses the new target", || {
-        cut_off.ask("GET", "/r/x");
-        !new.seen().is_empty()
+        cut_off.request("GET", "/r/x");
+        !new.requests().is_empty()
     });
-    let before = old.seen().len();
+    let before = old.requests().len();
     for _ in 0..20 {
-        assert_eq!(cut_off.ask("GET", "/r/x").status, 200);
+        assert_eq!(cut_off.request("GET", "/r/x").status, 200);
     }
-    assert_eq!(old.seen().len(), before, "a target that leaves gets no new work");
+    assert_eq!(old.requests().len(), before, "a target that leaves gets no new work");
 }
 
 /// Lapsed targets were dropped only after a reading of the box's own: one that lives by
@@ -157,27 +157,27 @@
     reader.wait_ready();
     let cut_off = BoxUnderTest::start(store.port(false), &[reader.host()]);
     cut_off.wait_ready();
-    store.set_away(true);
+    store.set_unreachable(true);
     // Longer than a gap between two readings must be to count as an outage.
     thread::sleep(Duration::from_millis(4000));
     store.put_targets(vec![stays.entry.clone(), joins.entry.clone()]);
-    store.set_away(false);
+    store.set_unreachable(false);
     // A target that was just tried may rest for longer than the time to come back.
-    let before = lapses.seen().len();
+    let before = lapses.requests().len();
     eventually("the box that is cut off has heard of the return", || {
-        cut_off.ask("GET", "/r/x");
-        !joins.seen().is_empty()
+        cut_off.request("GET", "/r/x");
+        !joins.requests().is_empty()
     });
     eventually("what lapsed is used, since it has time to come back", || {
-        cut_off.ask("GET", "/r/x");
-        lapses.seen().len() > before
+        cut_off.request("GET", "/r/x");
+        lapses.requests().len() > before
     });
     thread::sleep(Duration::from_millis(2200));
-    let before = lapses.seen().len();
+    let before = lapses.requests().len();
     for _ in 0..40 {
-        assert_eq!(cut_off.ask("GET", "/r/x").status, 200);
+        assert_eq!(cut_off.request("GET", "/r/x").status, 200);
     }
-    assert_eq!(lapses.seen().len(), before, "a target that did not come back gets no new work");
+    assert_eq!(lapses.requests().len(), before, "a target that did not come back gets no new work");
 }
 
 /// A configuration that was read apart was put into a copy of the view, and lost if a
@@ -209,8 +209,8 @@
     second.wait_ready();
     assert_eq!(first.wait_end(), Outcome::Done);
     store.put_config(config(2, vec![route("later", "service", RouteKind::Repeatable)]));
-    eventually("the change is in force", || second.ask("GET", "/later/x").status == 200);
-    assert_eq!(second.ask("GET", "/r/x").status, 404, "what was removed is gone");
+    eventually("the change is in force", || second.request("GET", "/later/x").status == 200);
+    assert_eq!(second.request("GET", "/r/x").status, 404, "what was removed is gone");
 }
 
 #[test]
@@ -266,29 +266,29 @@
     let second = BoxUnderTest::start(store.port(false), &[first.host()]);
     second.wait_ready();
     let used_by = |asked: &BoxUnderTest| {
-        let before = ended.seen().len();
+        let before = ended.requests().len();
         eventually("the target is used", || {
-            assert_eq!(asked.ask("GET", "/r/x").status, 200);
-            ended.seen().len() > before
+            assert_eq!(asked.request("GET", "/r/x").status, 200);
+            ended.requests().len() > before
         });
     };
     // Both have it in use: one that is not listed there yet can't be told of.
     used_by(&first);
     used_by(&second);
-    ended.follow(Script::Other);
-    let sound = ended.seen().len();
+    ended.set_script(Script::OtherInstance);
+    let sound = ended.requests().len();
     used_by(&first);
-    eventually("both boxes know", || harness::counted("wingbridge_targets_replaced") == 2);
+    eventually("both boxes know", || harness::counter_value("wingbridge_targets_replaced") == 2);
     for _ in 0..60 {
-        assert_eq!(first.ask("GET", "/r/x").status, 200);
-        assert_eq!(second.ask("GET", "/r/x").status, 200);
+        assert_eq!(first.request("GET", "/r/x").status, 200);
+        assert_eq!(second.request("GET", "/r/x").status, 200);
     }
     thread::sleep(Duration::from_millis(1200));
     for _ in 0..60 {
-        assert_eq!(first.ask("GET", "/r/x").status, 200);
-        assert_eq!(second.ask("GET", "/r/x").status, 200);
+        assert_eq!(first.request("GET", "/r/x").status, 200);
+        assert_eq!(second.request("GET", "/r/x").status, 200);
     }
-    assert_eq!(ended.seen().len(), sound + 1);
+    assert_eq!(ended.requests().len(), sound + 1);
 }
 
 #[test]
@@ -299,10 +299,10 @@
     gateway.wait_ready();
     store.set_padding(200_000);
     store.put_config(config(2, vec![route("r", "service", RouteKind::Repeatable)]));
-    eventually("news are asked for", || store.news_asked() > 0);
-    store.set_forgetful(true);
+    eventually("news are asked for", || store.config_change_requests() > 0);
+    store.set_history_lost(true);
     store.put_config(config(3, vec![route("later", "service", RouteKind::Repeatable)]));
-    eventually("the change is in force", || gateway.ask("GET", "/later/x").status == 200);
+    eventually("the change is in force", || gateway.request("GET", "/later/x").status == 200);
 }
 
 #[test]
@@ -311,9 +311,9 @@
     let store = store_with(&[&target]);
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     gateway.wait_ready();
-    store.set_away(true);
+    store.set_unreachable(true);
     let failed_from = store.reads();
     eventually("the store was missed", || store.reads() > failed_from + 2);
     assert!(gateway.is_ready());
-    assert_eq!(gateway.ask("GET", "/r/x").status, 200);
+    assert_eq!(gateway.request("GET", "/r/x").status, 200);
 }
--- a/crates/gateway/tests/limits.rs
+++ b/crates/gateway/tests/limits.rs
@@ -15,8 +15,8 @@
 use std::time::{Duration, Instant};
 
 use harness::{
-    BoxUnderTest, CallerReply, Script, StoreStandin, TargetStandin, ask_while, config, eventually,
-    header, most_within, own_host, route,
+    BoxUnderTest, CallerReply, Script, StoreStandin, TargetStandin, config, eventually, header,
+    max_within, own_host, request_while, route,
 };
 use wingbridge_gateway::routes::RouteKind;
 
@@ -171,7 +171,7 @@
                 caller.read();
             }
         };
-        ask_while(&hosts, ask, PAUSE, || meanwhile(self))
+        request_while(&hosts, ask, PAUSE, || meanwhile(self))
     }
 }
 
@@ -184,12 +184,12 @@
     let mut world = World::start_in(case.boxes, case.script, case.kind, case.apart);
     let from = world.ask_all_while(|world| {
         if case.trouble == Trouble::Lowered {
-            world.limited.say("X-Limit: 8\r\n");
+            world.limited.set_answer_headers("X-Limit: 8\r\n");
             thread::sleep(NEWS_TIME);
         }
-        world.limited.say(case.said);
-        let before = world.limited.seen().len();
-        eventually("the limit is named", || world.limited.seen().len() > before);
+        world.limited.set_answer_headers(case.said);
+        let before = world.limited.requests().len();
+        eventually("the limit is named", || world.limited.requests().len() > before);
         let from = Instant::now() + NEWS_TIME;
         match case.trouble {
             Trouble::None | Trouble::Lowered => thread::sleep(ASKED_FOR),
@@ -205,13 +205,13 @@
                 thread::sleep(WINDOW / 4);
                 world.list(true, 3);
                 thread::sleep(WINDOW / 4);
-                world.store.set_away(true);
+                world.store.set_unreachable(true);
                 thread::sleep(WINDOW / 2);
             }
         }
         from
     });
-    let most = most_within(&world.limited.arrivals(), from, WINDOW);
+    let most = max_within(&world.limited.arrivals(), from, WINDOW);
     let most_allowed = allowed(case.per_second);
     assert!(most <= most_allowed, "{}: {most} in 4 s, allowed {most_allowed}", case.name);
 }
@@ -270,17 +270,17 @@
 
 fn check_no_word(case: &NoWordCase) {
     let world = World::start(1, case.script, RouteKind::AtMostOnce);
-    world.limited.say(case.said);
+    world.limited.set_answer_headers(case.said);
     // Answers that can't be used make it a suspect, which is asked now and then.
     let sends = if case.script == Script::Good { SENDS } else { 4 };
     for _ in 0..LOOKS {
-        world.boxes[0].ask("GET", "/r/x");
-        if world.limited.seen().len() >= sends {
+        world.boxes[0].request("GET", "/r/x");
+        if world.limited.requests().len() >= sends {
             return;
         }
         thread::sleep(PAUSE / 3);
     }
-    panic!("{}: {} requests", case.name, world.limited.seen().len());
+    panic!("{}: {} requests", case.name, world.limited.requests().len());
 }
 
 #[test]
@@ -297,9 +297,9 @@
 fn what_is_above_all_limits_is_refused_with_a_time() {
     let world = World::start(1, Script::Good, RouteKind::AtMostOnce);
     for target in [&world.limited, &world.others[0], &world.others[1]] {
-        target.say("X-Limit: 1\r\n");
+        target.set_answer_headers("X-Limit: 1\r\n");
     }
-    let ask = || world.boxes[0].ask("GET", "/r/x");
+    let ask = || world.boxes[0].request("GET", "/r/x");
     eventually("a request is refused", || ask().status == 503);
     let replies: Vec<CallerReply> = (0..20).map(|_| ask()).collect();
     let refused: Vec<&CallerReply> = replies.iter().filter(|reply| reply.status == 503).collect();
@@ -316,26 +316,26 @@
 #[test]
 fn a_limited_target_goes_on_to_be_used() {
     let world = World::start(1, Script::Good, RouteKind::AtMostOnce);
-    world.limited.say("X-Limit: 4\r\n");
+    world.limited.set_answer_headers("X-Limit: 4\r\n");
     eventually("it gets more after it has named its limit", || {
-        world.boxes[0].ask("GET", "/r/x");
-        world.limited.seen().len() >= 12
+        world.boxes[0].request("GET", "/r/x");
+        world.limited.requests().len() >= 12
     });
 }
 
 #[test]
 fn a_limit_ends_with_the_first_answer_that_does_not_name_it() {
     let world = World::start(2, Script::Good, RouteKind::AtMostOnce);
-    world.limited.say("X-Limit: 1\r\n");
-    let ask = || world.boxes.iter().for_each(|asked| drop(asked.ask("GET", "/r/x")));
+    world.limited.set_answer_headers("X-Limit: 1\r\n");
+    let ask = || world.boxes.iter().for_each(|asked| drop(asked.request("GET", "/r/x")));
     eventually("the limit is named", || {
         ask();
-        !world.limited.seen().is_empty()
+        !world.limited.requests().is_empty()
     });
-    world.limited.say("");
-    let before = world.limited.seen().len();
+    world.limited.set_answer_headers("");
+    let before = world.limited.requests().len();
     eventually("it is asked as before", || {
         ask();
-        world.limited.seen().len() >= before + 40
+        world.limited.requests().len() >= before + 40
     });
 }
--- a/crates/gateway/tests/long_listings.rs
+++ b/crates/gateway/tests/long_listings.rs
@@ -11,8 +11,8 @@
 use async_std::net::TcpStream;
 use async_std::task;
 use harness::{
-    BoxUnderTest, Script, StoreStandin, TargetStandin, ask_targets, config, connect_exchange,
-    entry, eventually, route, unpacked,
+    BoxUnderTest, Script, StoreStandin, TargetStandin, config, connect_exchange, entry, eventually,
+    fetch_targets, route, unpacked,
 };
 use wingbridge_gateway::routes::RouteKind;
 use wingbridge_gateway::view::TargetEntry;
@@ -41,7 +41,7 @@
 }
 
 fn served(gateway: &BoxUnderTest) -> usize {
-    (0..ASKED).filter(|_| gateway.ask("POST", "/r/x").status == 200).count()
+    (0..ASKED).filter(|_| gateway.request("POST", "/r/x").status == 200).count()
 }
 
 #[test]
@@ -50,7 +50,7 @@
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     gateway.wait_ready();
     assert_eq!(served(&gateway), ASKED);
-    eventually("news is asked for", || store.all_news_asked() > 0);
+    eventually("news is asked for", || store.change_requests() > 0);
     store.put_targets(many());
     eventually("the target gets nothing more", || served(&gateway) == 0);
     let mut targets = many();
@@ -58,7 +58,7 @@
     store.put_targets(targets.clone());
     eventually("it is used again", || served(&gateway) == ASKED);
     // A store that forgets sends it back to a listing.
-    store.set_forgetful(true);
+    store.set_history_lost(true);
     targets.pop();
     store.put_targets(targets);
     eventually("the listing is read", || served(&gateway) == 0);
@@ -74,7 +74,7 @@
     eventually("it serves", || served(&cut_off) == ASKED);
     store.put_targets(many());
     eventually("it hears of the change", || served(&cut_off) == 0);
-    assert!(target.seen().len() >= 2);
+    assert!(target.requests().len() >= 2);
 }
 
 /// A connection on which all targets were asked for.
@@ -91,7 +91,7 @@
     let (store, _target) = world();
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     gateway.wait_ready();
-    let reply = ask_targets(gateway.host(), 0);
+    let reply = fetch_targets(gateway.host(), 0);
     assert_eq!((reply.parts.len(), unpacked(&reply).len()), (TARGETS / 500 + 1, TARGETS + 1));
     let bytes: usize = reply.parts.iter().map(Vec::len).sum();
     assert!(bytes < TARGETS * 40, "{bytes}");
@@ -105,9 +105,9 @@
     gateway.wait_ready();
     // Callers that ask and don't read hold the places.
     let holds: Vec<TcpStream> = (0..40).map(|_| question(gateway.host())).collect();
-    let reply = ask_targets(gateway.host(), 0);
+    let reply = fetch_targets(gateway.host(), 0);
     let is_whole = unpacked(&reply).len() == TARGETS + 1;
     assert!(reply.busy != is_whole, "it is either told to come back or has all of it");
     drop(holds);
-    eventually("there is room again", || !ask_targets(gateway.host(), 0).busy);
+    eventually("there is room again", || !fetch_targets(gateway.host(), 0).busy);
 }
--- a/crates/gateway/tests/notices.rs
+++ b/crates/gateway/tests/notices.rs
@@ -41,7 +41,7 @@
 impl Pair {
     fn start(script: Script, said: &str, kind: RouteKind) -> Pair {
         let speaker = TargetStandin::start("speaker", "service", script);
-        speaker.say(said);
+        speaker.set_answer_headers(said);
         let other = TargetStandin::start("other", "service", Script::Good);
         let store = StoreStandin::default();
         store.put_config(config(1, vec![route("r", "service", kind)]));
@@ -63,7 +63,7 @@
         });
     }
 
-    fn ask_on(&self) {
+    fn exchange_on(&self) {
         for _ in 0..ASKS {
             ask(&self.gateway);
         }
@@ -71,7 +71,7 @@
 
     /// Requests that the target got which gives notice.
     fn sends(&self) -> usize {
-        self.speaker.seen().len()
+        self.speaker.requests().len()
     }
 
     fn list(&self, speaker: Option<TargetEntry>) {
@@ -109,7 +109,7 @@
     NoticeCase { name: "too many", script: Script::TooMany, said: LEAVES, counts: true },
     NoticeCase { name: "a long answer", script: Script::Long, said: LEAVES, counts: true },
     NoticeCase { name: "cut short", script: Script::Truncated, said: LEAVES, counts: true },
-    NoticeCase { name: "long, cut", script: Script::LongCutShort, said: LEAVES, counts: true },
+    NoticeCase { name: "long, cut", script: Script::LongTruncated, said: LEAVES, counts: true },
     NoticeCase {
         name: "said twice",
         script: Script::Good,
@@ -184,7 +184,7 @@
             continue;
         }
         let before = pair.sends();
-        pair.ask_on();
+        pair.exchange_on();
         assert_eq!(pair.sends(), before, "{}: {}", case.name, case.said);
     }
 }
@@ -210,7 +210,7 @@
         pair.sends() == 1
     });
     eventually("the caller's end is seen", || pair.speaker.hang_ups() == 1);
-    pair.ask_on();
+    pair.exchange_on();
     assert_eq!(pair.sends(), 1);
 }
 
@@ -229,11 +229,11 @@
     for (name, listed) in listings {
         pair.list(listed);
         pair.let_it_read();
-        pair.ask_on();
+        pair.exchange_on();
         assert_eq!(pair.sends(), 1, "{name}");
     }
-    pair.store.set_away(true);
-    pair.ask_on();
+    pair.store.set_unreachable(true);
+    pair.exchange_on();
     assert_eq!(pair.sends(), 1, "the store is away");
 }
 
@@ -241,13 +241,13 @@
 fn a_rest_outlasts_new_listings() {
     let pair = Pair::start(Script::Sheds, LONG_REST, RouteKind::AtMostOnce);
     pair.hear_notice();
-    pair.speaker.follow(Script::Good);
+    pair.speaker.set_script(Script::Good);
     let entry = &pair.speaker.entry;
     let changed = TargetEntry { slots: 9, ..entry.clone() };
     for listed in [Some(changed), None, Some(entry.clone())] {
         pair.list(listed);
         pair.let_it_read();
-        pair.ask_on();
+        pair.exchange_on();
         assert_eq!(pair.sends(), 1);
     }
 }
@@ -257,8 +257,8 @@
     for (said, script) in [(LEAVES, Script::Good), (LONG_REST, Script::Sheds)] {
         let pair = Pair::start(script, said, RouteKind::AtMostOnce);
         pair.hear_notice();
-        pair.speaker.say("");
-        pair.speaker.follow(Script::Good);
+        pair.speaker.set_answer_headers("");
+        pair.speaker.set_script(Script::Good);
         let entry = &pair.speaker.entry;
         let same_id = TargetEntry { born_ms: 5, ..entry.clone() };
         let same_address = TargetEntry { id: "next".into(), ..entry.clone() };
@@ -273,13 +273,13 @@
 /// What 421 says is the word of the one that has the address now.
 #[test]
 fn the_notice_of_another_instance_is_not_the_targets() {
-    let pair = Pair::start(Script::Other, LEAVES, RouteKind::AtMostOnce);
+    let pair = Pair::start(Script::OtherInstance, LEAVES, RouteKind::AtMostOnce);
     pair.hear_notice();
     let moved = TargetStandin::start("speaker", "service", Script::Good);
     pair.list(Some(moved.entry.clone()));
     eventually("it gets requests at its own address", || {
         ask(&pair.gateway);
-        !moved.seen().is_empty()
+        !moved.requests().is_empty()
     });
 }
 
@@ -326,13 +326,13 @@
 #[test]
 fn nothing_is_held_or_retried_while_all_targets_rest() {
     let pair = Pair::start(Script::Sheds, LONG_REST, RouteKind::AtMostOnce);
-    pair.other.follow(Script::Sheds);
-    pair.other.say("Retry-After: 400\r\n");
+    pair.other.set_script(Script::Sheds);
+    pair.other.set_answer_headers("Retry-After: 400\r\n");
     eventually("both are asked", || {
         ask(&pair.gateway);
-        !pair.speaker.seen().is_empty() && !pair.other.seen().is_empty()
+        !pair.speaker.requests().is_empty() && !pair.other.requests().is_empty()
     });
-    let before = pair.sends() + pair.other.seen().len();
+    let before = pair.sends() + pair.other.requests().len();
     for _ in 0..ASKS {
         let reply = ask(&pair.gateway).expect("an answer");
         assert_eq!(reply.status, 503, "it has not run");
@@ -341,28 +341,28 @@
         // The first of them is back after 400 s, less what the test took.
         assert!((100.0..=500.0).contains(&wait), "{wait} s");
     }
-    assert_eq!(pair.sends() + pair.other.seen().len(), before, "nobody was asked");
+    assert_eq!(pair.sends() + pair.other.requests().len(), before, "nobody was asked");
 }
 
 #[test]
 fn a_service_whose_targets_all_leave_refuses_at_once() {
     let pair = Pair::start(Script::Good, LEAVES, RouteKind::AtMostOnce);
-    pair.other.say(LEAVES);
+    pair.other.set_answer_headers(LEAVES);
     eventually("both are asked", || {
         ask(&pair.gateway);
-        !pair.speaker.seen().is_empty() && !pair.other.seen().is_empty()
+        !pair.speaker.requests().is_empty() && !pair.other.requests().is_empty()
     });
-    let before = pair.sends() + pair.other.seen().len();
+    let before = pair.sends() + pair.other.requests().len();
     let reply = ask(&pair.gateway).expect("an answer");
     assert_eq!(reply.status, 503, "it has not run");
-    assert_eq!(pair.sends() + pair.other.seen().len(), before, "nobody was asked");
+    assert_eq!(pair.sends() + pair.other.requests().len(), before, "nobody was asked");
 }
 
 #[test]
 fn a_target_is_used_again_after_its_rest() {
     let pair = Pair::start(Script::Sheds, "Retry-After: 0.3\r\n", RouteKind::AtMostOnce);
     pair.hear_notice();
-    pair.speaker.follow(Script::Good);
+    pair.speaker.set_script(Script::Good);
     pair.ask_until_it_has(2);
 }
 
@@ -375,21 +375,21 @@
     let all = [&pair.speaker, &pair.other, &lapsing];
     pair.store.put_targets(all.map(|target| target.entry.clone()).to_vec());
     pair.let_it_read();
-    pair.store.set_away(true);
+    pair.store.set_unreachable(true);
     let failed_from = pair.store.reads();
     eventually("the store is missed", || pair.store.reads() > failed_from + 4);
     thread::sleep(NEWS_TIME);
     pair.list(Some(pair.speaker.entry.clone()));
-    pair.store.set_away(false);
+    pair.store.set_unreachable(false);
     pair.let_it_read();
     pair.hear_notice();
-    pair.speaker.follow(Script::Good);
+    pair.speaker.set_script(Script::Good);
     let before = pair.sends();
     eventually("what has lapsed is dropped", || {
-        let lapsed_before = lapsing.seen().len();
-        pair.ask_on();
-        lapsing.seen().len() == lapsed_before
+        let lapsed_before = lapsing.requests().len();
+        pair.exchange_on();
+        lapsing.requests().len() == lapsed_before
     });
-    pair.ask_on();
+    pair.exchange_on();
     assert_eq!(pair.sends(), before);
 }
--- a/crates/gateway/tests/poison_requests.rs
+++ b/crates/gateway/tests/poison_requests.rs
@@ -13,7 +13,8 @@
 use std::time::Duration;
 
 use harness::{
-    BoxUnderTest, DEADLY, Script, StoreStandin, TargetStandin, config, eventually, header, route,
+    BoxUnderTest, POISON_PATH_PART, Script, StoreStandin, TargetStandin, config, eventually,
+    header, route,
 };
 use wingbridge_gateway::routes::RouteKind;
 
@@ -58,9 +59,11 @@
 
     /// Sends of deadly requests that reached targets; each ended one.
     fn deadly_sends(&self) -> usize {
-        let seen = self.targets.iter().flat_map(TargetStandin::seen);
-        seen.filter(|request| request.lines().next().is_some_and(|line| line.contains(DEADLY)))
-            .count()
+        let seen = self.targets.iter().flat_map(TargetStandin::requests);
+        seen.filter(|request| {
+            request.lines().next().is_some_and(|line| line.contains(POISON_PATH_PART))
+        })
+        .count()
     }
 
     /// Targets that take connections.
@@ -77,7 +80,7 @@
     /// Asks the first box for the deadly request until three targets have ended.
     fn end_three(&self) {
         while self.deadly_sends() < 3 {
-            self.boxes[0].ask("GET", "/r/deadly");
+            self.boxes[0].request("GET", "/r/deadly");
         }
     }
 
@@ -85,7 +88,7 @@
     fn sends_by_all(&self) -> usize {
         let before = self.deadly_sends();
         for gateway in self.boxes.iter().chain(&self.boxes) {
-            gateway.ask("GET", "/r/deadly");
+            gateway.request("GET", "/r/deadly");
         }
         self.deadly_sends() - before
     }
@@ -97,22 +100,22 @@
 
 #[test]
 fn a_request_under_which_three_targets_ended_goes_to_no_more_from_any_box() {
-    let world = World::start(4, 24, Script::EndsByDeadly);
+    let world = World::start(4, 24, Script::CrashesOnPoison);
     world.end_three();
     thread::sleep(NEWS_TIME);
     let sends = world.sends_by_all();
     assert!(sends <= SENDS_AFTER, "{sends} more sends");
     for gateway in &world.boxes {
-        let reply = gateway.ask("GET", "/r/deadly");
+        let reply = gateway.request("GET", "/r/deadly");
         assert_eq!(reply.status, 503, "it is refused as not run");
         assert!(header(&reply.head, "retry-after").is_some());
-        assert_eq!(gateway.ask("GET", "/r/sound").status, 200, "others are served");
+        assert_eq!(gateway.request("GET", "/r/sound").status, 200, "others are served");
     }
 }
 
 #[test]
 fn a_box_that_starts_later_knows_which_request_ended_targets() {
-    let mut world = World::start(2, 24, Script::EndsByDeadly);
+    let mut world = World::start(2, 24, Script::CrashesOnPoison);
     world.end_three();
     world.add_box("centre");
     world.add_box("other");
@@ -124,7 +127,7 @@
 /// A caller that leaves at once hid from the box how its request ended.
 #[test]
 fn a_request_whose_callers_hang_up_is_found_by_the_targets_that_end() {
-    let world = World::start(1, 8, Script::EndsByDeadlyLate);
+    let world = World::start(1, 8, Script::CrashesOnPoisonAfterClose);
     let gateway = &world.boxes[0];
     while world.deadly_sends() < 3 {
         let before = world.deadly_sends();
@@ -137,15 +140,15 @@
     }
     thread::sleep(NEWS_TIME);
     let before = world.deadly_sends();
-    assert_eq!(gateway.ask("GET", "/r/deadly").status, 503);
+    assert_eq!(gateway.request("GET", "/r/deadly").status, 503);
     assert_eq!(world.deadly_sends(), before, "it reaches no target any more");
-    assert_eq!(gateway.ask("GET", "/r/sound").status, 200, "others are served");
+    assert_eq!(gateway.request("GET", "/r/sound").status, 200, "others are served");
 }
 
 /// All boxes lost power at once, and what they had told each other was gone with them.
 #[test]
 fn boxes_that_all_start_anew_know_which_request_ended_targets() {
-    let mut world = World::start(2, 24, Script::EndsByDeadly);
+    let mut world = World::start(2, 24, Script::CrashesOnPoison);
     world.end_three();
     thread::sleep(NEWS_TIME);
     for gateway in &world.boxes {
@@ -162,21 +165,21 @@
 /// What waits was judged when it came, and not again when its turn did.
 #[test]
 fn a_request_that_waits_is_refused_when_its_turn_comes() {
-    let mut world = World::start(0, 12, Script::EndsByDeadly);
-    let full = TargetStandin::start("full", "service", Script::GatedSheds);
+    let mut world = World::start(0, 12, Script::CrashesOnPoison);
+    let full = TargetStandin::start("full", "service", Script::WaitsThenSheds);
     world.store.put_targets(vec![full.entry.clone()]);
     world.add_box("centre");
     let mut waiting = world.boxes[0].connect();
     waiting.send("GET", "/r/deadly", "", "");
-    eventually("it waits for the full target", || full.seen().len() == 1);
+    eventually("it waits for the full target", || full.requests().len() == 1);
     world.list_live();
     world.add_box("centre");
     while world.deadly_sends() < 3 {
-        world.boxes[1].ask("GET", "/r/deadly");
+        world.boxes[1].request("GET", "/r/deadly");
     }
     thread::sleep(NEWS_TIME);
     let before = world.deadly_sends();
-    full.open_gate();
+    full.release();
     assert_eq!(waiting.read().expect("an answer").status, 503, "it has not run");
     assert_eq!(world.deadly_sends(), before, "it reaches no target any more");
 }
--- a/crates/gateway/tests/quotas.rs
+++ b/crates/gateway/tests/quotas.rs
@@ -41,7 +41,7 @@
 }
 
 fn ask(gateway: &BoxUnderTest, key: &str) -> u16 {
-    gateway.connect().ask("POST", "/r/x", &format!("X-Key: {key}\r\n")).status
+    gateway.connect().request("POST", "/r/x", &format!("X-Key: {key}\r\n")).status
 }
 
 #[test]
@@ -51,12 +51,12 @@
     let served = statuses.iter().filter(|status| **status == 200).count();
     assert_eq!(served, FIRST, "{statuses:?}");
     assert!(statuses[served..].iter().all(|status| *status == 429), "{statuses:?}");
-    assert_eq!(target.seen().len(), served, "429 says that nothing ran");
+    assert_eq!(target.requests().len(), served, "429 says that nothing ran");
     assert_eq!(ask(&gateway, "key-of-free"), 200, "others don't pay for it");
-    let reply = gateway.connect().ask("POST", "/r/x", "X-Key: key-of-few\r\nX-Left: 60000\r\n");
+    let reply = gateway.connect().request("POST", "/r/x", "X-Key: key-of-few\r\nX-Left: 60000\r\n");
     let wait: f64 = header(&reply.head, "retry-after").expect("told").parse().expect("a number");
     assert!(wait > 0.0);
-    let hurried = gateway.connect().ask("POST", "/r/x", "X-Key: key-of-few\r\nX-Left: 200\r\n");
+    let hurried = gateway.connect().request("POST", "/r/x", "X-Key: key-of-few\r\nX-Left: 200\r\n");
     assert_eq!(hurried.status, 429);
     assert_eq!(header(&hurried.head, "retry-after"), None, "it is gone by then");
 }
@@ -67,17 +67,17 @@
     for _ in 0..3 * FIRST {
         assert_eq!(ask(&gateway, "key-of-few"), 503);
     }
-    target.follow(Script::Good);
+    target.set_script(Script::Good);
     let served = (0..3 * FIRST).filter(|_| ask(&gateway, "key-of-few") == 200).count();
     assert_eq!(served, FIRST);
 }
 
 #[test]
 fn a_request_that_may_have_run_costs_its_credit() {
-    let (_store, target, gateway) = one_target(Script::Silent);
+    let (_store, target, gateway) = one_target(Script::ClosesUnanswered);
     let lost = (0..2).filter(|_| ask(&gateway, "key-of-few") == 502).count();
     assert_eq!(lost, 2);
-    target.follow(Script::Good);
+    target.set_script(Script::Good);
     let served = (0..3 * FIRST).filter(|_| ask(&gateway, "key-of-few") == 200).count();
     assert_eq!(served, FIRST - lost);
 }
@@ -94,7 +94,7 @@
     eventually("no box has credit left", || {
         [&one, &two].iter().all(|gateway| ask(gateway, "key-of-few") == 429)
     });
-    let served = target.seen().len();
+    let served = target.requests().len();
     // Each may have had a request or two before it heard of the other.
     assert!(served <= FIRST + 2, "{served}");
 }
--- a/crates/gateway/tests/requests_ahead.rs
+++ b/crates/gateway/tests/requests_ahead.rs
@@ -33,8 +33,8 @@
 }
 
 impl World {
-    fn seen(&self) -> usize {
-        self.targets.iter().map(|target| target.seen().len()).sum()
+    fn requests(&self) -> usize {
+        self.targets.iter().map(|target| target.requests().len()).sum()
     }
 }
 
@@ -79,12 +79,12 @@
 
 #[test]
 fn requests_sent_ahead_are_worked_on_beside_each_other_and_answered_in_order() {
-    let world = world(Script::Gated, RouteKind::Repeatable);
+    let world = world(Script::WaitsForRelease, RouteKind::Repeatable);
     let mut caller = world.gateway.connect();
     let heads: String = (0..4).map(|id| head(id, "r", "")).collect();
     caller.send_raw(&heads);
-    eventually("all four have reached targets", || world.seen() >= 4);
-    world.targets.iter().for_each(TargetStandin::open_gate);
+    eventually("all four have reached targets", || world.requests() >= 4);
+    world.targets.iter().for_each(TargetStandin::release);
     let mut answers = Answers::new(caller);
     for id in 0..4 {
         let head = answers.next_head().expect("an answer");
@@ -94,14 +94,15 @@
 
 #[test]
 fn what_may_run_once_only_waits_for_the_answers_before_it() {
-    let world = world(Script::Gated, RouteKind::Repeatable);
+    let world = world(Script::WaitsForRelease, RouteKind::Repeatable);
     let mut caller = world.gateway.connect();
     caller.send_raw(&format!("{}{}{}", head(0, "r", ""), head(1, "other", ""), head(2, "r", "")));
-    eventually("the first has reached a target", || world.seen() >= 1);
+    eventually("the first has reached a target", || world.requests() >= 1);
     thread::sleep(Duration::from_millis(200));
-    let once = |target: &TargetStandin| target.seen().iter().any(|seen| seen.contains("/other/"));
+    let once =
+        |target: &TargetStandin| target.requests().iter().any(|seen| seen.contains("/other/"));
     assert!(!world.targets.iter().any(once), "it could stand behind an answer that closes");
-    world.targets.iter().for_each(TargetStandin::open_gate);
+    world.targets.iter().for_each(TargetStandin::release);
     let mut answers = Answers::new(caller);
     for id in 0..3 {
         let head = answers.next_head().expect("an answer");
@@ -117,21 +118,21 @@
     let mut answers = Answers::new(caller);
     assert!(is_served(&answers.next_head().expect("an answer")));
     assert!(answers.next_head().is_none(), "it is unread");
-    assert_eq!(world.seen(), 1);
+    assert_eq!(world.requests(), 1);
 }
 
 #[test]
 fn a_planned_stop_loses_none_of_those_it_works_on() {
-    let world = world(Script::Gated, RouteKind::Repeatable);
+    let world = world(Script::WaitsForRelease, RouteKind::Repeatable);
     let mut caller = world.gateway.connect();
     let heads: String = (0..3).map(|id| head(id, "r", "")).collect();
     caller.send_raw(&heads);
-    eventually("all three have reached targets", || world.seen() >= 3);
+    eventually("all three have reached targets", || world.requests() >= 3);
     world.gateway.begin_stop();
     eventually("it stops", || !world.gateway.is_ready());
     caller.send_raw(&head(3, "r", ""));
     thread::sleep(Duration::from_millis(100));
-    world.targets.iter().for_each(TargetStandin::open_gate);
+    world.targets.iter().for_each(TargetStandin::release);
     let mut answers = Answers::new(caller);
     let heads: Vec<String> = std::iter::from_fn(|| answers.next_head()).collect();
     assert_eq!(heads.iter().filter(|head| is_served(head)).count(), 3);
@@ -144,7 +145,7 @@
     let mut caller = world.gateway.connect();
     let heads: String = (0..3).map(|id| head(id, "r", "")).collect();
     caller.send_raw(&heads);
-    eventually("all three have reached targets", || world.seen() >= 3);
+    eventually("all three have reached targets", || world.requests() >= 3);
     drop(caller);
     let hang_ups = || world.targets.iter().map(TargetStandin::hang_ups).sum::<usize>();
     eventually("all three are free", || hang_ups() >= 3);
--- a/crates/gateway/tests/retries_without_target.rs
+++ b/crates/gateway/tests/retries_without_target.rs
@@ -6,7 +6,7 @@
 
 mod harness;
 
-use harness::{BoxUnderTest, Script, StoreStandin, TargetStandin, config, counted, route};
+use harness::{BoxUnderTest, Script, StoreStandin, TargetStandin, config, counter_value, route};
 use wingbridge_gateway::routes::RouteKind;
 use wingbridge_process::metrics::start_metrics;
 
@@ -19,16 +19,16 @@
         TargetStandin::start("fails", "service", Script::Fails),
         TargetStandin::start("rests", "service", Script::Sheds),
     ];
-    targets[1].say("Retry-After: 500\r\n");
+    targets[1].set_answer_headers("Retry-After: 500\r\n");
     store.put_targets(targets.iter().map(|target| target.entry.clone()).collect());
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     gateway.wait_ready();
-    while targets[1].seen().is_empty() {
-        gateway.ask("GET", "/r/x");
+    while targets[1].requests().is_empty() {
+        gateway.request("GET", "/r/x");
     }
-    let before = counted("wingbridge_retries");
+    let before = counter_value("wingbridge_retries");
     for _ in 0..10 {
-        assert_eq!(gateway.ask("GET", "/r/x").status, 500, "the one that is left fails");
+        assert_eq!(gateway.request("GET", "/r/x").status, 500, "the one that is left fails");
     }
-    assert_eq!(counted("wingbridge_retries"), before);
+    assert_eq!(counter_value("wingbridge_retries"), before);
 }
--- a/crates/gateway/tests/suspended.rs
+++ b/crates/gateway/tests/suspended.rs
@@ -25,7 +25,7 @@
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     gateway.wait_ready();
     // So that it has no newer view to tell of.
-    store.set_away(true);
+    store.set_unreachable(true);
     store.set_suspended(SUSPENDED);
     let peer = UdpSocket::bind((own_host(), GOSSIP)).expect("an address of its own");
     peer.set_read_timeout(Some(Duration::from_secs(20))).expect("a valid time");
@@ -52,8 +52,8 @@
 
 #[test]
 fn a_request_has_the_time_left_that_its_caller_has() {
-    let first = TargetStandin::start("first", "service", Script::GatedSheds);
-    let second = TargetStandin::start("second", "service", Script::GatedSheds);
+    let first = TargetStandin::start("first", "service", Script::WaitsThenSheds);
+    let second = TargetStandin::start("second", "service", Script::WaitsThenSheds);
     let store = StoreStandin::default();
     store.put_config(config(1, vec![route("r", "service", RouteKind::AtMostOnce)]));
     store.put_targets(vec![first.entry.clone(), second.entry.clone()]);
@@ -61,12 +61,12 @@
     gateway.wait_ready();
     let mut caller = gateway.connect();
     caller.send("POST", "/r/x", "X-Left: 8000\r\n", "order");
-    eventually("a target has it", || first.seen().len() + second.seen().len() == 1);
+    eventually("a target has it", || first.requests().len() + second.requests().len() == 1);
     store.set_suspended(SUSPENDED);
-    first.open_gate();
-    second.open_gate();
+    first.release();
+    second.release();
     assert_eq!(caller.read().expect("an answer").status, 503);
-    let seen = [first.seen(), second.seen()].concat();
+    let seen = [first.requests(), second.requests()].concat();
     assert_eq!(seen.len(), 2, "each of them was asked once");
     let left = |request: &String| header(request, "x-left")?.parse::<u64>().ok();
     let least = seen.iter().filter_map(left).min();
--- a/crates/gateway/tests/unread_answers.rs
+++ b/crates/gateway/tests/unread_answers.rs
@@ -60,9 +60,9 @@
 
 /// Requests that a target gets after it has asked for rest in the second of two answers.
 fn sends_after_two_answers() -> usize {
-    let speaker = TargetStandin::start("speaker", "service", Script::GatedSheds);
-    speaker.say("Retry-After: 500\r\n");
-    let other = TargetStandin::start("other", "service", Script::Gated);
+    let speaker = TargetStandin::start("speaker", "service", Script::WaitsThenSheds);
+    speaker.set_answer_headers("Retry-After: 500\r\n");
+    let other = TargetStandin::start("other", "service", Script::WaitsForRelease);
     let store = StoreStandin::default();
     store.put_config(config(1, vec![route("r", "service", RouteKind::Repeatable)]));
     store.put_targets(vec![speaker.entry.clone(), other.entry.clone()]);
@@ -70,17 +70,17 @@
     gateway.wait_ready();
     let mut caller = gateway.connect();
     caller.send("GET", "/r/x", "", "");
-    eventually("both have it", || speaker.seen().len() == 1 && other.seen().len() == 1);
+    eventually("both have it", || speaker.requests().len() == 1 && other.requests().len() == 1);
     let pool = FrozenPool::freeze();
-    other.open_gate();
+    other.release();
     thread::sleep(ON_THE_WAY);
-    speaker.open_gate();
+    speaker.release();
     thread::sleep(ON_THE_WAY);
     pool.thaw();
     assert_eq!(caller.read().expect("an answer").status, 200);
-    speaker.follow(Script::Good);
+    speaker.set_script(Script::Good);
     for _ in 0..40 {
-        assert_eq!(gateway.ask("GET", "/r/x").status, 200);
+        assert_eq!(gateway.request("GET", "/r/x").status, 200);
     }
-    speaker.seen().len() - 1
+    speaker.requests().len() - 1
 }
--- a/crates/gateway/tests/unresponsive_coordinators.rs
+++ b/crates/gateway/tests/unresponsive_coordinators.rs
@@ -77,7 +77,7 @@
 fn a_request_waits_for_one_silent_keeper_at_most() {
     let targets = ["one", "two", "three"].map(|id| {
         let target = TargetStandin::start(id, "service", Script::Good);
-        target.say("X-Limit: 0.01\r\n");
+        target.set_answer_headers("X-Limit: 0.01\r\n");
         target
     });
     let store = StoreStandin::default();
@@ -89,8 +89,8 @@
         (0..PEERS).map(|number| SilentPeer::start(number, gateway.host())).collect();
     thread::sleep(SETTLED);
     eventually("all limits are known", || {
-        gateway.ask("GET", "/r/x");
-        targets.iter().all(|target| !target.seen().is_empty())
+        gateway.request("GET", "/r/x");
+        targets.iter().all(|target| !target.requests().is_empty())
     });
     let asks = || peers.iter().map(SilentPeer::asks).sum::<usize>();
     let asked = || peers.iter().filter(|peer| peer.asks() > 0).count();
@@ -100,7 +100,7 @@
         }
         thread::sleep(ASKS_AGAIN);
         let before = asks();
-        assert_eq!(gateway.ask("GET", "/r/x").status, 503, "there is no room");
+        assert_eq!(gateway.request("GET", "/r/x").status, 503, "there is no room");
         assert!(asks() <= before + 1, "round {round}: {} were asked", asks() - before);
     }
     assert!(asked() > 1, "keepers are different ones");
--- a/crates/gateway/tests/uploads.rs
+++ b/crates/gateway/tests/uploads.rs
@@ -37,7 +37,7 @@
     store.put_config(config(1, vec![route("r", "service", RouteKind::Upload)]));
     store.put_targets(targets.iter().map(|target| target.entry.clone()).collect());
     let gateway = BoxUnderTest::start_with(store.port(true), &[], |settings| {
-        settings.held_body_bytes = ROOM;
+        settings.max_held_body_bytes = ROOM;
     });
     gateway.wait_ready();
     World { store, targets, gateway }
@@ -71,7 +71,7 @@
     let body = long_body(LONG_BYTES);
     let reply = send_long(&world, &body).expect("an answer");
     assert_eq!((reply.status, reply.body.as_str()), (200, "hello"));
-    let seen = world.targets[0].seen();
+    let seen = world.targets[0].requests();
     assert_eq!(seen.len(), 1);
     let (head, got) = seen[0].split_once("\r\n\r\n").expect("a head and a body");
     assert_eq!(header(head, "content-length"), Some(LONG_BYTES.to_string().as_str()));
@@ -80,7 +80,7 @@
 
 #[test]
 fn a_long_body_in_chunks_goes_on_in_chunks() {
-    let world = world(&[Script::Early]);
+    let world = world(&[Script::AnswersBeforeBody]);
     let body = long_body(LONG_BYTES);
     let mut caller = world.gateway.connect();
     caller.send_raw(&head("Transfer-Encoding: chunked\r\n"));
@@ -90,7 +90,7 @@
     });
     let reply = sender.join().expect("no panic").expect("an answer");
     assert_eq!(reply.status, 200);
-    let seen = world.targets[0].seen();
+    let seen = world.targets[0].requests();
     let (head, _) = seen[0].split_once("\r\n\r\n").expect("a head");
     assert_eq!(header(head, "transfer-encoding"), Some("chunked"));
     assert_eq!(header(head, "content-length"), None);
@@ -109,7 +109,7 @@
             });
         }
     });
-    let runs: usize = world.targets.iter().map(|target| target.seen().len()).sum();
+    let runs: usize = world.targets.iter().map(|target| target.requests().len()).sum();
     assert!((1..=4).contains(&runs), "{runs}");
     let body = long_body(LONG_BYTES);
     eventually("the room is free again", || {
@@ -122,7 +122,7 @@
     let world = world(&[Script::Sheds, Script::Sheds]);
     let reply = send_long(&world, &long_body(LONG_BYTES)).expect("an answer");
     assert_eq!(reply.status, 503, "both said that they ran nothing");
-    let runs: usize = world.targets.iter().map(|target| target.seen().len()).sum();
+    let runs: usize = world.targets.iter().map(|target| target.requests().len()).sum();
     assert_eq!(runs, 1, "what went to the first is not there for the second");
 }
 
@@ -137,10 +137,10 @@
 
 #[test]
 fn a_long_body_whose_target_fails_is_sent_to_nobody_else() {
-    let world = world(&[Script::Silent, Script::Silent]);
+    let world = world(&[Script::ClosesUnanswered, Script::ClosesUnanswered]);
     let reply = send_long(&world, &long_body(LONG_BYTES)).expect("an answer");
     assert_eq!(reply.status, 502, "it may have run");
-    let runs: usize = world.targets.iter().map(|target| target.seen().len()).sum();
+    let runs: usize = world.targets.iter().map(|target| target.requests().len()).sum();
     assert_eq!(runs, 1);
 }
 
@@ -183,12 +183,12 @@
     });
     // What broke off came short, which no target takes for a request.
     let whole = |seen: &&String| seen.len() > LONG_BYTES;
-    assert_eq!(world.targets[0].seen().iter().filter(whole).count(), 1);
+    assert_eq!(world.targets[0].requests().iter().filter(whole).count(), 1);
 }
 
 #[test]
 fn a_caller_that_is_still_sending_reads_its_answer() {
-    let world = world(&[Script::Early]);
+    let world = world(&[Script::AnswersBeforeBody]);
     let stream = world.gateway.connect();
     let mut writer = stream.stream().try_clone().expect("a socket");
     let mut reader = stream.stream().try_clone().expect("a socket");
@@ -214,7 +214,7 @@
     thread::sleep(Duration::from_secs(2));
     caller.send_raw(&long_body(LONG_BYTES)[2 << 20..]);
     assert_eq!(caller.read().expect("an answer").status, 200);
-    assert_eq!(harness::counted("wingbridge_hang_ups"), 0);
+    assert_eq!(harness::counter_value("wingbridge_hang_ups"), 0);
 }
 
 /// A piece of a body with a length that had the bytes of a last chunk counted as the end of the body.
@@ -232,7 +232,7 @@
         thread::sleep(Duration::from_millis(300));
     }
     assert_eq!(caller.read().expect("an answer").status, 200);
-    let seen = world.targets[0].seen();
+    let seen = world.targets[0].requests();
     let (_, got) = seen[0].split_once("\r\n\r\n").expect("a head and a body");
     assert!(got == body, "{} bytes came, not the same", got.len());
 }
