--- a/crates/gateway/src/config_duty.rs
+++ b/crates/gateway/src/config_duty.rs
@@ -97,7 +97,7 @@
                 return Ok(None);
             }
             ConfigPoll::Changed(config) => Some(config),
-            ConfigPoll::Forgotten => {
+            ConfigPoll::HistoryDiscarded => {
                 log::info!(after; "history-forgotten");
                 port.read_config().await?
             }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -30,7 +30,7 @@
 use crate::stopping::StopState;
 use crate::suspension::{ClockSample, SuspensionWatch};
 use crate::view::{
-    ConfigText, KnownView, PeerListingDelta, StoreView, TargetEntry, TargetUpdate, ViewChange,
+    CachedView, ConfigText, PeerListingDelta, StoreView, TargetEntry, TargetUpdate, ViewChange,
 };
 
 /// Targets that join at once and are named in the log each; of more, as at a start, only the count is.
@@ -77,7 +77,7 @@
     pub(crate) held_bodies: AtomicUsize,
     started: Instant,
     suspension: SuspensionWatch,
-    view: Mutex<KnownView>,
+    view: Mutex<CachedView>,
     core: Mutex<SteerCore>,
     split: Mutex<WeightedSplit>,
     /// Opens once a configuration and the targets are known: with the configuration alone a box
@@ -146,7 +146,7 @@
     }
 
     /// What is known of the store. Its ages count the time for which this machine was suspended.
-    pub(crate) fn view(&self) -> MutexGuard<'_, KnownView> {
+    pub(crate) fn view(&self) -> MutexGuard<'_, CachedView> {
         let mut view = lock(&self.view);
         if let Some(time) = self.suspension.newly(self.port.suspended()) {
             view.advance_clocks(time);
@@ -328,14 +328,14 @@
 
     /// Changes what is known of the store, and hands what is new by it among the targets that take work to the
     /// core. The view is held meanwhile, so that no older one can overtake it.
-    pub(crate) fn change_view<T>(&self, change: impl FnOnce(&mut KnownView) -> T) -> T {
+    pub(crate) fn change_view<T>(&self, change: impl FnOnce(&mut CachedView) -> T) -> T {
         let mut known = self.view();
         let changed = change(&mut known);
         self.publish_targets(&mut known);
         changed
     }
 
-    fn publish_targets(&self, known: &mut KnownView) {
+    fn publish_targets(&self, known: &mut CachedView) {
         let TargetUpdate { removed, updated } = known.take_update();
         if removed.is_empty() && updated.is_empty() {
             return;
--- a/crates/gateway/src/gossip/heartbeats.rs
+++ b/crates/gateway/src/gossip/heartbeats.rs
@@ -10,7 +10,7 @@
 use super::Gossip;
 use crate::limit_reports::{limits_in_force, merge_limit};
 use crate::notices::update_excluded_gauges;
-use crate::view::KnownView;
+use crate::view::CachedView;
 use crate::view_exchange::view_version_of;
 
 /// Time between two beacons to the own data centre.
@@ -253,7 +253,7 @@
 }
 
 /// How old the targets are that are known; for ever, before the first listing.
-fn held_for(known: &KnownView, now: Instant) -> Duration {
+fn held_for(known: &CachedView, now: Instant) -> Duration {
     known.as_of().map_or(Duration::MAX, |as_of| now.saturating_duration_since(as_of))
 }
 
--- a/crates/gateway/src/incarnations.rs
+++ b/crates/gateway/src/incarnations.rs
@@ -1,8 +1,8 @@
-//! Lives of targets: an instance may start again under its name, and then knows nothing of before.
+//! Incarnations of targets: an instance that restarts keeps its name and loses its state.
 //!
-//! The store holds one entry a name, and a word of an older life may come late and overwrite that of
-//! a younger one: a write that was done and not answered is done again seconds later.
-//! So the youngest life that was seen of a name goes before whatever is listed.
+//! The store holds one entry per name, and a delayed write of an older incarnation may overwrite the
+//! entry of a newer one: a write that was done but not answered is repeated seconds later. The newest
+//! incarnation that was seen under a name therefore takes precedence over the listed entry.
 
 use std::collections::HashMap;
 
@@ -10,84 +10,85 @@
 
 use crate::view::TargetEntry;
 
-/// Instances that started again and are remembered after they are gone.
-const RESTARTED: usize = 1024;
+/// Number of restarted instances above which those that are no longer listed are evicted.
+const MAX_RESTARTED: usize = 1024;
 
-/// What is known of the lives of targets.
+/// The incarnations that were seen of each target.
 #[derive(Debug, Default)]
 pub(crate) struct TargetIncarnations {
-    /// The youngest life that was seen leaving, by name: it never comes back. One that is merely
-    /// gone may, since its entry lapses while it is cut from the store.
-    left: HashMap<Name, u64>,
-    /// Instances that started again, by name.
+    /// Start of the newest incarnation that was seen draining, by name. A drained incarnation never
+    /// returns. One whose entry was merely removed may, because entries lapse while the target can't
+    /// reach the store.
+    drained: HashMap<Name, u64>,
+    /// Instances that have restarted, by name.
     restarted: HashMap<Name, NewestIncarnation>,
 }
 
 #[derive(Debug)]
 struct NewestIncarnation {
-    /// What it told of itself last.
+    /// The last entry that this incarnation wrote.
     entry: TargetEntry,
-    /// Whether its name is listed, also if with the word of an older life.
+    /// Whether the name is listed, possibly with an entry of an older incarnation.
     is_listed: bool,
 }
 
 impl TargetIncarnations {
-    /// What counts of a listed target; `None` if that life has left, or is an older one of an
-    /// instance that is gone.
+    /// Returns the entry that is in force for a listed target; `None` if that incarnation has
+    /// drained, or is an older incarnation of an instance that was removed.
     pub(crate) fn in_force<'a>(&'a self, listed: &'a TargetEntry) -> Option<&'a TargetEntry> {
         let entry = match self.restarted.get(&listed.id) {
-            Some(known) if known.entry.born_ms <= listed.born_ms => listed,
-            Some(known) if known.is_listed => &known.entry,
+            Some(newest) if newest.entry.born_ms <= listed.born_ms => listed,
+            Some(newest) if newest.is_listed => &newest.entry,
             Some(_) => return None,
             None => listed,
         };
         (!self.has_drained(entry)).then_some(entry)
     }
 
-    /// Whether that life of the target was seen leaving, or one after it.
+    /// Returns whether this incarnation of the target or a newer one was seen draining.
     pub(crate) fn has_drained(&self, target: &TargetEntry) -> bool {
-        self.left.get(&target.id).is_some_and(|born_ms| target.born_ms <= *born_ms)
+        self.drained.get(&target.id).is_some_and(|born_ms| target.born_ms <= *born_ms)
     }
 
-    /// Notes that a life leaves; returns whether that is new.
+    /// Records that an incarnation drains. Returns whether that was not recorded before.
     pub(crate) fn record_draining(&mut self, target: &TargetEntry) -> bool {
         let is_new = !self.has_drained(target);
         if is_new {
-            self.left.insert(target.id.clone(), target.born_ms);
+            self.drained.insert(target.id.clone(), target.born_ms);
         }
         is_new
     }
 
-    /// Notes what is listed of a target, which was listed as `before`. Returns whether it is
-    /// another life than that.
+    /// Records the entry of a listed target, which was listed as `before` until now. Returns whether
+    /// the two entries are of different incarnations.
     pub(crate) fn record_listed(
         &mut self,
         before: Option<&TargetEntry>,
         target: &TargetEntry,
     ) -> bool {
         let other = before.filter(|before| before.born_ms != target.born_ms);
-        if let Some(known) = self.restarted.get_mut(&target.id) {
-            if known.entry.born_ms <= target.born_ms {
-                *known = NewestIncarnation { entry: target.clone(), is_listed: true };
+        if let Some(newest) = self.restarted.get_mut(&target.id) {
+            if newest.entry.born_ms <= target.born_ms {
+                *newest = NewestIncarnation { entry: target.clone(), is_listed: true };
             }
         } else if let Some(before) = other {
-            let younger = if before.born_ms > target.born_ms { before } else { target };
-            let known = NewestIncarnation { entry: younger.clone(), is_listed: true };
-            self.restarted.insert(target.id.clone(), known);
+            let newer = if before.born_ms > target.born_ms { before } else { target };
+            let newest = NewestIncarnation { entry: newer.clone(), is_listed: true };
+            self.restarted.insert(target.id.clone(), newest);
         }
         other.is_some()
     }
 
-    /// Notes that a target is listed no more.
+    /// Records that a target is no longer listed.
     pub(crate) fn record_removed(&mut self, target: &TargetEntry) {
-        if let Some(known) = self.restarted.get_mut(&target.id) {
-            known.is_listed = false;
+        if let Some(newest) = self.restarted.get_mut(&target.id) {
+            newest.is_listed = false;
         }
     }
 
-    /// Forgets lives of instances that are not listed, if there are many.
+    /// Evicts restarted instances that are not listed, if there are more than [`MAX_RESTARTED`].
     pub(crate) fn evict_unlisted(&mut self, is_listed: impl Fn(&Name) -> bool) {
-        if self.restarted.len() > RESTARTED {
+        if self.restarted.len() > MAX_RESTARTED {
             self.restarted.retain(|id, _| is_listed(id));
         }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! What the store and the messages of the environment look like is not known here: an
 //! adapter implements [`ports::EnvironmentPort`] and hands in [`settings::GatewaySettings`].
-//! Duties: connections and requests are tasks of the I/O pool; [`store_duty`] keeps what is
+//! Duties: connections and requests are tasks of the I/O pool; [`store_sync`] keeps what is
 //! known of targets fresh, alone or by peers, and [`config_duty`] a large configuration;
 //! [`gossip`] tells peers what was seen, and [`quota_manager`] admits requests by customers' quotas. [`change_budget`] has the times of all of these.
 //! Decisions about targets are in `wingbridge_decide::steer`.
@@ -45,7 +45,7 @@
 pub mod settings;
 mod stopping;
 mod store_backoff;
-mod store_duty;
+mod store_sync;
 mod streamed_body;
 mod suspension;
 pub mod target_table;
--- a/crates/gateway/src/listing_history.rs
+++ b/crates/gateway/src/listing_history.rs
@@ -1,7 +1,7 @@
-//! What became of the listing of targets lately, so that a peer is told the delta.
+//! Recent changes of the listing of targets, so that a peer can be sent the delta alone.
 //!
-//! A release changes one target in each reading, and a listing of 3,000 targets has 240 KB:
-//! sent whole to 30 peers that is six seconds of a link with 10 Mbit/s.
+//! A rolling release changes one target in each reading, and a listing of 3,000 targets has 240 KB:
+//! sent in full to 30 peers, that is six seconds of a link with 10 Mbit/s.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
@@ -9,13 +9,14 @@
 
 use crate::view::TargetEntry;
 
-/// Changes that are remembered: some 20 s of readings that all differ.
-const CHANGES: usize = 24;
-/// Names in all remembered changes at most, where that is more than half of the listing. A peer that lacks
-/// more has all targets sent: that is no longer then.
-const NAMES: usize = 2048;
+/// Maximum number of recorded changes: about 20 s of readings that all differ.
+const MAX_CHANGES: usize = 24;
+/// Maximum number of names in all recorded changes, unless half of the listing is more. A peer that
+/// misses more changes is sent the full listing, which is not longer then.
+const MAX_NAMES: usize = 2048;
 
-/// The last changes of the listing, oldest first, each from where the one before ended.
+/// The latest changes of the listing, oldest first. Each starts from the listing that the one before
+/// resulted in.
 #[derive(Debug, Default)]
 pub(crate) struct ListingHistory {
     changes: VecDeque<ListingChange>,
@@ -27,49 +28,50 @@
     names: Vec<Name>,
 }
 
-/// What makes one listing of another one.
+/// The change from one listing to another.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ListingDelta {
-    /// Targets that are new or different.
+    /// Targets that are new or whose entries have changed.
     pub changed: Vec<TargetEntry>,
-    /// Targets that are gone.
+    /// Targets that are no longer listed.
     pub removed: Vec<Name>,
 }
 
 impl ListingHistory {
-    /// Notes that `delta` made another listing of the one with the hash `from`, which had `listed`
+    /// Records that `delta` was applied to the listing with the hash `from`, which had `listed`
     /// targets.
     pub(crate) fn record(&mut self, from: u64, delta: &ListingDelta, listed: usize) {
         let changed = delta.changed.iter().map(|target| &target.id);
         let names = changed.chain(&delta.removed).cloned().collect();
         self.changes.push_back(ListingChange { from, names });
-        let most = NAMES.max(listed / 2);
-        let named = |changes: &VecDeque<ListingChange>| {
+        let max_names = MAX_NAMES.max(listed / 2);
+        let count_names = |changes: &VecDeque<ListingChange>| {
             changes.iter().map(|change| change.names.len()).sum::<usize>()
         };
-        while self.changes.len() > CHANGES || named(&self.changes) > most {
+        while self.changes.len() > MAX_CHANGES || count_names(&self.changes) > max_names {
             self.changes.pop_front();
         }
     }
 
-    /// Where the changes begin that led from the listing with the hash `from` to the newest one.
+    /// Returns the index of the first change that leads from the listing with the hash `from` to the
+    /// newest one.
     pub(crate) fn position(&self, from: u64) -> Option<usize> {
         self.changes.iter().rposition(|change| change.from == from)
     }
 
-    /// What makes `now`, the listing that the last change led to, of the one with the hash
-    /// `from`; `None` if that one is not known any more.
+    /// Returns the change from the listing with the hash `from` to `current`, the listing that the
+    /// last recorded change resulted in; `None` if `from` is not in the history.
     pub(crate) fn since(
         &self,
         from: u64,
-        now: &BTreeMap<Name, TargetEntry>,
+        current: &BTreeMap<Name, TargetEntry>,
     ) -> Option<ListingDelta> {
         let first = self.position(from)?;
         let later = self.changes.iter().skip(first);
         let names: HashSet<&Name> = later.flat_map(|change| &change.names).collect();
         let mut delta = ListingDelta::default();
         for name in names {
-            match now.get(name) {
+            match current.get(name) {
                 Some(target) => delta.changed.push(target.clone()),
                 None => delta.removed.push(name.clone()),
             }
--- a/crates/gateway/src/listing_source.rs
+++ b/crates/gateway/src/listing_source.rs
@@ -1,10 +1,10 @@
-//! What this box can send of the listing that it holds.
+//! Encoding and sending of the listing of targets to peers.
 //!
-//! Load pattern: all boxes of a data centre want the same change of some thousand targets at the same
-//! moment, from whoever has it first. Each reply made for itself and all of them sent at once, two
-//! hundred of them took a link of 200 Mbit/s longer than anyone waits, and then all read the store. So a
-//! reply is packed once for all that lack the same, and a box sends a long one to a few at a time:
-//! those that have it then hand it on.
+//! All boxes of a data centre need the same change of some thousand targets at the same moment, from
+//! whichever box has it first. With a separate reply packed for each of them and all replies sent at
+//! once, two hundred replies took a link of 200 Mbit/s longer than any box waits, and then all boxes
+//! read the store. A reply is therefore packed once for all peers that lack the same changes, and a box
+//! sends a long reply to a few peers at a time. Those that have received it serve the others.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
@@ -16,46 +16,48 @@
 use crate::context::lock;
 use crate::transfer_slots::{TransferSlot, TransferSlots};
 
-/// Targets in a part: packing one takes some hundred kilobytes of memory for a moment.
-const PART_TARGETS: usize = 500;
-/// Replies up to this are sent to everybody at once, in bytes: 40 of them take a link with
-/// 10 Mbit/s half a second.
-const SMALL_REPLY: usize = 16 * 1024;
-/// Replies that are kept packed: boxes lack the last listing, one of those before, or all.
-const KEPT: usize = 4;
-/// A part that says that it unpacks to more than this is none, in bytes.
-const MOST_UNPACKED: usize = 4 << 20;
+/// Number of targets in a part. Packing one needs some hundred kilobytes of memory for a moment.
+const TARGETS_PER_PART: usize = 500;
+/// Maximum size, in bytes, of a reply that is sent without a transfer slot: 40 such replies take a
+/// link with 10 Mbit/s half a second.
+const MAX_SMALL_REPLY_BYTES: usize = 16 * 1024;
+/// Maximum number of packed replies that are kept: peers lack the last listing, one of a few before
+/// it, or all targets.
+const MAX_PACKED_REPLIES: usize = 4;
+/// Maximum unpacked size of a part in bytes. A part that declares more is refused.
+const MAX_UNPACKED_BYTES: usize = 4 << 20;
 
-/// From which listing to which a reply leads, by their hashes; from 0 for all targets.
+/// The two listings, by their hashes, that a reply leads from and to; `from` is 0 for a reply with all
+/// targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ListingDeltaKey {
     pub(crate) from: u64,
     pub(crate) to: u64,
 }
 
-/// Targets of a reply, packed, and names of those that are removed.
+/// The content of a reply: parts with packed targets, and names of removed targets.
 #[derive(Debug)]
 pub(crate) struct PackedTargets {
     pub(crate) parts: Vec<Vec<u8>>,
     pub(crate) removed: Vec<String>,
 }
 
-/// The listing as it is handed on.
+/// Packed replies with the listing, and the transfer slots for sending them.
 #[derive(Debug)]
 pub(crate) struct ListingSource {
     packed: Mutex<VecDeque<(ListingDeltaKey, Arc<PackedTargets>)>>,
     slots: TransferSlots,
 }
 
-/// A reply that counts as being sent until this is dropped.
+/// A reply that occupies its transfer slot, if it needs one, until this value is dropped.
 #[derive(Debug)]
 pub(crate) struct SentTargets<'a> {
     pub(crate) targets: Arc<PackedTargets>,
-    _place: Option<TransferSlot<'a>>,
+    _slot: Option<TransferSlot<'a>>,
 }
 
 impl PackedTargets {
-    /// Packs `records`.
+    /// Packs `records` into parts of [`TARGETS_PER_PART`].
     pub(crate) fn pack(
         records: impl Iterator<Item = TargetRecord>,
         removed: Vec<String>,
@@ -63,7 +65,7 @@
         let mut parts = Vec::new();
         let mut records = records.peekable();
         while records.peek().is_some() {
-            let targets = records.by_ref().take(PART_TARGETS).collect();
+            let targets = records.by_ref().take(TARGETS_PER_PART).collect();
             parts.push(compress_prepend_size(&TargetRecords { targets }.encode_to_vec()));
         }
         PackedTargets { parts, removed }
@@ -75,56 +77,58 @@
 }
 
 impl ListingSource {
-    /// Nothing to hand on yet, by a link of `link_mbps`.
+    /// Creates a source without replies for a box whose link has `link_mbps`.
     pub(crate) fn new(link_mbps: u32) -> ListingSource {
         ListingSource { packed: Mutex::default(), slots: TransferSlots::new(link_mbps) }
     }
 
-    /// What makes the step, packed by `pack` unless it is known; `None` while as many long replies are sent
-    /// as can be.
+    /// Returns the reply for `key`, packed by `pack` unless it is kept from before. Returns `None` if
+    /// the reply is long and all transfer slots are taken.
     pub(crate) fn send(
         &self,
-        step: ListingDeltaKey,
+        key: ListingDeltaKey,
         pack: impl FnOnce() -> PackedTargets,
     ) -> Option<SentTargets<'_>> {
-        let targets = self.packed(step, pack);
-        if targets.bytes() <= SMALL_REPLY {
-            return Some(SentTargets { targets, _place: None });
+        let targets = self.packed(key, pack);
+        if targets.bytes() <= MAX_SMALL_REPLY_BYTES {
+            return Some(SentTargets { targets, _slot: None });
         }
-        let place = self.slots.try_acquire()?;
-        Some(SentTargets { targets, _place: Some(place) })
+        let slot = self.slots.try_acquire()?;
+        Some(SentTargets { targets, _slot: Some(slot) })
     }
 
     fn packed(
         &self,
-        step: ListingDeltaKey,
+        key: ListingDeltaKey,
         pack: impl FnOnce() -> PackedTargets,
     ) -> Arc<PackedTargets> {
         let mut packed = lock(&self.packed);
-        if let Some((_, known)) = packed.iter().find(|(known, _)| *known == step) {
-            return Arc::clone(known);
+        if let Some((_, targets)) = packed.iter().find(|(held, _)| *held == key) {
+            return Arc::clone(targets);
         }
-        // Nobody asks for what led to another listing than the one that is held.
-        packed.retain(|(known, _)| known.to == step.to);
-        while packed.len() >= KEPT {
+        // Replies that lead to an outdated listing are never requested again.
+        packed.retain(|(held, _)| held.to == key.to);
+        while packed.len() >= MAX_PACKED_REPLIES {
             packed.pop_front();
         }
         let targets = Arc::new(pack());
-        packed.push_back((step, Arc::clone(&targets)));
+        packed.push_back((key, Arc::clone(&targets)));
         targets
     }
 }
 
-/// The records of a part.
+/// Unpacks the records of a part.
 ///
 /// # Errors
-/// It is none, and why.
+/// Returns a description of the fault if the part is truncated, too long or malformed.
 pub(crate) fn unpack(part: &[u8]) -> Result<Vec<TargetRecord>, &'static str> {
     let size = part.first_chunk::<4>().map(|size| u32::from_le_bytes(*size) as usize);
-    if size.is_none_or(|size| size > MOST_UNPACKED) {
-        return Err("a part of the listing is cut short or too long");
+    if size.is_none_or(|size| size > MAX_UNPACKED_BYTES) {
+        return Err("a part of the listing is truncated or exceeds the maximum unpacked size");
     }
-    let bytes = decompress_size_prepended(part).map_err(|_| "a part can't be unpacked")?;
-    let records = TargetRecords::decode(&bytes[..]).map_err(|_| "a part holds no targets")?;
+    let bytes = decompress_size_prepended(part)
+        .map_err(|_| "a part of the listing could not be decompressed")?;
+    let records = TargetRecords::decode(&bytes[..])
+        .map_err(|_| "a part of the listing does not contain target records")?;
     Ok(records.targets)
 }
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -1,4 +1,5 @@
-//! What a box needs of its environment, in the product's own terms.
+//! The interface between a box and its environment. An adapter implements [`EnvironmentPort`] for the
+//! store, the stored formats and the headers of a platform.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -12,14 +13,14 @@
 use crate::routes::RouteConfig;
 use crate::view::{ConfigText, StoreView, TargetEntry};
 
-/// Why a call to the store gave nothing.
+/// The kind of a [`StoreError`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreErrorKind {
-    /// The store did not answer in time, or the connection failed.
+    /// The connection failed, or the store did not answer in time.
     Unreachable,
-    /// The store turned the call away.
+    /// The store answered with a status other than success.
     Refused,
-    /// The answer can't be used.
+    /// The answer is malformed.
     Malformed,
 }
 
@@ -31,12 +32,12 @@
 }
 
 impl StoreError {
-    /// An error with one line that says why.
+    /// Creates an error with a reason of one line.
     pub fn new(kind: StoreErrorKind, reason: impl Into<String>) -> StoreError {
         StoreError { kind, reason: reason.into() }
     }
 
-    /// What kind of failure it is.
+    /// Returns the kind of the failure.
     pub fn kind(&self) -> StoreErrorKind {
         self.kind
     }
@@ -53,127 +54,128 @@
 /// All targets at one revision of the store.
 #[derive(Debug, Clone, Default)]
 pub struct TargetListing {
-    /// All changes up to here are in it.
+    /// Revision of the store up to which all changes are included.
     pub revision: u64,
-    /// The targets, in the order of their names.
+    /// The targets, ordered by name.
     pub targets: Vec<TargetEntry>,
-    /// Data centres whose targets operators want nothing sent to, in the order of their names.
+    /// Data centres that operators have evacuated, ordered by name.
     pub evacuated: Vec<Name>,
 }
 
-/// What was written in the store since a revision.
+/// The result of polling the store for changes after a revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StorePoll {
-    /// This.
+    /// The changes, which may be none.
     Changed(Box<StoreChanges>),
-    /// The store has forgotten: only a reading tells.
-    Forgotten,
+    /// The store no longer has the changes after the revision: all must be read.
+    HistoryDiscarded,
 }
 
-/// Changes of the store, the last one of each key.
+/// Changes of the store: the last one of each key.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StoreChanges {
-    /// All changes up to here are in it.
+    /// Revision of the store up to which all changes are included.
     pub revision: u64,
-    /// Targets that were written, also if with nothing but a sign of life.
+    /// Entries that were written, including those that only renew a heartbeat.
     pub written: Vec<TargetEntry>,
-    /// Targets whose entries are gone, or can't be used any more.
+    /// Targets whose entries were deleted or have become unusable.
     pub removed: Vec<Name>,
-    /// Data centres whose targets operators want nothing sent to, and those that were taken back.
+    /// Data centres that operators have evacuated.
     pub evacuated: Vec<Name>,
-    /// The latter.
+    /// Data centres whose evacuation was revoked.
     pub restored: Vec<Name>,
-    /// The configuration, if it was written.
+    /// The new configuration, if it was written.
     pub config: Option<ConfigText>,
 }
 
-/// What the store says of a configuration that is known.
+/// The result of polling the store for a change of the configuration after a revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConfigPoll {
-    /// It was not written since.
+    /// The configuration was not written after the revision.
     Unchanged,
-    /// It was.
+    /// The configuration was written; this is the newest one.
     Changed(ConfigText),
-    /// The store has forgotten: only a reading tells.
-    Forgotten,
+    /// The store can't report the changes after the revision: the configuration must be read.
+    HistoryDiscarded,
 }
 
-/// The store, and the formats of the environment.
+/// Access to the store and to the formats of the environment.
 pub trait EnvironmentPort: Send + Sync + 'static {
-    /// Reads the configuration and all targets in one call.
+    /// Reads the configuration and all targets together.
     fn read_all(&self) -> BoxFuture<'_, Result<StoreView, StoreError>>;
 
     /// Reads all targets.
     fn read_targets(&self) -> BoxFuture<'_, Result<TargetListing, StoreError>>;
 
-    /// Asks what was written after the store's revision `after`, without waiting for it.
+    /// Polls for changes after the store's revision `after`, without waiting for one.
     fn poll_changes(&self, after: u64) -> BoxFuture<'_, Result<StorePoll, StoreError>>;
 
     /// Reads the configuration, if there is one.
     fn read_config(&self) -> BoxFuture<'_, Result<Option<ConfigText>, StoreError>>;
 
-    /// Asks whether the configuration was written after the store's revision `after`,
-    /// without waiting for it.
+    /// Polls for a change of the configuration after the store's revision `after`, without waiting for
+    /// one.
     fn poll_config(&self, after: u64) -> BoxFuture<'_, Result<ConfigPoll, StoreError>>;
 
-    /// The addresses of boxes that others have left in the store.
+    /// Reads the addresses of boxes that were written to the store as bootstrap addresses.
     fn read_bootstrap_addresses(&self) -> BoxFuture<'_, Result<Vec<IpAddr>, StoreError>>;
 
-    /// Leaves the addresses of some boxes of a data centre in the store.
+    /// Writes the addresses of some boxes of a data centre to the store, in place of the previous ones.
     fn write_bootstrap_addresses<'a>(
         &'a self,
         data_centre: &'a str,
         hosts: &'a [IpAddr],
     ) -> BoxFuture<'a, Result<(), StoreError>>;
 
-    /// Leaves a note of requests that end targets in the store, in place of the data centre's last one.
-    /// Readings of all bring it back.
+    /// Writes a note about poison requests to the store, in place of the previous note of the data
+    /// centre. [`read_all`](Self::read_all) returns the notes.
     fn write_crash_note<'a>(
         &'a self,
         data_centre: &'a str,
         note: &'a [u8],
     ) -> BoxFuture<'a, Result<(), StoreError>>;
 
-    /// Time for which this machine was suspended so far. [`Instant`](std::time::Instant) doesn't count it.
+    /// Returns the total time for which this machine was suspended.
+    /// [`Instant`](std::time::Instant) doesn't count it.
     fn suspended(&self) -> Duration {
         suspended_time()
     }
 
-    /// Decodes a configuration as the store holds it.
+    /// Decodes a configuration from its stored form.
     ///
     /// # Errors
-    /// One line on what can't be used.
+    /// Returns a description, in one line, of the part that is invalid.
     fn decode_config(&self, text: &[u8]) -> Result<RouteConfig, String>;
 
-    /// The names of the headers that carry what requests and answers tell.
+    /// Returns the names of the headers that the box reads and writes.
     fn headers(&self) -> Arc<HeaderNames>;
 }
 
-/// Names of headers, by what they carry.
+/// Names of headers, by their content.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
-    /// The caller's id of the request, returned by targets.
+    /// The caller's id of the request, which targets return.
     pub request_id: String,
-    /// Milliseconds that are left, from the caller and towards the target.
+    /// Remaining time in milliseconds: from the caller to the box, and from the box to the target.
     pub remaining_time: String,
-    /// Which instance is meant, towards the target.
+    /// The instance that the request is meant for, sent to the target.
     pub expected_instance: String,
-    /// The target's proof that it made the answer.
+    /// The target's proof that it produced the answer.
     pub proof: String,
-    /// The target's word that it ran nothing.
+    /// The target's statement that it did not run the request.
     pub not_run: String,
-    /// The target's load: running, waiting, slots.
+    /// The target's load: running requests, waiting requests, slots.
     pub load: String,
-    /// The key of a customer, from the caller. Targets never see it.
+    /// The key of a customer, sent by the caller and never forwarded to targets.
     pub customer_key: String,
-    /// The name of the customer whose request it is, towards the target.
+    /// The name of the customer who the request belongs to, sent to the target.
     pub customer: String,
-    /// A target's word in each of its answers that it leaves: "1".
+    /// The target's statement that it is draining: "1" in each of its answers.
     pub draining: String,
-    /// The requests a second that a target takes from all boxes together, as a decimal number in
-    /// each of its answers, for as long as it has that limit.
+    /// The limit of a target that has one: requests per second from all boxes together, as a decimal
+    /// number in each of its answers.
     pub limit: String,
-    /// Seconds, or a date, after which a refused caller may come back, and a box to a target that
-    /// turned it away.
+    /// The seconds or the date after which a refused caller may retry, and after which the box may send
+    /// requests to a target that refused one.
     pub retry_after: String,
 }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -22,7 +22,7 @@
 use crate::quota_manager::QuotaManager;
 use crate::settings::GatewaySettings;
 use crate::stopping::StopState;
-use crate::store_duty::StoreDuty;
+use crate::store_sync::StoreSync;
 use crate::view_exchange::serve_peers;
 
 /// The balancer needs this long after "not ready" to send no more callers: two questions,
@@ -82,7 +82,7 @@
     let gossip = Gossip::new(Arc::clone(&context), socket, seed, fetching);
     let reader = ConfigReader::new(Arc::clone(&context), Arc::clone(&gossip));
     let store =
-        StoreDuty::new(Arc::clone(&context), Arc::clone(&gossip), Arc::clone(&reader), seed);
+        StoreSync::new(Arc::clone(&context), Arc::clone(&gossip), Arc::clone(&reader), seed);
     let config = ConfigDuty::new(Arc::clone(&context), Arc::clone(&gossip), reader, seed);
     let duties = [
         task::spawn(serve_readiness(readiness, Arc::clone(&context))),
--- a/crates/gateway/src/store_duty.rs
+++ b/crates/gateway/src/store_sync.rs
@@ -1,11 +1,10 @@
-//! Keeps what is known of targets fresh: by peers where they read, else by own readings.
+//! Keeps the view of the store current: from peers that read it, otherwise by own readings.
 //!
-//! Each call to the store has a price, so in each data centre one box reads for all.
-//! There is no election. Boxes are ranked (see `peers`), and each reads by itself once
-//! its view is older than its rank allows: the first one always does, the second only
-//! when the first is silent, and so on. A reader that is dead, frozen, cut off or turned
-//! away by the store is thus replaced within a few tenths of a second, and a box that is
-//! cut off from its peers reads for itself.
+//! Each call to the store has a cost, so in each data centre one box reads for all. There is no
+//! election. Boxes are ordered by read priority (see `peers`), and each reads by itself once its view
+//! is older than its priority allows: the first box always does, the second only if the first is
+//! unresponsive, and so on. A reader that is dead, frozen, cut off or refused by the store is thus
+//! replaced within a few tenths of a second, and a box that can't reach its peers reads for itself.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -23,50 +22,54 @@
 use crate::store_backoff::StoreBackoff;
 use crate::suspension::ClockSample;
 
-/// How long a listing that is there waits for the word that the configuration is unchanged,
-/// so that peers are told of both at once. The store answers in 4 ms.
+/// Time for which a listing that was read waits for the poll of the configuration, so that peers are
+/// sent both versions at once. The store answers in 4 ms.
 const CONFIG_WAIT: Duration = Duration::from_millis(50);
-/// A listing of more targets than this is read as news: whole, it takes a call for each of its pages.
-const LISTED_WHOLE: usize = 400;
-/// It is read whole again after this long all the same, so that nothing that news might miss stays.
-const WHOLE_PERIOD: Duration = Duration::from_secs(12);
-/// A box that has not read for this long begins to read for the others.
+/// Maximum number of targets in a listing that is read in full each time. A longer one takes a call
+/// for each of its pages, so the store is polled for its changes instead.
+const MAX_FULL_LISTING: usize = 400;
+/// Time after which a long listing is read in full all the same, which corrects changes that the
+/// polls may have missed.
+const FULL_LISTING_PERIOD: Duration = Duration::from_secs(12);
+/// Time without own readings after which a reading counts as the start of a new series: this box has
+/// taken over the readings for its data centre.
 const READER_GAP: Duration = Duration::from_secs(5);
-/// A box that found no peers for this long looks for them in the store.
-const LONELY_AFTER: Duration = Duration::from_millis(1500);
-/// Time between two looks into the store for peers.
-const CONTACT_PERIOD: Duration = Duration::from_secs(3);
-/// Time between two notes of contacts in the store, at least.
-const NOTE_PERIOD: Duration = Duration::from_secs(15);
-/// Boxes in a note of contacts at most.
-const CONTACTS: usize = 8;
+/// Time since the start after which a box reads bootstrap addresses, if it has no peers, and writes
+/// them.
+const BOOTSTRAP_DELAY: Duration = Duration::from_millis(1500);
+/// Time between two readings of bootstrap addresses.
+const BOOTSTRAP_READ_PERIOD: Duration = Duration::from_secs(3);
+/// Minimum time between two writes of bootstrap addresses.
+const BOOTSTRAP_WRITE_PERIOD: Duration = Duration::from_secs(15);
+/// Maximum number of bootstrap addresses that are written.
+const MAX_BOOTSTRAP_ADDRESSES: usize = 8;
 
-/// The duty's state.
-pub(crate) struct StoreDuty {
+/// The task that reads the store, with its state.
+pub(crate) struct StoreSync {
     context: Arc<BoxContext>,
     gossip: Arc<Gossip>,
     config: Arc<ConfigReader>,
     random: SmallRng,
     backoff: StoreBackoff,
     started: Instant,
-    /// When this box listed all targets last, or began to read for the others.
+    /// Time at which this box last listed all targets, or took over the readings for its data centre.
     listed: Option<Instant>,
-    /// When it read last.
+    /// Time at which this box last read.
     read: Option<Instant>,
-    contacts_read: Option<Instant>,
-    contacts_noted: Option<Instant>,
-    /// The version of the note of refused requests that this box wrote last; 0 for an empty one.
-    crashes_noted: u64,
+    bootstrap_read: Option<Instant>,
+    bootstrap_written: Option<Instant>,
+    /// Version of the crash note that this box last wrote; 0 for an empty one.
+    crash_note_version: u64,
 }
 
-impl StoreDuty {
+impl StoreSync {
     pub(crate) fn new(
         context: Arc<BoxContext>,
         gossip: Arc<Gossip>,
         config: Arc<ConfigReader>,
         seed: u64,
-    ) -> StoreDuty {
-        StoreDuty {
+    ) -> StoreSync {
+        StoreSync {
             context,
             gossip,
             config,
@@ -75,21 +78,21 @@
             started: Instant::now(),
             listed: None,
             read: None,
-            contacts_read: None,
-            contacts_noted: None,
-            crashes_noted: 0,
+            bootstrap_read: None,
+            bootstrap_written: None,
+            crash_note_version: 0,
         }
     }
 
-    /// Works until the ring of notices closes.
+    /// Runs until the channel of `notices` is closed. A notice reports that the view has changed.
     pub(crate) async fn run(mut self, notices: Receiver<()>) {
         loop {
             self.drop_lapsed();
-            let due = self.reading_age();
+            let due = self.read_age();
             let wait = self.age().map_or(Duration::ZERO, |age| due.saturating_sub(age));
             let wait = wait.max(self.backoff.remaining());
             if !wait.is_zero() {
-                // A notice means that a peer's word was taken, so the age is another one.
+                // A notice reports an update from a peer, which may have changed the age.
                 let wait = self.until_lapse().map_or(wait, |lapse| lapse.min(wait));
                 match timeout(wait, notices.recv()).await {
                     Ok(Err(_)) => return,
@@ -97,23 +100,23 @@
                 }
             }
             self.read().await;
-            self.mind_contacts().await;
-            self.mind_crashes().await;
+            self.sync_bootstrap_addresses().await;
+            self.write_crash_note().await;
         }
     }
 
-    /// How old that is which a reading would renew.
+    /// Returns the age of the data that a reading would refresh; `None` if there is none.
     fn age(&self) -> Option<Duration> {
-        let known = self.context.view();
-        let large = is_large(known.config_text());
-        let oldest = if large { known.as_of() } else { known.oldest() };
+        let view = self.context.view();
+        let large = is_large(view.config_text());
+        let oldest = if large { view.as_of() } else { view.oldest() };
         oldest.map(|oldest| oldest.elapsed())
     }
 
-    /// The age at which this box reads.
-    fn reading_age(&mut self) -> Duration {
-        let rank = self.context.peers().read_priority();
-        self.context.budget.read_age(rank, self.random.random())
+    /// Returns the age of the view at which this box reads the store.
+    fn read_age(&mut self) -> Duration {
+        let priority = self.context.peers().read_priority();
+        self.context.budget.read_age(priority, self.random.random())
     }
 
     async fn read(&mut self) {
@@ -141,11 +144,11 @@
         }
     }
 
-    /// Reads all in one call, or, where the configuration is large, lists the targets and
-    /// has news of the configuration read beside that.
+    /// Polls for changes of a long listing. Otherwise reads all in one call or, if the configuration is
+    /// large, lists the targets and refreshes the configuration concurrently.
     async fn read_once(&mut self, began: Instant, mark: ClockSample) -> Result<(), StoreError> {
-        if let Some(after) = self.news_from()
-            && self.read_news(after, began, &mark).await?
+        if let Some(after) = self.poll_revision()
+            && self.poll_changes(after, began, &mark).await?
         {
             return Ok(());
         }
@@ -167,63 +170,66 @@
             revision = listing.revision, with_config = false, taken_ms = millis(began.elapsed());
             "view-read"
         );
-        // Targets don't wait for a configuration that takes long: they are in force from here
-        // on, and peers are told at once. Waiting made requests reach targets 3 s after these
-        // had said that they leave, by the requests' lines.
+        // Targets don't wait for a configuration that takes long: they are in force from here on, and
+        // peers are notified at once. With the wait, requests reached targets as late as 3 s after
+        // these had reported that they drain.
         self.context.apply_listing(listing, self.context.corrected_time(&mark), "store");
-        // Late: it goes on by itself, and is told when it is there.
+        // A refresh that takes longer continues in its task, which notifies peers when it is done.
         let _ = timeout(CONFIG_WAIT, reading).await;
         Ok(())
     }
 
-    /// The revision from which news is read in place of a listing; `None` if the targets are to be listed.
+    /// Returns the revision after which the store is polled for changes; `None` if the targets are to be
+    /// listed.
     ///
-    /// What a peer's listing told is as good to go on from as an own one.
-    fn news_from(&mut self) -> Option<u64> {
+    /// The revision may be of a listing from a peer: polling continues from it as from an own one.
+    fn poll_revision(&mut self) -> Option<u64> {
         let now = Instant::now();
-        let begins = self.read.replace(now).is_none_or(|read| now - read >= READER_GAP);
-        if begins {
+        let takes_over = self.read.replace(now).is_none_or(|read| now - read >= READER_GAP);
+        if takes_over {
             self.listed = Some(now);
         }
         let listed = *self.listed.get_or_insert(now);
-        let known = self.context.view();
-        if known.listed_count() <= LISTED_WHOLE || listed.elapsed() >= WHOLE_PERIOD {
+        let view = self.context.view();
+        if view.listed_count() <= MAX_FULL_LISTING || listed.elapsed() >= FULL_LISTING_PERIOD {
             return None;
         }
-        known.target_poll_revision()
+        view.target_poll_revision()
     }
 
-    /// Reads what is new since the revision `after`; returns whether the store still knows.
-    async fn read_news(
+    /// Polls the store for changes after the revision `after` and applies them. Returns `false` if the
+    /// store has discarded its history since then.
+    async fn poll_changes(
         &self,
         after: u64,
         began: Instant,
         mark: &ClockSample,
     ) -> Result<bool, StoreError> {
-        let StorePoll::Changed(news) = self.context.port.poll_changes(after).await? else {
+        let StorePoll::Changed(changes) = self.context.port.poll_changes(after).await? else {
             log::info!(after; "history-forgotten");
             return Ok(false);
         };
         log::info!(
-            revision = news.revision, after, written = news.written.len(), gone = news.removed.len(),
+            revision = changes.revision, after, written = changes.written.len(), gone = changes.removed.len(),
             taken_ms = millis(began.elapsed());
             "news-read"
         );
-        self.context.apply_changes(*news, self.context.corrected_time(mark));
+        self.context.apply_changes(*changes, self.context.corrected_time(mark));
         Ok(true)
     }
 
-    /// Looks for peers in the store if there are none, and leaves some there for others.
-    async fn mind_contacts(&mut self) {
-        let (boxes, rank, near) = {
+    /// Reads bootstrap addresses from the store if this box has no peers, and writes some if it is the
+    /// reader of its data centre.
+    async fn sync_bootstrap_addresses(&mut self) {
+        let (boxes, priority, local_peers) = {
             let peers = self.context.peers();
             (peers.boxes(), peers.read_priority(), peers.local())
         };
         if boxes == 1
-            && self.started.elapsed() >= LONELY_AFTER
-            && is_due(self.contacts_read, CONTACT_PERIOD)
+            && self.started.elapsed() >= BOOTSTRAP_DELAY
+            && is_due(self.bootstrap_read, BOOTSTRAP_READ_PERIOD)
         {
-            self.contacts_read = Some(Instant::now());
+            self.bootstrap_read = Some(Instant::now());
             match self.context.port.read_bootstrap_addresses().await {
                 Ok(hosts) => {
                     log::info!(found = hosts.len(); "contacts-read");
@@ -232,12 +238,12 @@
                 Err(error) => log::warn!(reason:% = error; "contacts-not-read"),
             }
         }
-        let due =
-            self.started.elapsed() >= LONELY_AFTER && is_due(self.contacts_noted, NOTE_PERIOD);
-        if rank == 0 && due {
-            self.contacts_noted = Some(Instant::now());
+        let due = self.started.elapsed() >= BOOTSTRAP_DELAY
+            && is_due(self.bootstrap_written, BOOTSTRAP_WRITE_PERIOD);
+        if priority == 0 && due {
+            self.bootstrap_written = Some(Instant::now());
             let mut hosts = vec![self.context.settings.host()];
-            hosts.extend(near.into_iter().take(CONTACTS - 1));
+            hosts.extend(local_peers.into_iter().take(MAX_BOOTSTRAP_ADDRESSES - 1));
             let centre = self.context.settings.data_centre.as_str();
             if let Err(error) = self.context.port.write_bootstrap_addresses(centre, &hosts).await {
                 log::warn!(reason:% = error; "contacts-not-noted");
@@ -245,29 +251,30 @@
         }
     }
 
-    /// Leaves in the store which requests are refused, if that has changed: a fleet that lost power as a
-    /// whole would let each of them end three more targets.
-    async fn mind_crashes(&mut self) {
+    /// Writes the poison requests that boxes refuse to the store, if they have changed. Without the
+    /// note, each of these requests would end three more targets after a power failure of the whole
+    /// fleet.
+    async fn write_crash_note(&mut self) {
         if self.context.peers().read_priority() > 0 {
             return;
         }
         let (version, note) = self.context.crashes.encode_note();
-        if version == self.crashes_noted {
+        if version == self.crash_note_version {
             return;
         }
         let centre = self.context.settings.data_centre.as_str();
         match self.context.port.write_crash_note(centre, &note).await {
             Ok(()) => {
                 log::info!(bytes = note.len(); "crash-note-written");
-                self.crashes_noted = version;
+                self.crash_note_version = version;
             }
-            // It is tried again with the next reading.
+            // The write is repeated after the next reading.
             Err(error) => log::warn!(reason:% = error; "crash-note-not-written"),
         }
     }
 
-    /// Time until the next lapsed target is to be dropped. Boxes that live by their peers
-    /// make no reading that would do it.
+    /// Returns the time until the next lapsed target is to be dropped. Boxes that are updated by peers
+    /// make no reading that would drop it.
     fn until_lapse(&self) -> Option<Duration> {
         let lapse = self.context.view().next_lapse()?;
         Some(lapse.saturating_duration_since(Instant::now()))
@@ -276,7 +283,7 @@
     fn drop_lapsed(&self) {
         let dropped = self
             .context
-            .change_view(|known| known.drop_lapsed(Instant::now()).then(|| known.revision()));
+            .change_view(|view| view.drop_lapsed(Instant::now()).then(|| view.revision()));
         if let Some(revision) = dropped {
             log::info!(revision; "lapsed-targets-dropped");
         }
--- a/crates/gateway/src/target_table.rs
+++ b/crates/gateway/src/target_table.rs
@@ -1,8 +1,8 @@
-//! The targets that the store lists, and which of them take work: changed by what is new alone.
+//! The targets that the store lists and those of them that take requests, updated incrementally.
 //!
-//! Load pattern: a listing of thousands of targets changes in some hundreds of them between two
-//! readings, and each box learns of that. Made anew each time, with all that follows from it, it took
-//! several times its size in memory and the more processor time the more targets there were.
+//! A listing of thousands of targets changes in some hundreds of them between two readings, and each
+//! box applies the change. A table that was rebuilt each time, with all state derived from it, needed
+//! several times its size in memory, and processor time in proportion to the number of all targets.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -14,102 +14,105 @@
 use crate::listing_history::{ListingDelta, ListingHistory};
 use crate::view::{TargetEntry, ViewChange};
 
-/// A hash over a listing, whatever the order. Never 0, which stands for no listing.
+/// Returns a hash over a listing that does not depend on the order. It is never 0, which stands for no
+/// listing.
 pub(crate) fn listing_digest(targets: &[TargetEntry], evacuated: &[Name]) -> u64 {
     let sum = targets.iter().map(entry_hash).fold(0, u64::wrapping_add);
     digest_of(sum, evacuated)
 }
 
-/// What is new among the targets that take work.
+/// A change of the set of targets that take requests.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TargetUpdate {
-    /// Lives of targets that take none any more.
+    /// Incarnations of targets that no longer take requests.
     pub removed: Vec<TargetKey>,
-    /// Targets that take some now, or are different.
+    /// Targets that take requests and are new or have changed.
     pub updated: Vec<TargetEntry>,
 }
 
-/// The targets of the newest listing, and what follows from those before it.
+/// The targets of the newest listing, with the state that results from earlier listings.
 #[derive(Debug, Default)]
 pub(crate) struct TargetTable {
     entries: BTreeMap<Name, TargetEntry>,
-    /// Data centres whose targets operators want nothing sent to, in the order of their names.
+    /// Data centres that operators have evacuated, ordered by name.
     evacuated: Vec<Name>,
-    /// The sum of the entries' hashes.
+    /// Wrapping sum of the hashes of all entries.
     sum: u64,
     history: ListingHistory,
     incarnations: TargetIncarnations,
-    /// Targets that an outage of the store took from the list, until when they are used.
+    /// Targets that were missing after an outage of the store, each with the end of its grace period.
     lapsed: HashMap<Name, (TargetEntry, Instant)>,
-    /// Until when those are slow that were listed as slow from their start.
+    /// Times until which targets that were listed as cold are slow after their start.
     cold_until: HashMap<Name, Instant>,
-    /// Names of services and data centres: those of thousands of targets are a few.
-    names: HashSet<Name>,
+    /// Interned names of services and data centres: thousands of targets share a few.
+    interned: HashSet<Name>,
     update: TargetUpdate,
 }
 
-/// When a listing was read, and what that means for targets that are missing in it.
+/// The time at which a listing was read, and the grace period for targets that are missing in it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ListingTime {
     pub(crate) as_of: Instant,
-    /// Until when targets that are missing may come back, after an outage of the store.
+    /// End of the grace period for missing targets, if the store had an outage before.
     pub(crate) returning: Option<Instant>,
 }
 
 impl TargetTable {
-    /// The hash over the listing.
+    /// Returns the hash over the listing.
     pub(crate) fn digest(&self) -> u64 {
         digest_of(self.sum, &self.evacuated)
     }
 
-    /// All listed targets, in the order of their names.
+    /// Returns all listed targets, ordered by name.
     pub(crate) fn listed(&self) -> impl Iterator<Item = &TargetEntry> {
         self.entries.values()
     }
 
-    /// Data centres whose targets operators want nothing sent to.
+    /// Returns the data centres that operators have evacuated, ordered by name.
     pub(crate) fn evacuated(&self) -> &[Name] {
         &self.evacuated
     }
 
-    /// Until when a listed target is slow from its start.
+    /// Returns the time until which a listed target is slow after its start, if it was listed as cold.
     pub(crate) fn cold_until(&self, id: &Name) -> Option<Instant> {
         self.cold_until.get(id).copied()
     }
 
-    /// Targets that take work at `now`.
+    /// Returns the targets that take requests at `now`.
     pub(crate) fn usable(&self, now: Instant) -> impl Iterator<Item = &TargetEntry> {
         let lapsed = self.lapsed.values().filter(move |(_, until)| now < *until);
         self.listed_in_force().chain(lapsed.map(|(target, _)| target))
     }
 
-    /// What makes this listing of the one with the hash `digest`; `None` if that one is not known.
+    /// Returns the change from the listing with the hash `digest` to this one; `None` if that listing
+    /// is not in the history.
     pub(crate) fn delta_from(&self, digest: u64) -> Option<ListingDelta> {
         self.history.since(digest, &self.entries)
     }
 
-    /// Whether it is known what makes this listing of the one with the hash `digest`.
-    pub(crate) fn remembers(&self, digest: u64) -> bool {
+    /// Returns whether the change from the listing with the hash `digest` to this one is in the history.
+    pub(crate) fn has_delta_from(&self, digest: u64) -> bool {
         self.history.position(digest).is_some()
     }
 
-    /// What makes a whole listing of this one.
+    /// Returns the change from this listing to the complete listing `targets`.
     pub(crate) fn delta_to(&self, targets: Vec<TargetEntry>) -> ListingDelta {
-        let gone = {
+        let removed = {
             let listed: HashSet<&Name> = targets.iter().map(|target| &target.id).collect();
             self.entries.keys().filter(|id| !listed.contains(id)).cloned().collect()
         };
-        self.delta_of_changes(targets, gone)
+        self.delta_of_changes(targets, removed)
     }
 
-    /// What is new by what was written, signs of life left out, and by what is gone.
+    /// Returns the change that results from written and removed entries. Entries that only renew a
+    /// heartbeat are not part of it.
     pub(crate) fn delta_of_changes(
         &self,
         written: Vec<TargetEntry>,
         removed: Vec<Name>,
     ) -> ListingDelta {
         let is_new = |target: &TargetEntry| {
-            self.entries.get(&target.id).is_none_or(|before| !before.is_same(target))
+            self.entries.get(&target.id).is_none_or(|before| !before.is_equivalent(target))
         };
         ListingDelta {
             changed: written.into_iter().filter(is_new).collect(),
@@ -117,18 +120,18 @@
         }
     }
 
-    /// How many targets are listed.
+    /// Returns the number of listed targets.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// The hash over the listing that a delta would make of this one.
+    /// Returns the hash over the listing that results if `delta` is applied to this one.
     pub(crate) fn digest_with(&self, delta: &ListingDelta, evacuated: &[Name]) -> u64 {
         digest_of(self.sum_with(delta), evacuated)
     }
 
-    /// Makes another listing of this one; tells in `change` what is new for requests and for the log.
-    pub(crate) fn take(
+    /// Applies `delta` to the listing, and records its effects on requests in `change`.
+    pub(crate) fn apply(
         &mut self,
         delta: ListingDelta,
         evacuated: Vec<Name>,
@@ -154,17 +157,17 @@
         self.sum = sum;
         self.incarnations.evict_unlisted(|id| self.entries.contains_key(id));
         for (id, used) in names.iter().zip(used) {
-            self.note_update(id, used);
+            self.record_update(id, used);
         }
-        self.take_evacuated(evacuated, change);
+        self.apply_evacuated(evacuated, change);
     }
 
-    /// When the next lapsed target is to be dropped, if there is one.
+    /// Returns the time at which the next lapsed target is to be dropped, if there is one.
     pub(crate) fn next_lapse(&self) -> Option<Instant> {
         self.lapsed.values().map(|(_, until)| *until).min()
     }
 
-    /// Drops lapsed targets whose time is over; returns whether there were some.
+    /// Drops lapsed targets whose grace period is over. Returns whether any were dropped.
     pub(crate) fn drop_lapsed(&mut self, now: Instant) -> bool {
         let over = self.lapsed.extract_if(|_, (_, until)| *until <= now);
         let before = self.update.removed.len();
@@ -172,28 +175,29 @@
         self.update.removed.len() > before
     }
 
-    /// Ends what targets may yet be used for sooner, by `time` that the clock did not count.
+    /// Shortens the grace periods of lapsed targets by `time`, a suspension of the machine that the
+    /// clock did not count.
     pub(crate) fn advance_clocks(&mut self, time: Duration) {
         for (_, until) in self.lapsed.values_mut() {
             *until = until.checked_sub(time).unwrap_or(*until);
         }
     }
 
-    /// Tells those targets anew of which `is_concerned` holds: what is known of them beside their listing is
-    /// another.
-    pub(crate) fn renew(&mut self, is_concerned: impl Fn(&TargetEntry) -> bool) {
-        let concerned: Vec<TargetEntry> = {
+    /// Adds the targets that match `is_affected` to the next update, because properties of them that
+    /// are not part of their entries have changed.
+    pub(crate) fn mark_updated(&mut self, is_affected: impl Fn(&TargetEntry) -> bool) {
+        let affected: Vec<TargetEntry> = {
             let lapsed = self.lapsed.values().map(|(target, _)| target);
             self.listed_in_force()
                 .chain(lapsed)
-                .filter(|target| is_concerned(target))
+                .filter(|target| is_affected(target))
                 .cloned()
                 .collect()
         };
-        self.update.updated.extend(concerned);
+        self.update.updated.extend(affected);
     }
 
-    /// What is new among the targets that take work since this was asked last.
+    /// Takes the changes among the targets that take requests since the previous call.
     pub(crate) fn take_update(&mut self) -> TargetUpdate {
         std::mem::take(&mut self.update)
     }
@@ -201,8 +205,8 @@
     fn sum_with(&self, delta: &ListingDelta) -> u64 {
         let changed = delta.changed.iter().map(|target| &target.id);
         let replaced = changed.chain(&delta.removed).filter_map(|id| self.entries.get(id));
-        let less = replaced.map(entry_hash).fold(self.sum, u64::wrapping_sub);
-        delta.changed.iter().map(entry_hash).fold(less, u64::wrapping_add)
+        let remaining = replaced.map(entry_hash).fold(self.sum, u64::wrapping_sub);
+        delta.changed.iter().map(entry_hash).fold(remaining, u64::wrapping_add)
     }
 
     fn remove(&mut self, id: &Name, time: ListingTime, change: &mut ViewChange) {
@@ -228,8 +232,8 @@
     }
 
     fn put(&mut self, mut target: TargetEntry, time: ListingTime, change: &mut ViewChange) {
-        target.service = self.shared(&target.service);
-        target.data_centre = self.shared(&target.data_centre);
+        target.service = self.intern(&target.service);
+        target.data_centre = self.intern(&target.data_centre);
         self.lapsed.remove(&target.id);
         let before = self.entries.get(&target.id);
         if self.incarnations.record_listed(before, &target) {
@@ -250,28 +254,29 @@
         self.entries.insert(target.id.clone(), target);
     }
 
-    fn take_evacuated(&mut self, evacuated: Vec<Name>, change: &mut ViewChange) {
+    fn apply_evacuated(&mut self, evacuated: Vec<Name>, change: &mut ViewChange) {
         let before = std::mem::replace(&mut self.evacuated, evacuated);
-        let others = |of: &[Name], than: &[Name]| -> Vec<Name> {
-            of.iter().filter(|name| !than.contains(name)).cloned().collect()
+        let missing_in = |names: &[Name], others: &[Name]| -> Vec<Name> {
+            names.iter().filter(|name| !others.contains(name)).cloned().collect()
         };
-        change.evacuated = others(&self.evacuated, &before);
-        change.restored = others(&before, &self.evacuated);
-        let concerned: HashSet<&Name> = change.evacuated.iter().chain(&change.restored).collect();
-        if !concerned.is_empty() {
-            self.renew(|target| concerned.contains(&target.data_centre));
+        change.evacuated = missing_in(&self.evacuated, &before);
+        change.restored = missing_in(&before, &self.evacuated);
+        let affected: HashSet<&Name> = change.evacuated.iter().chain(&change.restored).collect();
+        if !affected.is_empty() {
+            self.mark_updated(|target| affected.contains(&target.data_centre));
         }
     }
 
-    /// Notes what became of a target that was used under the key `used`.
-    fn note_update(&mut self, id: &Name, used: Option<TargetKey>) {
-        let now = self.usable_entry(id).cloned();
-        let key = now.as_ref().map(TargetEntry::key);
+    /// Adds the new state of a target, which was in use under the key `used` until now, to the next
+    /// update.
+    fn record_update(&mut self, id: &Name, used: Option<TargetKey>) {
+        let current = self.usable_entry(id).cloned();
+        let key = current.as_ref().map(TargetEntry::key);
         self.update.removed.extend(used.filter(|used| Some(*used) != key));
-        self.update.updated.extend(now);
+        self.update.updated.extend(current);
     }
 
-    /// What counts of a target, if it takes work.
+    /// Returns the entry that is in force for a target, if the target takes requests.
     fn usable_entry(&self, id: &Name) -> Option<&TargetEntry> {
         let listed = self.entries.get(id).and_then(|target| self.in_force(target));
         listed.or_else(|| self.lapsed.get(id).map(|(target, _)| target))
@@ -285,16 +290,16 @@
         self.incarnations.in_force(listed).filter(|target| !target.draining)
     }
 
-    fn shared(&mut self, name: &Name) -> Name {
-        if let Some(known) = self.names.get(name) {
+    fn intern(&mut self, name: &Name) -> Name {
+        if let Some(known) = self.interned.get(name) {
             return known.clone();
         }
-        self.names.insert(name.clone());
+        self.interned.insert(name.clone());
         name.clone()
     }
 }
 
-/// A hash over all that matters to requests of a target.
+/// Returns a hash over everything in an entry that matters to requests.
 fn entry_hash(target: &TargetEntry) -> u64 {
     let mut hash = Xxh3::new();
     for text in [&target.id, &target.address, &target.service, &target.data_centre] {
--- a/crates/gateway/src/transfer_slots.rs
+++ b/crates/gateway/src/transfer_slots.rs
@@ -1,45 +1,46 @@
-//! How many peers a box sends something long to at once.
+//! Limit on the number of peers that a box sends long replies to at the same time.
 //!
-//! All of them at once would share its link so that none has it in time; those that have it first hand it on.
+//! Sent to all peers at once, the replies would share the box's link and none would arrive in time.
+//! Peers that have received one serve the others.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Peers at once, at least. With three the holders grow fourfold in the time of three transfers, which is
-/// near the best that one link can do.
-const PLACES: usize = 3;
-/// One more for each such part of the link, in megabits a second: boxes with less room than
-/// this are the ones for which sending one after the other is too slow.
-const MBPS_EACH: u32 = 15;
+/// Minimum number of concurrent transfers. With three, the number of boxes that hold the data grows
+/// fourfold in the time of three transfers, which is close to the optimum for one link.
+const MIN_SLOTS: usize = 3;
+/// Link capacity, in megabits per second, for each slot beyond the minimum. On links with less
+/// capacity than this, sending replies one after the other is too slow.
+const MBPS_PER_SLOT: u32 = 15;
 
-/// Wait before a peer is asked again that sends to others, at least; twice that at most.
+/// Minimum time before a busy peer is asked again; the maximum is twice that.
 pub(crate) const BUSY_RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// The places of a box.
+/// The transfer slots of a box.
 #[derive(Debug)]
 pub(crate) struct TransferSlots {
     taken: AtomicUsize,
-    most: usize,
+    max: usize,
 }
 
-/// A place that is taken until it is dropped.
+/// A transfer slot that is held until this value is dropped.
 #[derive(Debug)]
 pub(crate) struct TransferSlot<'a> {
     slots: &'a TransferSlots,
 }
 
 impl TransferSlots {
-    /// The places of a box with a link of `link_mbps`.
+    /// Creates the slots of a box whose link has `link_mbps`; 0 stands for an unknown capacity.
     pub(crate) fn new(link_mbps: u32) -> TransferSlots {
         TransferSlots {
             taken: AtomicUsize::new(0),
-            most: PLACES + (link_mbps / MBPS_EACH) as usize,
+            max: MIN_SLOTS + (link_mbps / MBPS_PER_SLOT) as usize,
         }
     }
 
-    /// A place, unless all are taken.
+    /// Acquires a slot. Returns `None` if all are taken.
     pub(crate) fn try_acquire(&self) -> Option<TransferSlot<'_>> {
-        if self.taken.fetch_add(1, Ordering::Relaxed) >= self.most {
+        if self.taken.fetch_add(1, Ordering::Relaxed) >= self.max {
             self.taken.fetch_sub(1, Ordering::Relaxed);
             return None;
         }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -1,4 +1,5 @@
-//! What a box knows of the store: configuration and targets, and how old that is.
+//! The box's copy of what the store holds: the configuration and the listing of targets, each with
+//! the time at which it was last known to be current.
 
 use std::fmt;
 use std::sync::Arc;
@@ -13,73 +14,73 @@
 pub use crate::target_table::TargetUpdate;
 use crate::target_table::{ListingTime, TargetTable, listing_digest};
 
-/// A gap between two readings from which on the store counts as away: twice the time
-/// by which any box in doubt reads for itself (see `store_duty`).
-const AWAY_AFTER: Duration = Duration::from_millis(2500);
-/// Targets that are missing after an outage have this long to come back. Source: the
-/// users' letter, "about two seconds".
-const RETURN_TIME: Duration = Duration::from_secs(2);
+/// Gap between two readings that counts as an outage of the store: twice the time after which any
+/// box with an outdated view reads the store itself (see `store_sync`).
+const OUTAGE_GAP: Duration = Duration::from_millis(2500);
+/// Time for which targets that are missing after an outage stay in use, so that they can register
+/// again. The users asked for about two seconds.
+const RETURN_GRACE: Duration = Duration::from_secs(2);
 /// A target as the store lists it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetEntry {
-    /// The instance's name. It may start again under it, as another life.
+    /// The instance's name. A restarted instance keeps it and is a new incarnation.
     pub id: Name,
-    /// Where it listens.
+    /// The address and port that the target listens on.
     pub address: Name,
-    /// Its service.
+    /// The service that the target is an instance of.
     pub service: Name,
-    /// Its data centre.
+    /// The data centre that the target runs in.
     pub data_centre: Name,
-    /// Requests that it works on at once.
+    /// Number of requests that the target processes concurrently.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether the target is draining and takes no new requests.
     pub draining: bool,
-    /// For how long it was still slow from its start, when it was read.
+    /// Remaining time, counted from the reading, for which the target is slow after its start.
     pub cold_time: Duration,
-    /// Whether it said so.
+    /// Whether the target reports that it is still slow after its start.
     pub is_cold: bool,
-    /// When this life of it began, in milliseconds since 1970; 0 if it did not tell.
+    /// Start of this incarnation in milliseconds since 1970; 0 if the target does not report it.
     pub born_ms: u64,
 }
 
 impl TargetEntry {
-    /// Whether all that matters to requests is the same: how long a target is still slow
-    /// changes with each of its heartbeats, and is no news.
-    pub(crate) fn is_same(&self, other: &TargetEntry) -> bool {
+    /// Returns whether the two entries are equal in everything that matters to requests. The
+    /// remaining cold time changes with each heartbeat of a target and is not compared.
+    pub(crate) fn is_equivalent(&self, other: &TargetEntry) -> bool {
         let cold_time = self.cold_time;
         *self == TargetEntry { cold_time, ..other.clone() }
     }
 
-    /// The key of this life of it between boxes.
+    /// Returns the key that identifies this incarnation of the target between boxes.
     pub(crate) fn key(&self) -> TargetKey {
         TargetKey::of_incarnation(&self.id, self.born_ms)
     }
 }
 
-/// What the store held at one revision.
+/// The content of the store at one revision.
 #[derive(Debug, Clone, Default)]
 pub struct StoreView {
-    /// All changes up to here are in it.
+    /// Revision of the store up to which all changes are included.
     pub revision: u64,
-    /// The store's revision of the configuration; 0 if there is none.
+    /// Revision at which the configuration was last written; 0 if there is no configuration.
     pub config_revision: u64,
-    /// The configuration as the store holds it; left out where it was not read.
+    /// The configuration in its stored form; `None` if it was not read.
     pub config: Option<ConfigText>,
-    /// All targets, in the order of their names.
+    /// All targets, ordered by name.
     pub targets: Vec<TargetEntry>,
-    /// Data centres whose targets operators want nothing sent to, in the order of their names.
+    /// Data centres that operators have evacuated, ordered by name. Their targets get no requests.
     pub evacuated: Vec<Name>,
-    /// Notes of requests that end targets, of all data centres.
+    /// Encoded notes about poison requests, one per data centre.
     pub crash_notes: Vec<Vec<u8>>,
 }
 
-/// A configuration as the store holds it. It has customers' keys in it, so that `Debug` shows none
-/// of its bytes.
+/// A configuration in its stored form. It contains keys of customers, so `Debug` prints its length
+/// and none of its bytes.
 #[derive(Clone, PartialEq, Eq)]
 pub struct ConfigText {
-    /// The store's revision of it.
+    /// Revision of the store at which the configuration was written.
     pub revision: u64,
-    /// Its bytes.
+    /// The stored bytes.
     pub text: Arc<[u8]>,
 }
 
@@ -90,60 +91,61 @@
 }
 
 impl StoreView {
-    /// A hash over all that matters to requests of the targets, to see whether two views
-    /// differ in them. Never 0.
+    /// Returns a hash over everything in the listing of targets that matters to requests, so that
+    /// two views can be compared. It is never 0.
     pub fn digest(&self) -> u64 {
         listing_digest(&self.targets, &self.evacuated)
     }
 }
 
-/// What changed when a view was taken.
+/// The effects of an update of the view.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ViewChange {
-    /// The version of a configuration that came into force.
+    /// Version of the configuration that came into force with the update, if one did.
     pub config: Option<u64>,
-    /// Why a configuration could not be taken; the one before stays in force.
+    /// Reason for which a new configuration was refused. The previous one stays in force.
     pub refused: Option<String>,
-    /// Whether the targets that take work are others now.
+    /// Whether the set of targets that take requests has changed.
     pub targets_changed: bool,
-    /// Instances that left or are leaving since the view before.
+    /// Instances that were removed from the listing or began to drain.
     pub departed: Vec<Name>,
-    /// Lives of those among them that had said nothing of it, and of those that started again.
+    /// Incarnations that ended without draining first: those that were removed from the listing,
+    /// and those that were replaced by a restart.
     pub ended: Vec<TargetKey>,
-    /// Instances that came.
+    /// Instances that are new in the listing.
     pub joined: Vec<Name>,
-    /// Instances that started again under their names.
+    /// Instances that restarted under the same name.
     pub restarted: Vec<Name>,
-    /// Data centres whose targets get nothing from now on.
+    /// Data centres that were evacuated: their targets get no requests from now on.
     pub evacuated: Vec<Name>,
-    /// Those that were taken back.
+    /// Data centres whose evacuation was revoked.
     pub restored: Vec<Name>,
 }
 
-/// What a peer tells of a listing.
+/// A change of the listing as a peer sends it.
 #[derive(Debug, Clone, Default)]
 pub struct PeerListingDelta {
-    /// The store's revision of the listing.
+    /// Revision of the store that the resulting listing is of.
     pub revision: u64,
-    /// The hash over it.
+    /// Hash over the resulting listing.
     pub digest: u64,
-    /// What makes it of the one that is held.
+    /// The change from the listing that this box holds to the resulting one.
     pub delta: ListingDelta,
-    /// Data centres whose targets operators want nothing sent to, in the order of their names.
+    /// Data centres that operators have evacuated, ordered by name.
     pub evacuated: Vec<Name>,
 }
 
-/// The newest view, and what follows from the views before it.
+/// The newest view of the store, with the state that results from earlier views.
 ///
-/// Targets and configuration are two matters with an age each: a configuration that takes
-/// long on its way does not hold up what is known of targets.
+/// Targets and configuration have separate ages, so that a configuration that takes long to
+/// transfer does not delay changes of targets.
 #[derive(Debug, Default)]
-pub struct KnownView {
+pub struct CachedView {
     revision: u64,
     targets: TargetTable,
     as_of: Option<Instant>,
     history: RevisionHistory,
-    /// The store's revision of the configuration; 0 before the first.
+    /// Revision of the store at which the configuration was written; 0 before the first.
     config_revision: u64,
     config_text: Option<ConfigText>,
     config: Option<Arc<RouteConfig>>,
@@ -151,100 +153,106 @@
     return_until: Option<Instant>,
 }
 
-impl KnownView {
-    /// The store's revision that this view is of.
+impl CachedView {
+    /// Returns the revision of the store that the listing of targets is of.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The hash over the targets; 0 before the first listing.
+    /// Returns the hash over the listing of targets; 0 before the first listing.
     pub fn digest(&self) -> u64 {
         if self.as_of.is_some() { self.targets.digest() } else { 0 }
     }
 
-    /// When the read that these targets are of began; `None` before the first.
+    /// Returns the start of the read that last showed this listing of targets to be current; `None`
+    /// before the first listing.
     pub fn as_of(&self) -> Option<Instant> {
         self.as_of
     }
 
-    /// When the read began that showed that this is the newest configuration; `None` before
-    /// the first.
+    /// Returns the start of the read that last showed this configuration to be the newest; `None`
+    /// before the first configuration.
     pub fn config_as_of(&self) -> Option<Instant> {
         self.config_as_of
     }
 
-    /// Since when this box could have missed a change of either kind; `None` before the first
-    /// reading.
+    /// Returns the time since which this box could have missed a change of the targets or of the
+    /// configuration; `None` before the first reading of both.
     pub fn oldest(&self) -> Option<Instant> {
         Some(self.as_of?.min(self.config_as_of?))
     }
 
-    /// The revision from which news of the configuration is to be asked for; `None` if the
-    /// configuration itself must be read.
+    /// Returns the revision after which the store is polled for changes of the configuration; `None`
+    /// if the configuration must be read in full.
     ///
-    /// What was heard of targets since says nothing of the configuration: asked from there, the
-    /// store would tell of no change, and the box would take an old one for the newest.
+    /// Newer revisions of the targets don't count, because they say nothing about the
+    /// configuration: polled from there, the store would report no change, and the box would treat an
+    /// outdated configuration as the newest.
     pub fn config_poll_revision(&self) -> Option<u64> {
         let held = self.config_revision;
         let confirmed = self.config_as_of.filter(|_| held > 0)?;
         Some(self.history.revision_before(confirmed).max(held))
     }
 
-    /// The configuration in force.
+    /// Returns the configuration that is in force.
     pub fn config(&self) -> Option<&Arc<RouteConfig>> {
         self.config.as_ref()
     }
 
-    /// The configuration as the store holds it, also one that could not be taken.
+    /// Returns the newest configuration in its stored form, including one that was refused.
     pub fn config_text(&self) -> Option<&ConfigText> {
         self.config_text.as_ref()
     }
 
-    /// All listed targets, in the order of their names.
+    /// Returns all listed targets, ordered by name.
     pub fn listed(&self) -> impl Iterator<Item = &TargetEntry> {
         self.targets.listed()
     }
 
-    /// How many targets are listed.
+    /// Returns the number of listed targets.
     pub fn listed_count(&self) -> usize {
         self.targets.len()
     }
 
-    /// For how long a listed target is still slow from its start at `now`.
+    /// Returns the time, counted from `now`, for which a listed target is still slow after its start.
     pub fn cold_time(&self, id: &Name, now: Instant) -> Duration {
         let until = self.targets.cold_until(id);
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
-    /// Data centres whose targets operators want nothing sent to, in the order of their names.
+    /// Returns the data centres that operators have evacuated, ordered by name.
     pub fn evacuated(&self) -> &[Name] {
         self.targets.evacuated()
     }
 
-    /// The store's revision of the configuration that this box holds; 0 for none.
+    /// Returns the revision of the store at which the held configuration was written; 0 if there is
+    /// none.
     pub fn config_revision(&self) -> u64 {
         self.config_revision
     }
 
-    /// Notes that the targets were still right at `as_of`, by a peer that holds the same.
+    /// Records that the listing of targets was still current at `as_of`, as reported by a peer that
+    /// holds the same listing.
     pub fn confirm(&mut self, revision: u64, as_of: Instant) {
         if revision >= self.revision {
-            self.note_time(as_of);
+            self.record_read(as_of);
             self.revision = revision;
         }
     }
 
-    /// Notes that at `as_of` no configuration was newer than the one of `revision`; 0 for none.
+    /// Records that the configuration of `revision` was the newest at `as_of`; `revision` is 0 if
+    /// there was no configuration.
     pub fn confirm_config(&mut self, revision: u64, as_of: Instant) {
         if revision == self.config_revision {
             let confirmed = self.config_as_of.map_or(as_of, |before| before.max(as_of));
             self.config_as_of = Some(confirmed);
-            // News of the targets is asked for from a while before these were read.
+            // The store is polled for targets from a revision that precedes their last reading, so
+            // the history must reach back to the older of the two times.
             self.history.prune(self.as_of.map_or(confirmed, |as_of| as_of.min(confirmed)));
         }
     }
 
-    /// Takes a view, unless a newer one is known.
+    /// Applies a full view, unless the held one is newer.
     pub fn apply(
         &mut self,
         view: StoreView,
@@ -255,7 +263,7 @@
         if view.revision < self.revision {
             return change;
         }
-        // Notes of requests that end targets are taken apart before.
+        // The caller has already applied the crash notes.
         let StoreView { revision, config_revision, config, targets, evacuated, crash_notes: _ } =
             view;
         if let Some(text) = config {
@@ -267,33 +275,34 @@
         ViewChange { config: change.config, refused: change.refused, ..listed }
     }
 
-    /// Takes a listing of targets, unless a newer one is known.
+    /// Applies a complete listing of targets, unless the held one is newer.
     pub fn apply_listing(&mut self, listing: TargetListing, as_of: Instant) -> ViewChange {
         let TargetListing { revision, targets, evacuated } = listing;
         if revision < self.revision {
             return ViewChange::default();
         }
         let delta = self.targets.delta_to(targets);
-        self.put_difference(delta, evacuated, revision, as_of)
+        self.apply_delta(delta, evacuated, revision, as_of)
     }
 
-    /// The revision from which news of the targets is to be asked for; `None` if they must be listed.
+    /// Returns the revision after which the store is polled for changes of the targets; `None` if
+    /// they must be listed.
     ///
-    /// It is one that was known a while ago: a store may hide the last second before it forgets its
-    /// history.
+    /// It is a revision from some time before the last reading, because a store may omit the changes
+    /// of the last second before it discards its history.
     pub fn target_poll_revision(&self) -> Option<u64> {
         let revision = self.history.revision_before(self.as_of?);
         (revision > 0).then_some(revision)
     }
 
-    /// Takes what was written in the store since a revision that this box knew.
+    /// Applies the changes that were written to the store after a revision that this box held.
     pub fn apply_changes(
         &mut self,
-        news: StoreChanges,
+        changes: StoreChanges,
         as_of: Instant,
         port: &dyn EnvironmentPort,
     ) -> ViewChange {
-        let StoreChanges { revision, written, removed, evacuated, restored, config } = news;
+        let StoreChanges { revision, written, removed, evacuated, restored, config } = changes;
         if revision < self.revision {
             return ViewChange::default();
         }
@@ -307,24 +316,28 @@
         let mut evacuated: Vec<Name> = kept.cloned().chain(evacuated).collect();
         evacuated.sort();
         evacuated.dedup();
-        let listed = self.put_difference(delta, evacuated, revision, as_of);
+        let listed = self.apply_delta(delta, evacuated, revision, as_of);
         ViewChange { config: change.config, refused: change.refused, ..listed }
     }
 
-    /// Takes what makes the listing that `told` is of, with the hash `digest`, of the one that is held;
-    /// `None` if it makes another one of it.
-    pub fn merge_delta(&mut self, told: PeerListingDelta, as_of: Instant) -> Option<ViewChange> {
-        let PeerListingDelta { revision, digest, delta, evacuated } = told;
+    /// Merges a change of the listing that a peer sent. Returns `None` and changes nothing if the
+    /// listing that results has another hash than the peer's.
+    pub fn merge_delta(
+        &mut self,
+        received: PeerListingDelta,
+        as_of: Instant,
+    ) -> Option<ViewChange> {
+        let PeerListingDelta { revision, digest, delta, evacuated } = received;
         if revision < self.revision {
             return Some(ViewChange::default());
         }
         if self.targets.digest_with(&delta, &evacuated) != digest {
             return None;
         }
-        Some(self.put_difference(delta, evacuated, revision, as_of))
+        Some(self.apply_delta(delta, evacuated, revision, as_of))
     }
 
-    fn put_difference(
+    fn apply_delta(
         &mut self,
         delta: ListingDelta,
         evacuated: Vec<Name>,
@@ -333,54 +346,55 @@
     ) -> ViewChange {
         let mut change = ViewChange::default();
         let is_first = self.as_of.is_none();
-        self.note_time(as_of);
+        self.record_read(as_of);
         let returning = self.return_until.filter(|until| as_of < *until);
-        self.targets.take(delta, evacuated, ListingTime { as_of, returning }, &mut change);
-        // An empty listing is news to a box that had none.
+        self.targets.apply(delta, evacuated, ListingTime { as_of, returning }, &mut change);
+        // The first listing is a change for this box even if it is empty.
         change.targets_changed |= is_first;
         self.revision = revision;
         change
     }
 
-    /// Takes a configuration that was read apart from the targets.
+    /// Applies a configuration that was read separately from the targets.
     pub fn apply_config(&mut self, text: ConfigText, port: &dyn EnvironmentPort) -> ViewChange {
         let mut change = ViewChange::default();
         self.apply_config_text(text, port, &mut change);
         change
     }
 
-    /// What makes the listing of targets of the one with the hash `digest`; `None` if that
-    /// one is not known.
+    /// Returns the change from the listing with the hash `digest` to the held one; `None` if that
+    /// listing is not in the history.
     pub fn delta_from(&self, digest: u64) -> Option<ListingDelta> {
         self.targets.delta_from(digest)
     }
 
-    /// Whether it is known what makes this listing of the one with the hash `digest`.
-    pub(crate) fn remembers(&self, digest: u64) -> bool {
-        self.targets.remembers(digest)
+    /// Returns whether the change from the listing with the hash `digest` to the held one is in the
+    /// history.
+    pub(crate) fn has_delta_from(&self, digest: u64) -> bool {
+        self.targets.has_delta_from(digest)
     }
 
-    /// When the next lapsed target is to be dropped, if there is one.
+    /// Returns the time at which the next lapsed target is to be dropped, if there is one.
     pub fn next_lapse(&self) -> Option<Instant> {
         self.targets.next_lapse()
     }
 
-    /// Targets that take work now.
+    /// Returns the targets that take requests at `now`.
     pub fn usable(&self, now: Instant) -> Vec<&TargetEntry> {
         self.targets.usable(now).collect()
     }
 
-    /// Drops lapsed targets whose time is over; returns whether there were some.
+    /// Drops lapsed targets whose grace period is over. Returns whether any were dropped.
     pub fn drop_lapsed(&mut self, now: Instant) -> bool {
         self.targets.drop_lapsed(now)
     }
 
-    /// What is new among the targets that take work since this was asked last.
+    /// Takes the changes among the targets that take requests since the previous call.
     pub fn take_update(&mut self) -> TargetUpdate {
         self.targets.take_update()
     }
 
-    /// What is known is older by `time`, which the clock did not count.
+    /// Ages the view by `time`, a suspension of the machine that the clock did not count.
     pub(crate) fn advance_clocks(&mut self, time: Duration) {
         let older = |as_of: Instant| as_of.checked_sub(time);
         self.as_of = self.as_of.and_then(older);
@@ -388,13 +402,13 @@
         self.targets.advance_clocks(time);
     }
 
-    fn note_time(&mut self, as_of: Instant) {
+    fn record_read(&mut self, as_of: Instant) {
         self.history.record(as_of, self.revision);
         match self.as_of {
             Some(before) if as_of <= before => {}
             Some(before) => {
-                if as_of - before > AWAY_AFTER {
-                    self.return_until = Some(as_of + RETURN_TIME);
+                if as_of - before > OUTAGE_GAP {
+                    self.return_until = Some(as_of + RETURN_GRACE);
                 }
                 self.as_of = Some(as_of);
             }
@@ -415,19 +429,20 @@
             Ok(config)
                 if self.config.as_ref().is_some_and(|held| held.version > config.version) =>
             {
-                change.refused = Some(format!("its version {} is older", config.version));
+                change.refused =
+                    Some(format!("version {} is older than the version in force", config.version));
             }
             Ok(config) => {
                 change.config = Some(config.version);
                 let config = Arc::new(config);
                 let before = self.config.replace(Arc::clone(&config));
                 if before.is_none_or(|before| before.cold_rates != config.cold_rates) {
-                    self.targets.renew(|target| target.is_cold);
+                    self.targets.mark_updated(|target| target.is_cold);
                 }
             }
             Err(reason) => change.refused = Some(reason),
         }
-        // A refused one is held too: reading it again would change nothing.
+        // A refused configuration is held as well: reading it again would give the same result.
         self.config_revision = text.revision;
         self.config_text = Some(text);
     }
--- a/crates/gateway/src/view_exchange.rs
+++ b/crates/gateway/src/view_exchange.rs
@@ -1,4 +1,5 @@
-//! What is known of the store, between boxes: served to peers, and targets fetched from one.
+//! Exchange of views of the store between boxes: serves the requests of peers, and fetches the listing
+//! of targets from a peer.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -19,14 +20,14 @@
 use crate::listing_source::{ListingDeltaKey, PackedTargets, SentTargets, unpack};
 use crate::ports::TargetListing;
 use crate::transfer_slots::BUSY_RETRY_DELAY;
-use crate::view::{KnownView, ListingDelta, PeerListingDelta, TargetEntry};
+use crate::view::{CachedView, ListingDelta, PeerListingDelta, TargetEntry};
 
-/// Time for a connection to a peer: within a data centre it takes a millisecond or two.
-const CONNECT_TIME: Duration = Duration::from_millis(200);
-/// Wait after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Timeout for connecting to a peer. Within a data centre that takes a millisecond or two.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Delay before connections are accepted again after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answers the questions of peers, until the task is dropped.
+/// Serves the requests of peers until the task is dropped.
 pub(crate) async fn serve_peers(listener: TcpListener, context: Arc<BoxContext>) {
     loop {
         match listener.accept().await {
@@ -36,27 +37,28 @@
             }
             Err(error) => {
                 log::warn!(reason:% = error; "exchange-accept-failed");
-                task::sleep(ACCEPT_PAUSE).await;
+                task::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Fetches the targets that the peer at `host` knows, and takes them. A peer that sends to others is asked again
-/// for as long as one question may take; by then others have what it sends, and say so.
+/// Fetches the listing of targets from the peer at `host` and applies it. A peer that is busy sending to
+/// others is asked again until the timeout of one request has passed. By then, other peers have
+/// received the listing and advertise it.
 pub(crate) async fn fetch_targets(context: &BoxContext, host: IpAddr) {
     let until = Instant::now() + context.budget.fetch_timeout();
     let mut digest = context.view().digest();
     loop {
-        match ask_targets(context, host, digest).await {
-            Ok(FetchedTargets::Taken) => return,
+        match request_targets(context, host, digest).await {
+            Ok(FetchedTargets::Applied) => return,
             Ok(FetchedTargets::Busy) if Instant::now() >= until => return,
             Ok(FetchedTargets::Busy) => {
                 task::sleep(BUSY_RETRY_DELAY.mul_f64(1.0 + rand::random::<f64>())).await;
             }
-            // What is known has changed on the way: all of it is asked for then.
-            Ok(FetchedTargets::OtherBase) if digest != 0 => digest = 0,
-            Ok(FetchedTargets::OtherBase) => return,
+            // This box's listing has changed since the request: the full listing is requested instead.
+            Ok(FetchedTargets::BaseMismatch) if digest != 0 => digest = 0,
+            Ok(FetchedTargets::BaseMismatch) => return,
             Err(error) => {
                 log::warn!(peer:% = host, reason:% = error; "targets-not-fetched");
                 return;
@@ -65,47 +67,53 @@
     }
 }
 
-/// How new what is known is, for messages.
-pub(crate) fn view_version_of(known: &KnownView) -> Option<ViewVersion> {
-    let as_of = known.as_of()?;
-    let config_age = known.config_as_of().map(|as_of| as_of.elapsed());
+/// Returns the version of the view for messages; `None` before the first listing of targets.
+pub(crate) fn view_version_of(view: &CachedView) -> Option<ViewVersion> {
+    let as_of = view.as_of()?;
+    let config_age = view.config_as_of().map(|as_of| as_of.elapsed());
     Some(ViewVersion {
-        revision: known.revision(),
+        revision: view.revision(),
         age_ms: millis(as_of.elapsed()),
-        digest: known.digest(),
-        config_revision: known.config_revision(),
+        digest: view.digest(),
+        config_revision: view.config_revision(),
         config_age_ms: config_age.map_or(0, millis),
     })
 }
 
-/// Asks the peer at `host` one question, within `time`.
+/// Sends one request to the peer at `host` and returns its reply.
+///
+/// # Errors
+/// Fails if there is no connection within [`CONNECT_TIMEOUT`] or no reply within `max_time`, and on faults
+/// of the connection or the reply.
 pub(crate) async fn query_peer<M: Message + Default>(
     context: &BoxContext,
     host: IpAddr,
     question: ExchangeQuestion,
-    time: Duration,
+    max_time: Duration,
 ) -> Result<M, WireError> {
     let address = SocketAddr::new(host, context.settings.exchange.port());
-    let asking = async {
-        let late = |_| WireError::new(ErrorKind::Io, "no connection came up");
-        let stream = timeout(CONNECT_TIME, TcpStream::connect(address)).await.map_err(late)??;
+    let exchange = async {
+        let late =
+            |_| WireError::new(ErrorKind::Io, format!("no connection within {CONNECT_TIMEOUT:?}"));
+        let stream =
+            timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.map_err(late)??;
         stream.set_nodelay(true)?;
         send_message(&stream, &ExchangeRequest { question: Some(question) }).await?;
         receive_message(&stream).await
     };
-    let late = |_| WireError::new(ErrorKind::Io, format!("no reply within {time:?}"));
-    timeout(time, asking).await.map_err(late)?
+    let late = |_| WireError::new(ErrorKind::Io, format!("no reply within {max_time:?}"));
+    timeout(max_time, exchange).await.map_err(late)?
 }
 
 enum FetchedTargets {
-    Taken,
-    /// The peer sends to as many others as it can.
+    Applied,
+    /// All transfer slots of the peer are taken.
     Busy,
-    /// The reply is the delta to a listing that this box does not hold any more.
-    OtherBase,
+    /// The delta of the reply does not fit the listing that this box holds.
+    BaseMismatch,
 }
 
-async fn ask_targets(
+async fn request_targets(
     context: &BoxContext,
     host: IpAddr,
     digest: u64,
@@ -113,54 +121,55 @@
     let began = Instant::now();
     let start = context.clock_sample();
     let question = ExchangeQuestion::Targets(TargetsRequest { digest });
-    let time = context.budget.fetch_timeout();
-    let reply: TargetsReply = query_peer(context, host, question, time).await?;
+    let max_time = context.budget.fetch_timeout();
+    let reply: TargetsReply = query_peer(context, host, question, max_time).await?;
     let bytes = reply.encoded_len();
-    let Some(mark) = reply.version else {
-        return Ok(FetchedTargets::Taken);
+    let Some(version) = reply.version else {
+        return Ok(FetchedTargets::Applied);
     };
-    let age = Duration::from_millis(mark.age_ms);
+    let age = Duration::from_millis(version.age_ms);
     let Some(as_of) = Instant::now().checked_sub(age) else {
-        return Ok(FetchedTargets::Taken);
+        return Ok(FetchedTargets::Applied);
     };
     let as_of = context.correct(&start, as_of);
     if reply.busy {
         return Ok(FetchedTargets::Busy);
     }
-    let fits = match decode_targets(reply, &mark)? {
+    let fits = match decode_targets(reply, &version)? {
         ReceivedTargets::All(listing) => {
             context.apply_listing(listing, as_of, "peer");
             true
         }
-        ReceivedTargets::Difference(told) => context.merge_delta(told, as_of),
+        ReceivedTargets::Delta(received) => context.merge_delta(received, as_of),
     };
     if !fits {
-        return Ok(FetchedTargets::OtherBase);
+        return Ok(FetchedTargets::BaseMismatch);
     }
     log::info!(
-        peer:% = host, revision = mark.revision, age_ms = mark.age_ms, bytes,
+        peer:% = host, revision = version.revision, age_ms = version.age_ms, bytes,
         taken_ms = millis(began.elapsed());
         "targets-fetched"
     );
-    Ok(FetchedTargets::Taken)
+    Ok(FetchedTargets::Applied)
 }
 
 async fn serve_one(stream: &TcpStream, peer: IpAddr, context: &BoxContext) {
     let served = async {
-        let asked = timeout(context.budget.fetch_timeout(), receive_message(stream));
-        let late = |_| WireError::new(ErrorKind::Io, "no question came");
-        let request: ExchangeRequest = asked.await.map_err(late)??;
+        let received = timeout(context.budget.fetch_timeout(), receive_message(stream));
+        let late = |_| WireError::new(ErrorKind::Io, "the peer sent no request in time");
+        let request: ExchangeRequest = received.await.map_err(late)??;
         match request.question {
             Some(ExchangeQuestion::Targets(request)) => {
                 let (reply, _sent) = encode_targets(context, request);
                 let sending = send_message(stream, &reply);
-                let late = |_| WireError::new(ErrorKind::Io, "the reply was not read");
+                let late =
+                    |_| WireError::new(ErrorKind::Io, "the peer did not read the reply in time");
                 timeout(context.budget.fetch_timeout(), sending).await.map_err(late)?
             }
             Some(ExchangeQuestion::Config(request)) => {
                 serve_config(stream, peer, context, request).await
             }
-            None => Err(WireError::new(ErrorKind::Malformed, "a question of no known kind")),
+            None => Err(WireError::new(ErrorKind::Malformed, "the request has no known kind")),
         }
     };
     if let Err(error) = served.await {
@@ -168,36 +177,40 @@
     }
 }
 
-/// The reply to a peer that asks for targets, and what counts it as being sent.
+/// Returns the reply to a request for targets. The second value keeps the transfer slot of the reply
+/// while it is sent.
 fn encode_targets(
     context: &BoxContext,
     request: TargetsRequest,
 ) -> (TargetsReply, Option<SentTargets<'_>>) {
-    let known = context.view();
-    let evacuated = known.evacuated().iter().map(Name::to_string).collect();
+    let view = context.view();
+    let evacuated = view.evacuated().iter().map(Name::to_string).collect();
     let reply =
-        TargetsReply { version: view_version_of(&known), evacuated, ..TargetsReply::default() };
-    let base = if known.remembers(request.digest) { request.digest } else { 0 };
-    let step = ListingDeltaKey { from: base, to: known.digest() };
-    let Some(sent) = context.listing_source.send(step, || pack_targets(&known, base)) else {
+        TargetsReply { version: view_version_of(&view), evacuated, ..TargetsReply::default() };
+    let base = if view.has_delta_from(request.digest) { request.digest } else { 0 };
+    let key = ListingDeltaKey { from: base, to: view.digest() };
+    let Some(sent) = context.listing_source.send(key, || pack_targets(&view, base)) else {
         return (TargetsReply { busy: true, ..reply }, None);
     };
     let PackedTargets { parts, removed } = &*sent.targets;
     (TargetsReply { base, parts: parts.clone(), removed: removed.clone(), ..reply }, Some(sent))
 }
 
-/// What makes the listing that is held of the one with the hash `base`, or all of it.
-fn pack_targets(known: &KnownView, base: u64) -> PackedTargets {
-    match known.delta_from(base) {
+/// Packs the change from the listing with the hash `base` to the held one, or all targets if there is no
+/// such change in the history.
+fn pack_targets(view: &CachedView, base: u64) -> PackedTargets {
+    match view.delta_from(base) {
         Some(ListingDelta { changed, removed }) => {
             let removed = removed.iter().map(Name::to_string).collect();
-            PackedTargets::pack(changed.iter().map(|target| record(known, target)), removed)
+            PackedTargets::pack(changed.iter().map(|target| target_record(view, target)), removed)
+        }
+        None => {
+            PackedTargets::pack(view.listed().map(|target| target_record(view, target)), Vec::new())
         }
-        None => PackedTargets::pack(known.listed().map(|target| record(known, target)), Vec::new()),
     }
 }
 
-fn record(known: &KnownView, target: &TargetEntry) -> TargetRecord {
+fn target_record(view: &CachedView, target: &TargetEntry) -> TargetRecord {
     TargetRecord {
         id: target.id.to_string(),
         address: target.address.to_string(),
@@ -205,36 +218,39 @@
         data_centre: target.data_centre.to_string(),
         slots: target.slots,
         draining: target.draining,
-        cold_ms: millis(known.cold_time(&target.id, Instant::now())),
+        cold_ms: millis(view.cold_time(&target.id, Instant::now())),
         born_ms: target.born_ms,
         is_cold: target.is_cold,
     }
 }
 
-/// What a reply tells.
+/// The content of a reply.
 enum ReceivedTargets {
     All(TargetListing),
-    Difference(PeerListingDelta),
+    Delta(PeerListingDelta),
 }
 
-fn decode_targets(reply: TargetsReply, mark: &ViewVersion) -> Result<ReceivedTargets, WireError> {
+fn decode_targets(
+    reply: TargetsReply,
+    version: &ViewVersion,
+) -> Result<ReceivedTargets, WireError> {
     let evacuated = reply.evacuated.into_iter().map(Name::from).collect();
-    let (revision, digest) = (mark.revision, mark.digest);
+    let (revision, digest) = (version.revision, version.digest);
     let mut targets = Vec::new();
     for part in &reply.parts {
         let records =
             unpack(part).map_err(|reason| WireError::new(ErrorKind::Malformed, reason))?;
-        targets.extend(records.into_iter().map(target));
+        targets.extend(records.into_iter().map(target_entry));
     }
     if reply.base == 0 {
         return Ok(ReceivedTargets::All(TargetListing { revision, targets, evacuated }));
     }
     let removed = reply.removed.into_iter().map(Name::from).collect();
     let delta = ListingDelta { changed: targets, removed };
-    Ok(ReceivedTargets::Difference(PeerListingDelta { revision, digest, delta, evacuated }))
+    Ok(ReceivedTargets::Delta(PeerListingDelta { revision, digest, delta, evacuated }))
 }
 
-fn target(record: TargetRecord) -> TargetEntry {
+fn target_entry(record: TargetRecord) -> TargetEntry {
     TargetEntry {
         id: record.id.into(),
         address: record.address.into(),
--- a/crates/gateway/tests/harness/store.rs
+++ b/crates/gateway/tests/harness/store.rs
@@ -193,7 +193,7 @@
         lock(&self.store.state).change_requests += 1;
         let news = self.request(|state| {
             if state.forgetful {
-                return StorePoll::Forgotten;
+                return StorePoll::HistoryDiscarded;
             }
             let mut last = BTreeMap::new();
             for (revision, id, entry) in &state.written {
@@ -232,7 +232,7 @@
         let news = self.request(|state| {
             state.config_change_requests += 1;
             match &state.view.config {
-                _ if state.forgetful => ConfigPoll::Forgotten,
+                _ if state.forgetful => ConfigPoll::HistoryDiscarded,
                 Some(config) if config.revision > after => ConfigPoll::Changed(config.clone()),
                 _ => ConfigPoll::Unchanged,
             }
--- a/crates/gateway/tests/lifecycle.rs
+++ b/crates/gateway/tests/lifecycle.rs
@@ -9,7 +9,7 @@
     BoxUnderTest, Script, StoreStandin, TargetStandin, config, eventually, header, route,
 };
 use wingbridge_gateway::routes::RouteKind;
-use wingbridge_gateway::view::{ConfigText, KnownView, StoreView};
+use wingbridge_gateway::view::{CachedView, ConfigText, StoreView};
 use wingbridge_process::Outcome;
 use wingbridge_process::metrics::start_metrics;
 
@@ -187,7 +187,7 @@
     let port = StoreStandin::default();
     port.put_config(config(1, vec![route("r", "service", RouteKind::Repeatable)]));
     let port = port.port(true);
-    let mut known = KnownView::default();
+    let mut known = CachedView::default();
     let start = Instant::now();
     let newer = StoreView { revision: 9, ..StoreView::default() };
     known.apply(newer, start, &*port);
--- a/crates/gateway/tests/news.rs
+++ b/crates/gateway/tests/news.rs
@@ -12,7 +12,7 @@
 use wingbridge_gateway::ports::TargetListing;
 use wingbridge_gateway::routes::RouteKind;
 use wingbridge_gateway::text_patch::{PatchError, apply_patch, make_patch};
-use wingbridge_gateway::view::{ConfigText, KnownView, PeerListingDelta, StoreView, TargetEntry};
+use wingbridge_gateway::view::{CachedView, ConfigText, PeerListingDelta, StoreView, TargetEntry};
 
 /// Routes of a large configuration, some 170 bytes each.
 const ROUTES: usize = 4200;
@@ -111,7 +111,7 @@
         from: usize,
     ) {
         let start = Instant::now();
-        let mut known = KnownView::default();
+        let mut known = CachedView::default();
         let mut held: Vec<(u64, Vec<TargetEntry>)> = Vec::new();
         for (number, listing) in listings.iter().enumerate() {
             let target = |(id, (draining, port)): (&u8, &(bool, u8))| TargetEntry {
@@ -131,7 +131,7 @@
             return Ok(());
         };
         let listing = TargetListing { revision: 1, targets: old.clone(), evacuated: Vec::new() };
-        let mut peer = KnownView::default();
+        let mut peer = CachedView::default();
         peer.apply_listing(listing, start);
         let revision = known.revision();
         let told = PeerListingDelta { revision, digest: *newest_digest, delta, ..Default::default() };
@@ -151,7 +151,7 @@
         ),
     ) {
         let start = Instant::now();
-        let mut known = KnownView::default();
+        let mut known = CachedView::default();
         let mut used: BTreeMap<TargetKey, TargetEntry> = BTreeMap::new();
         for (number, listing) in listings.iter().enumerate() {
             let target = |(id, (draining, born_ms)): (&u8, &(bool, u64))| TargetEntry {
@@ -185,7 +185,7 @@
     let port = StoreStandin::default();
     port.put_config(config(1, vec![route("r", "s", RouteKind::Repeatable)]));
     let port = port.port(true);
-    let (mut known, start) = (KnownView::default(), Instant::now());
+    let (mut known, start) = (CachedView::default(), Instant::now());
     let config = Some(ConfigText { revision: 5, text: b"1".as_slice().into() });
     let view = StoreView {
         revision: 9,
@@ -217,7 +217,7 @@
     let store = StoreStandin::default();
     store.put_config(config(1, vec![route("r", "s", RouteKind::Repeatable)]));
     let port = store.port(true);
-    let (mut known, start) = (KnownView::default(), Instant::now());
+    let (mut known, start) = (CachedView::default(), Instant::now());
     let at = |millis| start + Duration::from_millis(millis);
     let config = Some(ConfigText { revision: 50, text: b"1".as_slice().into() });
     known.apply(
@@ -276,7 +276,7 @@
     store.put_config(config(1, vec![route("r", "s", RouteKind::Repeatable)]));
     let port = store.port(true);
     for case in NEWS {
-        let (mut known, start) = (KnownView::default(), Instant::now());
+        let (mut known, start) = (CachedView::default(), Instant::now());
         assert_eq!(known.config_poll_revision(), None, "{}", case.name);
         let config = Some(ConfigText { revision: 50, text: b"1".as_slice().into() });
         let view = StoreView {
--- a/crates/gateway/tests/views.rs
+++ b/crates/gateway/tests/views.rs
@@ -6,7 +6,7 @@
 
 use harness::{StoreStandin, config, entry, route};
 use wingbridge_gateway::routes::RouteKind;
-use wingbridge_gateway::view::{ConfigText, KnownView, StoreView, TargetEntry};
+use wingbridge_gateway::view::{CachedView, ConfigText, StoreView, TargetEntry};
 
 /// A gap after which the store counts as having been away.
 const OUTAGE: Duration = Duration::from_secs(5);
@@ -21,7 +21,7 @@
     }
 }
 
-fn ids(known: &KnownView, now: Instant) -> Vec<String> {
+fn ids(known: &CachedView, now: Instant) -> Vec<String> {
     let mut ids: Vec<String> =
         known.usable(now).iter().map(|target| target.id.to_string()).collect();
     ids.sort();
@@ -35,7 +35,7 @@
 #[test]
 fn a_target_that_is_gone_or_leaves_gets_nothing() {
     let port = StoreStandin::default().port(true);
-    let (mut known, start) = (KnownView::default(), Instant::now());
+    let (mut known, start) = (CachedView::default(), Instant::now());
     known.apply(view(1, &[named("a"), named("b"), named("c")]), start, &*port);
     let mut leaving = named("b");
     leaving.draining = true;
@@ -57,7 +57,7 @@
 #[test]
 fn entries_that_an_outage_took_have_two_seconds_to_return() {
     let port = StoreStandin::default().port(true);
-    let (mut known, start) = (KnownView::default(), Instant::now());
+    let (mut known, start) = (CachedView::default(), Instant::now());
     known.apply(view(1, &[named("a"), named("b"), named("c")]), start, &*port);
     let back = start + OUTAGE;
     known.apply(view(2, &[named("a")]), back, &*port);
@@ -74,7 +74,7 @@
 #[test]
 fn a_target_that_left_before_an_outage_stays_away() {
     let port = StoreStandin::default().port(true);
-    let (mut known, start) = (KnownView::default(), Instant::now());
+    let (mut known, start) = (CachedView::default(), Instant::now());
     let mut leaving = named("b");
     leaving.draining = true;
     known.apply(view(1, &[named("a"), leaving]), start, &*port);
@@ -86,7 +86,7 @@
 #[test]
 fn an_age_never_grows_younger_by_an_old_reading() {
     let port = StoreStandin::default().port(true);
-    let (mut known, start) = (KnownView::default(), Instant::now());
+    let (mut known, start) = (CachedView::default(), Instant::now());
     let late = start + Duration::from_secs(1);
     known.apply(view(5, &[named("a")]), late, &*port);
     known.confirm(5, start);
@@ -116,7 +116,7 @@
 fn configurations_never_go_back_and_bad_ones_change_nothing() {
     let store = StoreStandin::default();
     let port = store.port(true);
-    let mut known = KnownView::default();
+    let mut known = CachedView::default();
     for (number, case) in CONFIGS.iter().enumerate() {
         store.put_config(config(case.version, vec![route("r", "s", RouteKind::Repeatable)]));
         let text = if case.decodes { case.version.to_string() } else { "cut".into() };
@@ -223,7 +223,7 @@
 fn the_youngest_life_of_a_target_is_the_one_that_counts() {
     let port = StoreStandin::default().port(true);
     for case in LIVES {
-        let (mut known, start) = (KnownView::default(), Instant::now());
+        let (mut known, start) = (CachedView::default(), Instant::now());
         for (number, listed) in case.listed.iter().enumerate() {
             let entry = |(life, leaves): &(u64, bool)| {
                 if *leaves { leaving(born("a", *life)) } else { born("a", *life) }
@@ -240,7 +240,7 @@
 #[test]
 fn a_new_life_is_news_for_peers_and_for_the_log() {
     let port = StoreStandin::default().port(true);
-    let (mut known, start) = (KnownView::default(), Instant::now());
+    let (mut known, start) = (CachedView::default(), Instant::now());
     known.apply(view(1, &[born("a", 100)]), start, &*port);
     let before = known.digest();
     let change = known.apply(view(2, &[born("a", 200)]), start, &*port);
