--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -42,6 +42,7 @@
 #[derive(Debug)]
 pub(crate) struct OutgoingRequest {
     pub(crate) method: String,
+    /// Path and query.
     pub(crate) target: String,
     pub(crate) headers: HeaderList,
     /// The body, or the buffered beginning of a long one.
@@ -214,6 +215,7 @@
 /// The part of a body that was read, and the decoder for the remainder.
 type PartialBody = (Vec<u8>, BodyDecoder);
 
+/// Reads the head of an answer and its body, the latter up to [`MAX_BUFFERED_BYTES`].
 async fn read_answer(
     reader: &mut RawReader<TcpStream>,
     request: &OutgoingRequest,
--- a/crates/gateway/src/caller_connections.rs
+++ b/crates/gateway/src/caller_connections.rs
@@ -28,7 +28,7 @@
 /// Maximum number of requests of one connection that are handled at the same time.
 const MAX_PIPELINED_REQUESTS: usize = 8;
 /// Timeout for writing a part of an answer to a caller, and for reading one from a target.
-const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+const ANSWER_PART_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum number of bytes of an answer in one write.
 const MAX_WRITE_BYTES: usize = 64 * 1024;
 /// Maximum length of a request's body that is buffered, in bytes. A request that is buffered completely can be sent
@@ -54,10 +54,10 @@
         match listener.accept().await {
             Ok((stream, peer)) => {
                 let context = Arc::clone(&context);
-                let held = context.stopping.count_connection();
+                let connection_guard = context.stopping.count_connection();
                 task::spawn(async move {
                     serve_caller(stream, peer.ip().to_string(), &context).await;
-                    drop(held);
+                    drop(connection_guard);
                 });
             }
             Err(error) => {
@@ -76,10 +76,10 @@
     }
     let mut connection =
         CallerConnection { reader: RawReader::new(stream.clone()), stream, caller };
-    while connection.wait_request(context).await {
-        let busy = context.stopping.count_request();
+    while connection.wait_for_request(context).await {
+        let request_guard = context.stopping.count_request();
         let keeps_open = connection.serve_one(context).await;
-        drop(busy);
+        drop(request_guard);
         if !keeps_open {
             return;
         }
@@ -97,7 +97,7 @@
 impl CallerConnection {
     /// Waits for the first byte of a request. Returns false if none arrives, or if the box no longer accepts
     /// requests.
-    async fn wait_request(&mut self, context: &BoxContext) -> bool {
+    async fn wait_for_request(&mut self, context: &BoxContext) -> bool {
         if context.stopping.is_closing() {
             return false;
         }
@@ -125,7 +125,7 @@
                 return false;
             }
         };
-        let ReadRequest { request, mut pump, buffer } = read;
+        let ReadRequest { request, mut pump, reservation } = read;
         let closes = request.head.closes;
         if may_be_pipelined(context, &request.head) {
             return self.answer_pipelined(context, request).await;
@@ -151,14 +151,14 @@
                 return false;
             }
         };
-        drop(buffer);
+        drop(reservation);
         let has_unread_body = pump.is_some_and(|pump| !pump.is_done());
         let closes = closes || has_unread_body || context.stopping.is_stopping();
-        let written = self.write_answer(answer, closes).await;
-        if written && has_unread_body {
+        let is_written = self.write_answer(answer, closes).await;
+        if is_written && has_unread_body {
             self.linger().await;
         }
-        written && !closes
+        is_written && !closes
     }
 
     /// Answers a repeatable request, and further ones that the caller sends before it has received the answer. All
@@ -254,11 +254,11 @@
         if head.expects_continue {
             self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
         }
-        let mut buffer = BodyBuffer::new(context);
+        let mut reservation = BufferReservation::new(context);
         let mut decoder = BodyDecoder::new(head.length);
         let mut body = Vec::new();
         while !decoder.is_done() && body.len() <= MAX_BUFFERED_BYTES {
-            buffer.reserve(body.len(), Instant::now() + MAX_BUFFER_WAIT).await?;
+            reservation.reserve(body.len(), Instant::now() + MAX_BUFFER_WAIT).await?;
             let read = self.reader.read_body(&mut decoder, &mut body);
             let Ok(read) = async_std::future::timeout(limits.idle_timeout, read).await else {
                 return Err(HttpError::new(
@@ -272,10 +272,12 @@
             }
         }
         let (pump, stream) = if decoder.is_done() {
-            buffer.grow_to(body.len());
+            reservation.grow_to(body.len());
             (None, None)
         } else {
-            buffer.reserve(body.len() + STREAM_BYTES, Instant::now() + MAX_BUFFER_WAIT).await?;
+            reservation
+                .reserve(body.len() + STREAM_BYTES, Instant::now() + MAX_BUFFER_WAIT)
+                .await?;
             let max_remaining = limits.max_body_bytes - body.len();
             let (pump, stream) = body_stream(decoder, max_remaining, limits.idle_timeout);
             (Some(pump), Some(stream))
@@ -287,7 +289,7 @@
             received_at,
             caller: self.caller.clone(),
         };
-        Ok(Some(ReadRequest { request, pump, buffer }))
+        Ok(Some(ReadRequest { request, pump, reservation }))
     }
 
     /// Logs why a request could not be read, and answers it if the caller is still connected.
@@ -348,10 +350,10 @@
 
     /// Reads more of a long answer. Returns false if it is cut short or the caller has disconnected. The caller's
     /// connection is watched here because the next write would notice a closed one too late: the target worked
-    /// on for up to [`WRITE_TIMEOUT`] in vain.
+    /// on for up to [`ANSWER_PART_TIMEOUT`] in vain.
     async fn read_part(&mut self, stream: &mut AnswerStream, part: &mut Vec<u8>) -> bool {
         let read = stream.reader.read_body(&mut stream.decoder, part);
-        let read = std::pin::pin!(async_std::future::timeout(WRITE_TIMEOUT, read));
+        let read = std::pin::pin!(async_std::future::timeout(ANSWER_PART_TIMEOUT, read));
         let closed = std::pin::pin!(self.reader.wait_for_close(MAX_READ_AHEAD_BYTES));
         let reason = match select(read, closed).await {
             Either::Left((Ok(Ok(_)), _)) => return true,
@@ -369,11 +371,12 @@
         false
     }
 
+    /// Writes bytes to the caller. Returns false if the connection fails or times out.
     async fn write(&mut self, bytes: &[u8]) -> bool {
         for part in bytes.chunks(MAX_WRITE_BYTES) {
-            let written =
-                async_std::future::timeout(WRITE_TIMEOUT, self.stream.write_all(part)).await;
-            if !matches!(written, Ok(Ok(()))) {
+            let result =
+                async_std::future::timeout(ANSWER_PART_TIMEOUT, self.stream.write_all(part)).await;
+            if !matches!(result, Ok(Ok(()))) {
                 log::info!(reason = "writing to the connection failed or timed out"; "caller-gone");
                 return false;
             }
@@ -398,7 +401,7 @@
 ) -> BoxFuture<'static, CallerAnswer> {
     let context = Arc::clone(context);
     Box::pin(async move {
-        let _busy = context.stopping.count_request();
+        let _request_guard = context.stopping.count_request();
         answer_request(&context, request).await
     })
 }
@@ -448,8 +451,8 @@
     request: CallerRequest,
     /// Streams the remainder of a long body.
     pump: Option<BodyPump>,
-    /// Buffer memory that the body takes.
-    buffer: BodyBuffer<'a>,
+    /// Buffer memory that is reserved for the body.
+    reservation: BufferReservation<'a>,
 }
 
 /// Returns the limits of the current configuration, or the default ones before the first configuration.
@@ -463,14 +466,14 @@
 }
 
 /// The part of the memory for buffered request bodies that one request uses.
-struct BodyBuffer<'a> {
+struct BufferReservation<'a> {
     context: &'a BoxContext,
     reserved_bytes: usize,
 }
 
-impl<'a> BodyBuffer<'a> {
-    fn new(context: &'a BoxContext) -> BodyBuffer<'a> {
-        BodyBuffer { context, reserved_bytes: 0 }
+impl<'a> BufferReservation<'a> {
+    fn new(context: &'a BoxContext) -> BufferReservation<'a> {
+        BufferReservation { context, reserved_bytes: 0 }
     }
 
     /// Reserves memory up to a total of `bytes` for this request, without waiting.
@@ -499,7 +502,7 @@
     }
 }
 
-impl Drop for BodyBuffer<'_> {
+impl Drop for BufferReservation<'_> {
     fn drop(&mut self) {
         self.context.held_bodies.fetch_sub(self.reserved_bytes, Ordering::AcqRel);
     }
--- a/crates/gateway/src/open_attempt.rs
+++ b/crates/gateway/src/open_attempt.rs
@@ -15,7 +15,7 @@
 use crate::passive_samples::ObservedOutcome;
 use crate::permit_manager::SendPermit;
 
-/// Reports to the core that an attempt is over, also if its future is dropped.
+/// An attempt that was started. Its end is reported to the core, also if its future is dropped.
 pub(crate) struct OpenAttempt {
     context: Arc<BoxContext>,
     pub(crate) pick: SteerPick,
@@ -27,6 +27,7 @@
     customer: Option<Name>,
     fingerprint: Fingerprint,
     handle: AttemptHandle,
+    /// Whether the end of the attempt was reported.
     ended: bool,
 }
 
@@ -120,6 +121,7 @@
         self.context.passive_samples.record_outcome(key, &observed);
     }
 
+    /// Makes the attempt and reports it to the core once it is overdue. Returns `None` if the deadline passes.
     async fn wait_for_result(
         &self,
         request: &OutgoingRequest,
--- a/crates/gateway/src/requests/mod.rs
+++ b/crates/gateway/src/requests/mod.rs
@@ -51,7 +51,7 @@
     token: Option<ReservedToken>,
     /// Time at which the first byte of the request was read.
     received_at: Instant,
-    /// Clock sample from which on a suspension of the machine extends the deadline.
+    /// Clock sample of the start of this run. A suspension of the machine after it extends the deadline.
     clock_sample: ClockSample,
     /// Targets of all attempts so far.
     tried: Vec<TargetKey>,
@@ -123,6 +123,7 @@
         (answer, self.trace)
     }
 
+    /// Makes attempts one after the other until an answer is decided.
     async fn run_attempts(&mut self) -> CallerAnswer {
         loop {
             let remaining = self.deadline().saturating_duration_since(Instant::now());
@@ -237,8 +238,8 @@
         OpenAttempt::begin(Arc::clone(&self.context), pick, request)
     }
 
-    fn run_attempt(&self, open: OpenAttempt) -> impl Future<Output = EndedAttempt> + use<> {
-        open.run(Arc::clone(&self.outgoing), self.deadline())
+    fn run_attempt(&self, attempt: OpenAttempt) -> impl Future<Output = EndedAttempt> + use<> {
+        attempt.run(Arc::clone(&self.outgoing), self.deadline())
     }
 
     /// Returns the time at which a hedge of the open attempt is worth a retry; `None` if it never is.
@@ -270,8 +271,8 @@
         let pick = self.pick(remaining).ok().filter(|pick| pick.limit.is_none())?;
         let context = &self.context;
         let service = &self.plan.service;
-        let is_spent = context.core().spend_retry(context.now(), service, RetryUse::Hedge);
-        if !is_spent {
+        let has_retry = context.core().spend_retry(context.now(), service, RetryUse::Hedge);
+        if !has_retry {
             self.trace.record_no_hedge();
             return None;
         }
@@ -418,11 +419,11 @@
         if !context.core().has_eligible_target(context.now(), service, &self.tried, homes) {
             return Some("there is no other target");
         }
-        let is_spent = context.core().spend_retry(context.now(), service, RetryUse::Repeat);
-        if is_spent {
+        let has_retry = context.core().spend_retry(context.now(), service, RetryUse::Repeat);
+        if has_retry {
             metrics::counter!("wingbridge_retries").increment(1);
         }
-        (!is_spent).then_some("the retry budget is used up")
+        (!has_retry).then_some("the retry budget is used up")
     }
 
     /// Returns the time by which the request must be answered, corrected for suspensions of the machine.
@@ -430,12 +431,14 @@
         self.context.correct(&self.clock_sample, self.plan.deadline)
     }
 
+    /// Records that a target has received the request and may have run it.
     fn record_possible_run(&mut self) {
         self.deliveries += 1;
         self.possible_runs += 1;
     }
 }
 
+/// Returns the regions in which targets may be chosen for a request.
 fn home_regions(plan: &RequestPlan) -> HomeRegions<'_> {
     plan.homes.as_deref().map_or(HomeRegions::Any, HomeRegions::Only)
 }
