--- a/crates/gateway/src/gossip/mod.rs
+++ b/crates/gateway/src/gossip/mod.rs
@@ -1,4 +1,6 @@
-//! Datagrams between boxes: signs of life, the age of views, and what was seen of targets.
+//! Datagrams between boxes: heartbeats, passive health samples of targets, and messages about tokens and permits.
+//!
+//! A datagram may be lost. What it reports is repeated in a later one or fetched over a connection.
 
 mod heartbeats;
 mod reports;
@@ -21,24 +23,25 @@
 use crate::quota_manager::quota_requester;
 use crate::view_exchange::fetch_targets;
 
-/// Longest datagram that is read, in bytes.
-const DATAGRAM_BYTES: usize = 4096;
-/// Wait after a failed read of the socket.
+/// Size of the receive buffer; a longer datagram is cut off.
+const MAX_DATAGRAM_BYTES: usize = 4096;
+/// Time to wait after a failed read of the socket.
 const READ_PAUSE: Duration = Duration::from_millis(20);
 
-/// Sends and takes datagrams.
+/// The gossip of a box: sends datagrams to its peers and handles those that it receives.
 pub(crate) struct Gossip {
     context: Arc<BoxContext>,
     socket: UdpSocket,
     incarnation: u64,
+    /// Takes the peers from which a newer listing of targets is to be fetched.
     fetching: async_channel::Sender<IpAddr>,
-    /// News for other data centres so far.
+    /// Number of updates that were sent to relays of other data centres.
     update_count: AtomicU64,
     received_updates: Mutex<DuplicateFilter>,
 }
 
 impl Gossip {
-    /// A duty over `socket`; peers with newer targets are named to `fetching`.
+    /// Creates the gossip over `socket`. Peers that have a newer listing of targets are sent to `fetching`.
     pub(crate) fn new(
         context: Arc<BoxContext>,
         socket: UdpSocket,
@@ -49,24 +52,24 @@
         Arc::new(Gossip { context, socket, incarnation, fetching, update_count, received_updates })
     }
 
-    /// This box's number for this life, by which its peers know it.
+    /// Returns the identifier of this process, which peers use to detect a restart of the box.
     pub(crate) fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Sends what concerns customers' credit to the box at `host`.
-    pub(crate) async fn send_tokens(&self, host: IpAddr, news: TokenMessage) {
-        self.send(&[host], DatagramBody::Tokens(news)).await;
+    /// Sends requests for customers' tokens, or grants, to the box at `host`.
+    pub(crate) async fn send_tokens(&self, host: IpAddr, message: TokenMessage) {
+        self.send(&[host], DatagramBody::Tokens(message)).await;
     }
 
-    /// Sends what concerns permits for targets with a limit to the box at `host`.
-    pub(crate) async fn send_permits(&self, host: IpAddr, news: PermitMessage) {
-        self.send(&[host], DatagramBody::Permits(news)).await;
+    /// Sends requests for permits, or replies to such, to the box at `host`.
+    pub(crate) async fn send_permits(&self, host: IpAddr, message: PermitMessage) {
+        self.send(&[host], DatagramBody::Permits(message)).await;
     }
 
-    /// Takes datagrams, until the task is dropped.
+    /// Receives and handles datagrams until the task is dropped.
     pub(crate) async fn receive(self: Arc<Self>) {
-        let mut buffer = vec![0; DATAGRAM_BYTES];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let (length, from) = match self.socket.recv_from(&mut buffer).await {
                 Ok(received) => received,
@@ -77,7 +80,7 @@
                 }
             };
             match Datagram::decode(&buffer[..length]) {
-                Ok(datagram) => self.take(from.ip(), datagram).await,
+                Ok(datagram) => self.handle(from.ip(), datagram).await,
                 Err(error) => {
                     log::warn!(peer:% = from.ip(), reason:% = error; "datagram-malformed")
                 }
@@ -85,10 +88,10 @@
         }
     }
 
-    async fn take(&self, from: IpAddr, datagram: Datagram) {
+    async fn handle(&self, from: IpAddr, datagram: Datagram) {
         let now = Instant::now();
         let Datagram { box_id, data_centre, incarnation, body, link_mbps } = datagram;
-        let note = PeerInfo {
+        let peer = PeerInfo {
             host: from,
             box_id: &box_id,
             data_centre: &data_centre,
@@ -96,32 +99,32 @@
             link_mbps,
             last_seen: now,
         };
-        let new = self.context.peers().record_alive(note);
-        if new {
+        let is_new = self.context.peers().record_alive(peer);
+        if is_new {
             log::info!(peer = box_id.as_str(), data_centre = data_centre.as_str(); "peer-found");
             self.update_box_counts();
         }
         match body {
-            Some(DatagramBody::Heartbeat(beacon)) => {
-                if beacon.stopping {
+            Some(DatagramBody::Heartbeat(heartbeat)) => {
+                if heartbeat.stopping {
                     self.context.quotas.record_box_stopped(quota_requester(&box_id, incarnation));
                 }
-                self.on_heartbeat(from, &box_id, now, beacon).await;
+                self.on_heartbeat(from, &box_id, now, heartbeat).await;
             }
-            Some(DatagramBody::PassiveSamples(sightings)) => {
-                self.on_passive_samples(incarnation, &box_id, sightings).await;
+            Some(DatagramBody::PassiveSamples(samples)) => {
+                self.on_passive_samples(incarnation, &box_id, samples).await;
             }
-            Some(DatagramBody::Tokens(news)) => {
+            Some(DatagramBody::Tokens(message)) => {
                 let context = &self.context;
                 let peer = quota_requester(&box_id, incarnation);
-                if let Some(answer) = context.quotas.handle_message(context, peer, &news) {
-                    self.send_tokens(from, answer).await;
+                if let Some(reply) = context.quotas.handle_message(context, peer, &message) {
+                    self.send_tokens(from, reply).await;
                 }
             }
-            Some(DatagramBody::Permits(news)) => {
+            Some(DatagramBody::Permits(message)) => {
                 let context = &self.context;
-                if let Some(answer) = context.permits.handle_message(context, &box_id, &news) {
-                    self.send_permits(from, answer).await;
+                if let Some(reply) = context.permits.handle_message(context, &box_id, &message) {
+                    self.send_permits(from, reply).await;
                 }
             }
             None => {}
@@ -141,15 +144,15 @@
         for host in hosts {
             let address = SocketAddr::new(*host, settings.gossip_port);
             if let Err(error) = self.socket.send_to(&bytes, address).await {
-                // A datagram may be lost anyway; the next one tells the same.
+                // Datagrams may be lost anyway, and the next one repeats the report.
                 log::debug!(peer:% = host, reason:% = error; "datagram-not-sent");
             }
         }
     }
 }
 
-/// Fetches listings of targets from the peers that are named, one at a time, until the ring
-/// closes. Configurations have a task of their own, so that no listing waits for one.
+/// Fetches listings of targets from the peers that `named` yields, one at a time, until the channel is closed.
+/// Configurations are fetched by another task, so that no listing waits for one.
 pub(crate) async fn fetch_listings(context: Arc<BoxContext>, named: Receiver<IpAddr>) {
     while let Ok(host) = named.recv().await {
         fetch_targets(&context, host).await;
--- a/crates/gateway/src/gossip/reports.rs
+++ b/crates/gateway/src/gossip/reports.rs
@@ -1,4 +1,8 @@
-//! What this box saw of targets and did of retries, told to peers, and what they tell.
+//! Reports between boxes of what each one observed in its own traffic: passive health samples of targets, crash
+//! records, and numbers of retries.
+//!
+//! The full-report peers of the own data centre receive all samples, the other local boxes only the important
+//! ones. A box sends those also to a few relays in each other data centre, which pass them on to their neighbours.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -21,21 +25,21 @@
 use crate::notices::merge_draining;
 use crate::passive_samples::Urgency;
 
-/// How long successes wait for more before they are told.
-const SOON: Duration = Duration::from_millis(25);
-/// PassiveSamples in one datagram at most: they fit 1,400 bytes.
-const SIGHTINGS: usize = 40;
-/// Requests under which targets ended in one datagram at most: of one or two targets they take 40 bytes each.
-const CRASHES: usize = 8;
+/// Time for which samples of successes are collected before they are sent.
+const BATCH_TIME: Duration = Duration::from_millis(25);
+/// Maximum number of samples in one datagram. With these it fits into 1,400 bytes.
+const MAX_SAMPLES: usize = 40;
+/// Maximum number of crash records in one datagram. A record with one or two targets takes 40 bytes.
+const MAX_CRASHES: usize = 8;
 
 impl Gossip {
-    /// Tells what was seen, until the ring closes.
-    pub(crate) async fn run_reports(self: Arc<Self>, wishes: Receiver<Urgency>) {
-        while let Ok(mut urgency) = wishes.recv().await {
+    /// Sends reports when `wakeups` asks for it, until that channel is closed.
+    pub(crate) async fn run_reports(self: Arc<Self>, wakeups: Receiver<Urgency>) {
+        while let Ok(mut urgency) = wakeups.recv().await {
             let since = Instant::now();
             while urgency == Urgency::Soon {
-                let left = SOON.saturating_sub(since.elapsed());
-                match async_std::future::timeout(left, wishes.recv()).await {
+                let remaining = BATCH_TIME.saturating_sub(since.elapsed());
+                match async_std::future::timeout(remaining, wakeups.recv()).await {
                     Ok(Ok(next)) => urgency = next,
                     Ok(Err(_)) => return,
                     Err(_) => break,
@@ -45,150 +49,152 @@
         }
     }
 
+    /// Sends all that is pending.
     async fn send_reports(&self) {
         let pending = self.context.passive_samples.take();
         let crashes = self.context.crashes.take_unreported();
-        let seen: Vec<PassiveSample> = {
+        let samples: Vec<PassiveSample> = {
             let now = self.context.now();
             let core = self.context.core();
-            let with_open = |sighting: &PassiveSample| {
-                let (open, ages) = core.open_attempts_at(TargetKey(sighting.target));
+            let with_open = |sample: &PassiveSample| {
+                let (open, ages) = core.open_attempts_at(TargetKey(sample.target));
                 let informative = ages.iter().map(|age| encode_age(now, age)).collect();
-                PassiveSample { open_plus_one: open + 1, informative, ..sighting.clone() }
+                PassiveSample { open_plus_one: open + 1, informative, ..sample.clone() }
             };
-            pending.iter().map(|seen| with_open(&seen.sighting)).collect()
+            pending.iter().map(|pending| with_open(&pending.sample)).collect()
         };
-        let by_relays = self.context.settings.mechanisms.has(Mechanism::UpdateRelays);
+        let uses_relays = self.context.settings.mechanisms.has(Mechanism::UpdateRelays);
         let (full_report_peers, others, relays) = {
             let mut peers = self.context.peers();
             let (full_report_peers, mut others) = peers.full_report_peers();
             let relays =
-                if by_relays { peers.random_of_each_remote_centre(RELAYS) } else { Vec::new() };
-            if !by_relays {
+                if uses_relays { peers.random_of_each_remote_centre(RELAYS) } else { Vec::new() };
+            if !uses_relays {
                 others.extend(peers.remote());
             }
             (full_report_peers, others, relays)
         };
         let retry_counts = self.unreported_retry_counts();
-        for told in into_parts(&seen, retry_counts, &crashes) {
-            self.send_samples(&full_report_peers, told).await;
+        for part in into_parts(&samples, retry_counts, &crashes) {
+            self.send_samples(&full_report_peers, part).await;
         }
-        let news = pending.iter().filter(|seen| seen.is_news).map(|seen| seen.sighting.clone());
-        let news: Vec<PassiveSample> = news.collect();
-        // Without what is open, by which a box knows that it is told all.
-        for told in into_parts(&news, Vec::new(), &crashes) {
+        let urgent = pending.iter().filter(|one| one.is_urgent).map(|one| one.sample.clone());
+        let urgent: Vec<PassiveSample> = urgent.collect();
+        // These have no counts of open attempts. By the counts a box detects that it receives full reports.
+        for part in into_parts(&urgent, Vec::new(), &crashes) {
             if !relays.is_empty() {
                 let number = self.update_count.fetch_add(1, Ordering::Relaxed) + 1;
-                let mark = UpdateId { number, relay: true, ..UpdateId::default() };
-                let news = PassiveSamples { update_id: Some(mark), ..told.clone() };
-                self.send_samples(&relays, news).await;
+                let update_id = UpdateId { number, relay: true, ..UpdateId::default() };
+                let relayed = PassiveSamples { update_id: Some(update_id), ..part.clone() };
+                self.send_samples(&relays, relayed).await;
             }
-            self.send_samples(&others, told).await;
+            self.send_samples(&others, part).await;
         }
     }
 
-    /// Takes what a peer saw, and hands it on if it is news for this data centre.
+    /// Merges the samples of a peer, and relays them within the data centre if the peer asked for it. An update
+    /// that was received before is dropped.
     pub(super) async fn on_passive_samples(
         &self,
         incarnation: u64,
         box_id: &str,
-        told: PassiveSamples,
+        samples: PassiveSamples,
     ) {
-        let Some(mark) = &told.update_id else {
-            self.merge_samples(incarnation, box_id, &told);
+        let Some(id) = &samples.update_id else {
+            self.merge_samples(incarnation, box_id, &samples);
             return;
         };
-        let is_own = mark.origin_incarnation == 0;
-        let origin = if is_own { incarnation } else { mark.origin_incarnation };
-        let origin_id = if is_own { box_id } else { mark.origin_id.as_str() };
-        if origin == self.incarnation || !lock(&self.received_updates).insert(origin, mark.number) {
+        let is_own = id.origin_incarnation == 0;
+        let origin = if is_own { incarnation } else { id.origin_incarnation };
+        let origin_id = if is_own { box_id } else { id.origin_id.as_str() };
+        if origin == self.incarnation || !lock(&self.received_updates).insert(origin, id.number) {
             return;
         }
-        self.merge_samples(origin, origin_id, &told);
-        if !mark.relay {
+        self.merge_samples(origin, origin_id, &samples);
+        if !id.relay {
             return;
         }
-        let mark = UpdateId {
-            number: mark.number,
+        let relayed_id = UpdateId {
+            number: id.number,
             relay: false,
             origin_id: origin_id.to_string(),
             origin_incarnation: origin,
         };
-        let near = self.context.peers().local();
-        self.send_samples(&near, PassiveSamples { update_id: Some(mark), ..told }).await;
+        let local = self.context.peers().local();
+        self.send_samples(&local, PassiveSamples { update_id: Some(relayed_id), ..samples }).await;
     }
 
     fn unreported_retry_counts(&self) -> Vec<ServiceCounts> {
         let now = self.context.now();
-        let untold = self.context.core().unreported_retry_counts(now).into_iter();
+        let unreported = self.context.core().unreported_retry_counts(now).into_iter();
         let counts = |(service, counts): (wingbridge_decide::Name, RetryCounts)| ServiceCounts {
             service: service.to_string(),
             requests: counts.requests,
             retries: counts.retries,
             unresponsive_retries: counts.unresponsive_retries,
         };
-        untold.map(counts).collect()
+        unreported.map(counts).collect()
     }
 
-    fn merge_samples(&self, peer: u64, box_id: &str, sightings: &PassiveSamples) {
-        self.context.crashes.merge_records(&sightings.crashes, box_id);
-        let leaving = sightings.targets.iter().filter(|seen| seen.draining);
-        leaving.for_each(|seen| merge_draining(&self.context, TargetKey(seen.target), box_id));
-        let limits = sightings.targets.iter().filter_map(|seen| seen.limit.as_ref());
+    fn merge_samples(&self, peer: u64, box_id: &str, samples: &PassiveSamples) {
+        self.context.crashes.merge_records(&samples.crashes, box_id);
+        let draining = samples.targets.iter().filter(|entry| entry.draining);
+        draining.for_each(|entry| merge_draining(&self.context, TargetKey(entry.target), box_id));
+        let limits = samples.targets.iter().filter_map(|entry| entry.limit.as_ref());
         limits.for_each(|limit| merge_limit(&self.context, limit, box_id));
         let now = self.context.now();
         let mut core = self.context.core();
-        for seen in &sightings.targets {
-            if seen.replaced && core.record_replaced(TargetKey(seen.target)) {
-                log_replaced(&format!("{:016x}", seen.target), box_id);
+        for entry in &samples.targets {
+            if entry.replaced && core.record_replaced(TargetKey(entry.target)) {
+                log_replaced(&format!("{:016x}", entry.target), box_id);
             }
             let sample = PeerSample {
-                good: seen.good,
-                bad: seen.bad,
-                overdue: seen.overdue,
-                latency_ratio: (seen.latency_permille > 0)
-                    .then(|| f64::from(seen.latency_permille) / 1000.0),
-                held: seen.held_plus_one.checked_sub(1),
-                open: seen.open_plus_one.checked_sub(1),
-                informative: seen.informative.iter().map(|open| decode_age(now, open)).collect(),
+                good: entry.good,
+                bad: entry.bad,
+                overdue: entry.overdue,
+                latency_ratio: (entry.latency_permille > 0)
+                    .then(|| f64::from(entry.latency_permille) / 1000.0),
+                held: entry.held_plus_one.checked_sub(1),
+                open: entry.open_plus_one.checked_sub(1),
+                informative: entry.informative.iter().map(|open| decode_age(now, open)).collect(),
             };
-            let change = core.merge_peer_sample(now, peer, TargetKey(seen.target), &sample);
+            let change = core.merge_peer_sample(now, peer, TargetKey(entry.target), &sample);
             log_suspicion(change, ObservedBy::Peer);
         }
-        for told in &sightings.service_counts {
+        for reported in &samples.service_counts {
             let counts = RetryCounts {
-                requests: told.requests,
-                retries: told.retries,
-                unresponsive_retries: told.unresponsive_retries,
+                requests: reported.requests,
+                retries: reported.retries,
+                unresponsive_retries: reported.unresponsive_retries,
             };
-            core.merge_retry_counts(now, peer, &told.service, counts);
+            core.merge_retry_counts(now, peer, &reported.service, counts);
         }
     }
 
-    async fn send_samples(&self, hosts: &[IpAddr], sightings: PassiveSamples) {
-        self.send(hosts, DatagramBody::PassiveSamples(sightings)).await;
+    async fn send_samples(&self, hosts: &[IpAddr], samples: PassiveSamples) {
+        self.send(hosts, DatagramBody::PassiveSamples(samples)).await;
     }
 }
 
-/// Divides what is told into datagrams.
+/// Divides a report into the bodies of datagrams. The first one has the retry counts.
 fn into_parts(
     targets: &[PassiveSample],
     mut retry_counts: Vec<ServiceCounts>,
     crashes: &[CrashRecord],
 ) -> Vec<PassiveSamples> {
-    let mut targets = targets.chunks(SIGHTINGS);
-    let mut crashes = crashes.chunks(CRASHES);
+    let mut targets = targets.chunks(MAX_SAMPLES);
+    let mut crashes = crashes.chunks(MAX_CRASHES);
     let mut parts = Vec::new();
     loop {
-        let (seen, ended) = (targets.next(), crashes.next());
-        if seen.is_none() && ended.is_none() && retry_counts.is_empty() {
+        let (samples, records) = (targets.next(), crashes.next());
+        if samples.is_none() && records.is_none() && retry_counts.is_empty() {
             return parts;
         }
         parts.push(PassiveSamples {
-            targets: seen.unwrap_or_default().to_vec(),
+            targets: samples.unwrap_or_default().to_vec(),
             service_counts: std::mem::take(&mut retry_counts),
             update_id: None,
-            crashes: ended.unwrap_or_default().to_vec(),
+            crashes: records.unwrap_or_default().to_vec(),
         });
     }
 }
--- a/crates/gateway/src/passive_samples.rs
+++ b/crates/gateway/src/passive_samples.rs
@@ -1,4 +1,4 @@
-//! What this box saw of targets and has not yet told its peers.
+//! Passive health samples of targets that this box has not yet reported to its peers.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -11,39 +11,39 @@
 
 use crate::context::lock;
 
-/// How soon what was seen must be told.
+/// How soon a sample must be reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Urgency {
-    /// A failure: at once.
+    /// At once: a failure, or another change that peers need to act on.
     Now,
-    /// A success, or a load: with others.
+    /// Together with others: a success or a load.
     Soon,
 }
 
-/// How an attempt ended, as far as peers should know.
+/// The outcome of an attempt, as reported to peers.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ObservedOutcome {
     pub(crate) outcome: SteerOutcome,
-    /// What the target told of its load.
+    /// Load that the target reported in its answer.
     pub(crate) load: Option<LoadReport>,
-    /// Whether the target was a suspect before.
+    /// Whether the target was suspected before this outcome.
     pub(crate) suspect: bool,
     /// Whether the attempt counts as a stall.
     pub(crate) stalled: bool,
-    /// The time of a good answer, as a multiple of the typical time of its route.
+    /// Duration of a successful attempt divided by the typical time of its route.
     pub(crate) latency_ratio: Option<f64>,
 }
 
-/// What was seen of a target, and whether other data centres need to know.
+/// The sum of the pending samples of a target, and whether other data centres need it.
 #[derive(Debug, Clone)]
 pub(crate) struct PendingSample {
-    pub(crate) sighting: PassiveSample,
-    /// It failed, has left or leaves, has another limit, or was a suspect and did not fail: the rest is not worth its
-    /// price across.
-    pub(crate) is_news: bool,
+    pub(crate) sample: PassiveSample,
+    /// Whether the target failed, was replaced, is draining, has another limit, or succeeded while it was
+    /// suspected. Other samples are not worth the cost of traffic between data centres.
+    pub(crate) is_urgent: bool,
 }
 
-/// Collects what was seen and wakes the task that tells it.
+/// Collects samples and wakes the task that reports them.
 #[derive(Debug)]
 pub(crate) struct SampleBuffer {
     pending: Mutex<HashMap<TargetKey, PendingSample>>,
@@ -51,32 +51,32 @@
 }
 
 impl SampleBuffer {
-    /// A buffer, and where it asks to be emptied.
+    /// Creates a buffer, and the channel on which it asks to be emptied.
     pub(crate) fn new() -> (SampleBuffer, Receiver<Urgency>) {
-        /// Wishes that wait; one more is covered by those before it.
-        const WISHES: usize = 4;
-        let (wake, wishes) = async_channel::bounded(WISHES);
-        (SampleBuffer { pending: Mutex::default(), wake }, wishes)
+        /// Capacity of the channel. A request beyond it is covered by the pending ones.
+        const MAX_PENDING_WAKEUPS: usize = 4;
+        let (wake, wakeups) = async_channel::bounded(MAX_PENDING_WAKEUPS);
+        (SampleBuffer { pending: Mutex::default(), wake }, wakeups)
     }
 
-    /// Notes how an attempt ended.
-    pub(crate) fn record_outcome(&self, key: TargetKey, ended: &ObservedOutcome) {
-        let mut seen = PassiveSample { target: key.0, ..PassiveSample::default() };
-        seen.held_plus_one = ended.load.map_or(0, |load| load.held + 1);
-        match ended.outcome {
+    /// Records the outcome of an attempt.
+    pub(crate) fn record_outcome(&self, key: TargetKey, observed: &ObservedOutcome) {
+        let mut sample = PassiveSample { target: key.0, ..PassiveSample::default() };
+        sample.held_plus_one = observed.load.map_or(0, |load| load.held + 1);
+        match observed.outcome {
             SteerOutcome::Good(_) => {
-                seen.good = 1;
-                seen.latency_permille = ended.latency_ratio.map_or(0, as_permille);
+                sample.good = 1;
+                sample.latency_permille = observed.latency_ratio.map_or(0, as_permille);
             }
-            SteerOutcome::Failed | SteerOutcome::Incomplete => seen.bad = 1,
-            SteerOutcome::WrongTarget => seen.replaced = true,
+            SteerOutcome::Failed | SteerOutcome::Incomplete => sample.bad = 1,
+            SteerOutcome::WrongTarget => sample.replaced = true,
             _ => {}
         }
-        seen.overdue = u32::from(ended.stalled);
-        self.add(key, &seen, ended.suspect);
+        sample.overdue = u32::from(observed.stalled);
+        self.add(key, &sample, observed.suspect);
     }
 
-    /// Notes that a target has said that it leaves.
+    /// Records that a target announced in an answer that it is draining.
     pub(crate) fn record_draining(&self, key: TargetKey) {
         self.add(
             key,
@@ -85,13 +85,14 @@
         );
     }
 
-    /// Notes that a target has named a limit, another one than before, or none any more.
+    /// Records that a target announced a limit, changed it, or withdrew it.
     pub(crate) fn record_limit(&self, key: TargetKey, limit: TargetLimit) {
-        let seen = PassiveSample { target: key.0, limit: Some(limit), ..PassiveSample::default() };
-        self.add(key, &seen, false);
+        let sample =
+            PassiveSample { target: key.0, limit: Some(limit), ..PassiveSample::default() };
+        self.add(key, &sample, false);
     }
 
-    /// Notes that an attempt that is still open counts as a stall.
+    /// Records that an attempt that is still open counts as a stall.
     pub(crate) fn record_stall(&self, key: TargetKey) {
         self.add(
             key,
@@ -100,50 +101,50 @@
         );
     }
 
-    /// Notes that the number of open attempts changed.
+    /// Records that the number of open attempts at a target has changed.
     pub(crate) fn record_open_attempts(&self, key: TargetKey) {
         self.add(key, &PassiveSample::default(), false);
     }
 
-    fn add(&self, key: TargetKey, seen: &PassiveSample, suspect: bool) {
-        let failed = seen.bad + seen.overdue > 0 || seen.replaced || seen.draining;
-        let is_news = failed || seen.limit.is_some() || (suspect && seen.good > 0);
+    fn add(&self, key: TargetKey, sample: &PassiveSample, suspect: bool) {
+        let failed = sample.bad + sample.overdue > 0 || sample.replaced || sample.draining;
+        let is_urgent = failed || sample.limit.is_some() || (suspect && sample.good > 0);
         let mut pending = lock(&self.pending);
-        let known = pending.entry(key);
-        let known = known.or_insert_with(|| PendingSample {
-            sighting: PassiveSample { target: key.0, ..PassiveSample::default() },
-            is_news: false,
+        let entry = pending.entry(key);
+        let entry = entry.or_insert_with(|| PendingSample {
+            sample: PassiveSample { target: key.0, ..PassiveSample::default() },
+            is_urgent: false,
         });
-        known.is_news |= is_news;
-        add(&mut known.sighting, seen);
+        entry.is_urgent |= is_urgent;
+        add(&mut entry.sample, sample);
         drop(pending);
-        // Full: the task is about to look anyway.
-        let _ = self.wake.try_send(if is_news { Urgency::Now } else { Urgency::Soon });
+        // If the channel is full, the task is about to empty the buffer anyway.
+        let _ = self.wake.try_send(if is_urgent { Urgency::Now } else { Urgency::Soon });
     }
 
-    /// Takes all that was noted.
+    /// Removes and returns all pending samples.
     pub(crate) fn take(&self) -> Vec<PendingSample> {
-        lock(&self.pending).drain().map(|(_, seen)| seen).collect()
+        lock(&self.pending).drain().map(|(_, sample)| sample).collect()
     }
 }
 
-/// Whole thousandths, 1 at least: 0 stands for unknown.
+/// Converts a latency ratio to thousandths. The result is at least 1, since 0 means unknown.
 fn as_permille(latency_ratio: f64) -> u32 {
     (latency_ratio * 1000.0).clamp(1.0, f64::from(u32::MAX)) as u32
 }
 
-fn add(sum: &mut PassiveSample, seen: &PassiveSample) {
-    // The newest of several in one message stands for all.
-    if seen.latency_permille > 0 {
-        sum.latency_permille = seen.latency_permille;
+fn add(sum: &mut PassiveSample, sample: &PassiveSample) {
+    // Of several latency ratios or loads in one message only the most recent one is kept.
+    if sample.latency_permille > 0 {
+        sum.latency_permille = sample.latency_permille;
     }
-    sum.good += seen.good;
-    sum.bad += seen.bad;
-    sum.overdue += seen.overdue;
-    sum.replaced |= seen.replaced;
-    sum.draining |= seen.draining;
-    sum.limit = seen.limit.or(sum.limit);
-    if seen.held_plus_one > 0 {
-        sum.held_plus_one = seen.held_plus_one;
+    sum.good += sample.good;
+    sum.bad += sample.bad;
+    sum.overdue += sample.overdue;
+    sum.replaced |= sample.replaced;
+    sum.draining |= sample.draining;
+    sum.limit = sample.limit.or(sum.limit);
+    if sample.held_plus_one > 0 {
+        sum.held_plus_one = sample.held_plus_one;
     }
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,8 +1,9 @@
-//! The boxes that this one knows, and who of a data centre reads the store.
+//! The table of known boxes, and the roles that follow from it: which box of a data centre reads the store, and
+//! which boxes coordinate quotas and permits.
 //!
-//! There is no list of boxes to be had. A box asks its seeds, whoever answers names
-//! those that it knows, and signs of life keep the table. Nobody has to agree on it:
-//! a box that is missing here costs a call to the store or an item of news, no more.
+//! No complete list of boxes exists. A box asks its seeds, each box that replies lists peers, and heartbeats keep
+//! the table current. Boxes need not agree on it: a box that is missing here costs at most an additional call to
+//! the store or a lost update.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -19,14 +20,16 @@
 use crate::context::millis;
 use crate::settings::GatewaySettings;
 
-/// A box of the own data centre that was silent this long is taken as gone: three beacons.
-const NEAR_SILENCE: Duration = Duration::from_millis(3500);
-/// A box of the own data centre may be cut off if it was silent this long: one beacon and more.
-const NEAR_DOUBT: Duration = Duration::from_millis(1600);
-/// A box that fell silent is missed for this long: cuts of the users last some 12 s.
-const LOST_TIME: Duration = Duration::from_secs(30);
-/// A box elsewhere, of which third boxes tell by chance, is taken as gone after this long.
-const FAR_SILENCE: Duration = Duration::from_secs(25);
+/// Time without a heartbeat after which a box of the own data centre is removed: three heartbeats.
+const MAX_LOCAL_SILENCE: Duration = Duration::from_millis(3500);
+/// Time without a heartbeat after which a box of the own data centre may be unreachable: more than one heartbeat
+/// period.
+const LOCAL_SUSPICION_TIME: Duration = Duration::from_millis(1600);
+/// Time for which an unresponsive box is remembered as lost. Network partitions last about 12 s.
+const LOST_PEER_RETENTION: Duration = Duration::from_secs(30);
+/// Time after which a box of another data centre is removed. It is longer since this box learns of such boxes only
+/// from the random samples that third boxes send.
+const MAX_REMOTE_SILENCE: Duration = Duration::from_secs(25);
 
 /// A known box.
 #[derive(Debug, Clone)]
@@ -35,12 +38,12 @@
     pub(crate) data_centre: String,
     pub(crate) box_id: String,
     pub(crate) incarnation: u64,
-    /// What its link carries, in megabits a second; 0 if unknown.
+    /// Capacity of its link in megabits a second, 0 if unknown.
     pub(crate) link_mbps: u32,
     last_seen: Instant,
 }
 
-/// What a box says of itself, or another one of it.
+/// A report about a box, by the box itself or by another one.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PeerInfo<'a> {
     pub(crate) host: IpAddr,
@@ -51,24 +54,24 @@
     pub(crate) last_seen: Instant,
 }
 
-/// Who keeps a customer's credit.
+/// The boxes that coordinate a customer's quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Coordinators {
     pub(crate) primary: CoordinatorSeat,
-    /// Steps in where the first can't be reached; `None` if this box knows no other.
+    /// Box that takes over where the primary is unreachable, `None` if this box knows no other box.
     pub(crate) standby: Option<CoordinatorSeat>,
 }
 
-/// A box that keeps credit.
+/// The location of a coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CoordinatorSeat {
-    /// This one.
+    /// This box.
     Own,
-    /// The one at this address.
+    /// The peer at this address.
     Peer(IpAddr),
 }
 
-/// The table of known boxes, this one left out.
+/// The table of known boxes, without this one.
 #[derive(Debug)]
 pub(crate) struct PeerTable {
     own_host: IpAddr,
@@ -76,7 +79,7 @@
     own_centre: String,
     own_link_mbps: u32,
     peers: HashMap<IpAddr, PeerEntry>,
-    /// Boxes of the own data centre that fell silent, and when that was noticed.
+    /// Boxes of the own data centre that became unresponsive, with the time at which this was noticed.
     lost: HashMap<IpAddr, Instant>,
     random: SmallRng,
 }
@@ -94,9 +97,9 @@
         }
     }
 
-    /// Notes a sign of life; returns whether the box was unknown.
-    pub(crate) fn record_alive(&mut self, note: PeerInfo<'_>) -> bool {
-        let PeerInfo { host, box_id, data_centre, incarnation, link_mbps, last_seen } = note;
+    /// Records that a box is running. Returns whether the box was unknown.
+    pub(crate) fn record_alive(&mut self, info: PeerInfo<'_>) -> bool {
+        let PeerInfo { host, box_id, data_centre, incarnation, link_mbps, last_seen } = info;
         if host == self.own_host {
             return false;
         }
@@ -123,67 +126,68 @@
         self.peers.insert(host, entry).is_none()
     }
 
-    /// Takes what a peer told of another box; returns its host if it was unknown.
-    pub(crate) fn merge_record(&mut self, now: Instant, told: &PeerRecord) -> Option<IpAddr> {
-        let host = told.host.parse::<IpAddr>().ok()?;
-        let age = Duration::from_millis(u64::from(told.age_ms));
-        if age >= silence(&self.own_centre, &told.data_centre) {
+    /// Merges what a peer reported about another box. Returns the host of that box if it was unknown.
+    pub(crate) fn merge_record(&mut self, now: Instant, record: &PeerRecord) -> Option<IpAddr> {
+        let host = record.host.parse::<IpAddr>().ok()?;
+        let age = Duration::from_millis(u64::from(record.age_ms));
+        if age >= max_silence(&self.own_centre, &record.data_centre) {
             return None;
         }
         let last_seen = now.checked_sub(age)?;
-        let new = self.record_alive(PeerInfo {
+        let is_new = self.record_alive(PeerInfo {
             host,
-            box_id: &told.box_id,
-            data_centre: &told.data_centre,
-            incarnation: told.incarnation,
-            link_mbps: told.link_mbps,
+            box_id: &record.box_id,
+            data_centre: &record.data_centre,
+            incarnation: record.incarnation,
+            link_mbps: record.link_mbps,
             last_seen,
         });
-        new.then_some(host)
+        is_new.then_some(host)
     }
 
-    /// A box said that it ends.
+    /// Removes a box that announced that it is stopping. It does not count as lost.
     pub(crate) fn record_stopping(&mut self, host: IpAddr) {
         self.peers.remove(&host);
     }
 
-    /// Forgets boxes that were silent for too long; returns their names.
+    /// Removes the boxes that have been unresponsive for too long, and returns their names.
     pub(crate) fn remove_unresponsive(&mut self, now: Instant) -> Vec<String> {
         let own = self.own_centre.as_str();
-        let is_silent = |peer: &PeerEntry| {
-            now.saturating_duration_since(peer.last_seen) >= silence(own, &peer.data_centre)
+        let is_unresponsive = |peer: &PeerEntry| {
+            now.saturating_duration_since(peer.last_seen) >= max_silence(own, &peer.data_centre)
         };
-        let gone = self.peers.extract_if(|_, peer| is_silent(peer)).map(|(_, peer)| peer);
-        let gone: Vec<PeerEntry> = gone.collect();
-        let near = gone.iter().filter(|peer| peer.data_centre == own);
-        self.lost.extend(near.map(|peer| (peer.host, now)));
-        self.lost.retain(|_, noticed| now.saturating_duration_since(*noticed) < LOST_TIME);
-        gone.into_iter().map(|peer| peer.box_id).collect()
+        let removed = self.peers.extract_if(|_, peer| is_unresponsive(peer)).map(|(_, peer)| peer);
+        let removed: Vec<PeerEntry> = removed.collect();
+        let local = removed.iter().filter(|peer| peer.data_centre == own);
+        self.lost.extend(local.map(|peer| (peer.host, now)));
+        self.lost
+            .retain(|_, noticed| now.saturating_duration_since(*noticed) < LOST_PEER_RETENTION);
+        removed.into_iter().map(|peer| peer.box_id).collect()
     }
 
-    /// Boxes of the own data centre.
+    /// Returns the boxes of the own data centre.
     pub(crate) fn local(&self) -> Vec<IpAddr> {
         self.local_peers().map(|peer| peer.host).collect()
     }
 
-    /// Boxes of the own data centre that are told all that this one sees, and the others.
+    /// Returns the boxes of the own data centre that receive all samples of this box, and the other ones.
     pub(crate) fn full_report_peers(&self) -> (Vec<IpAddr>, Vec<IpAddr>) {
-        let near: Vec<&PeerEntry> = self.local_peers().collect();
-        let told = peer_subset(&self.own_id, &near, |peer| peer.box_id.as_str());
-        let told: Vec<IpAddr> = told.iter().map(|peer| peer.host).collect();
-        let others = near.iter().map(|peer| peer.host).filter(|host| !told.contains(host));
+        let local: Vec<&PeerEntry> = self.local_peers().collect();
+        let chosen = peer_subset(&self.own_id, &local, |peer| peer.box_id.as_str());
+        let chosen: Vec<IpAddr> = chosen.iter().map(|peer| peer.host).collect();
+        let others = local.iter().map(|peer| peer.host).filter(|host| !chosen.contains(host));
         let others = others.collect();
-        (told, others)
+        (chosen, others)
     }
 
-    /// Boxes of other data centres.
+    /// Returns the boxes of other data centres.
     pub(crate) fn remote(&self) -> Vec<IpAddr> {
-        let far = self.peers.values().filter(|peer| peer.data_centre != self.own_centre);
-        far.map(|peer| peer.host).collect()
+        let remote = self.peers.values().filter(|peer| peer.data_centre != self.own_centre);
+        remote.map(|peer| peer.host).collect()
     }
 
-    /// Some boxes of each other data centre, by chance, `most` of each at most.
-    pub(crate) fn random_of_each_remote_centre(&mut self, most: usize) -> Vec<IpAddr> {
+    /// Returns a random selection of at most `max` boxes from each other data centre.
+    pub(crate) fn random_of_each_remote_centre(&mut self, max: usize) -> Vec<IpAddr> {
         let mut centres: HashMap<&str, Vec<IpAddr>> = HashMap::new();
         for peer in self.peers.values().filter(|peer| peer.data_centre != self.own_centre) {
             centres.entry(&peer.data_centre).or_default().push(peer.host);
@@ -191,25 +195,25 @@
         let random = &mut self.random;
         centres
             .into_values()
-            .flat_map(|hosts| hosts.into_iter().choose_multiple(random, most))
+            .flat_map(|hosts| hosts.into_iter().choose_multiple(random, max))
             .collect()
     }
 
-    /// A box of another data centre, by chance.
+    /// Returns a random box of another data centre.
     pub(crate) fn random_remote(&mut self) -> Option<IpAddr> {
         let own = &self.own_centre;
-        let far = self.peers.values().filter(|peer| peer.data_centre != *own);
-        far.map(|peer| peer.host).choose(&mut self.random)
+        let remote = self.peers.values().filter(|peer| peer.data_centre != *own);
+        remote.map(|peer| peer.host).choose(&mut self.random)
     }
 
-    /// How many boxes are known, this one counted.
+    /// Returns the number of known boxes, this one included.
     pub(crate) fn boxes(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// This box's place among those of its data centre that read the store: 0 reads
-    /// for the others, the next one steps in when it hears nothing, and so on. Boxes whose
-    /// links carry twice as much go first: at 10 Mbit/s a megabyte takes 1.1 s, at 200 0.05.
+    /// Returns the read priority of this box in its data centre. The box with 0 reads the store for the others, the
+    /// next one takes over when it receives nothing from it, and so on. Boxes with at least twice the link
+    /// capacity come first: a megabyte takes 1.1 s at 10 Mbit/s, and 0.05 s at 200 Mbit/s.
     pub(crate) fn read_priority(&self) -> usize {
         let weight = |link_mbps: u32, box_id: &str| {
             (link_mbps.checked_ilog2(), rendezvous_weight(&self.own_centre, box_id))
@@ -218,38 +222,40 @@
         self.local_peers().filter(|peer| weight(peer.link_mbps, &peer.box_id) > own).count()
     }
 
-    /// Whether all boxes of the own data centre are heard that this one knows of and that did not
-    /// say that they end: it is not cut off from a part of them.
+    /// Returns whether this box receives heartbeats from all boxes of its data centre that it knows and that did not
+    /// announce that they are stopping. If so, it is not partitioned from a part of them.
     pub(crate) fn reaches_all(&self, now: Instant) -> bool {
         let is_reached =
-            |peer: &PeerEntry| now.saturating_duration_since(peer.last_seen) < NEAR_DOUBT;
+            |peer: &PeerEntry| now.saturating_duration_since(peer.last_seen) < LOCAL_SUSPICION_TIME;
         self.lost.is_empty() && self.local_peers().all(is_reached)
     }
 
-    /// The boxes that keep the credit of `customer`: the first by rank, and its deputy. Boxes
-    /// whose links carry twice as much go first: there a keeper's answers cost a fifth of the
-    /// processor's share that they cost on the small ones.
+    /// Returns the primary and the standby coordinator of a customer's quota. Boxes with at least twice the link
+    /// capacity come first: on these the answers of a coordinator take a fifth of the processor share that they
+    /// take on small boxes.
     pub(crate) fn coordinators(&self, customer: &str) -> Coordinators {
         let subject = stable_hash(customer);
         let weight = |link_mbps: u32, box_id: &str| {
             (link_mbps.checked_ilog2(), rendezvous_weight_for_hash(subject, box_id))
         };
         let own = (weight(self.own_link_mbps, &self.own_id), CoordinatorSeat::Own);
-        let mut first = own;
-        let mut deputy: Option<(_, CoordinatorSeat)> = None;
+        let mut primary = own;
+        let mut standby: Option<(_, CoordinatorSeat)> = None;
         for peer in self.peers.values() {
-            let place = (weight(peer.link_mbps, &peer.box_id), CoordinatorSeat::Peer(peer.host));
-            if place.0 > first.0 {
-                deputy = Some(std::mem::replace(&mut first, place));
-            } else if deputy.as_ref().is_none_or(|deputy| place.0 > deputy.0) {
-                deputy = Some(place);
+            let candidate =
+                (weight(peer.link_mbps, &peer.box_id), CoordinatorSeat::Peer(peer.host));
+            if candidate.0 > primary.0 {
+                standby = Some(std::mem::replace(&mut primary, candidate));
+            } else if standby.as_ref().is_none_or(|standby| candidate.0 > standby.0) {
+                standby = Some(candidate);
             }
         }
-        Coordinators { primary: first.1, standby: deputy.map(|deputy| deputy.1) }
+        Coordinators { primary: primary.1, standby: standby.map(|standby| standby.1) }
     }
 
-    /// The box that keeps the permits of a target in `data_centre`: one there, which most requests for it come
-    /// by, and of any other only where this box knows none there. Links count as for customers' credit.
+    /// Returns the box that coordinates the permits of a target in `data_centre`. It is a box of that data centre,
+    /// through which most requests to the target pass, unless this box knows none there. Link capacity counts as
+    /// for the coordinators of quotas.
     pub(crate) fn permit_coordinator(
         &self,
         data_centre: &str,
@@ -268,27 +274,27 @@
         first.map_or(CoordinatorSeat::Own, |(_, seat)| seat)
     }
 
-    /// The part of the boxes of the own data centre that this one hears, of those that did not say that they
-    /// end.
+    /// Returns the share of the boxes of the own data centre that this box can reach, among those that did not announce
+    /// that they are stopping.
     pub(crate) fn reachable_share(&self) -> f64 {
-        let last_seen = self.local_peers().count() + 1;
-        last_seen as f64 / (last_seen + self.lost.len()) as f64
+        let reachable = self.local_peers().count() + 1;
+        reachable as f64 / (reachable + self.lost.len()) as f64
     }
 
-    /// Some boxes of the own data centre, by chance, `most` at most.
-    pub(crate) fn random_local(&mut self, most: usize) -> Vec<IpAddr> {
+    /// Returns a random selection of at most `max` boxes of the own data centre.
+    pub(crate) fn random_local(&mut self, max: usize) -> Vec<IpAddr> {
         let own = &self.own_centre;
-        let near = self.peers.values().filter(|peer| peer.data_centre == *own);
-        near.map(|peer| peer.host).choose_multiple(&mut self.random, most)
+        let local = self.peers.values().filter(|peer| peer.data_centre == *own);
+        local.map(|peer| peer.host).choose_multiple(&mut self.random, max)
     }
 
-    /// Whether the box at `host` is one of the own data centre.
+    /// Returns whether the box at `host` is known and in the own data centre.
     pub(crate) fn is_local(&self, host: IpAddr) -> bool {
         self.peers.get(&host).is_some_and(|peer| peer.data_centre == self.own_centre)
     }
 
-    /// Some known boxes for a message, `most` at most.
-    pub(crate) fn sample_records(&mut self, now: Instant, most: usize) -> Vec<PeerRecord> {
+    /// Returns the records of at most `max` random peers, for a message.
+    pub(crate) fn sample_records(&mut self, now: Instant, max: usize) -> Vec<PeerRecord> {
         let record = |peer: &PeerEntry| PeerRecord {
             host: peer.host.to_string(),
             data_centre: peer.data_centre.clone(),
@@ -298,7 +304,7 @@
             age_ms: u32::try_from(millis(now.saturating_duration_since(peer.last_seen)))
                 .unwrap_or(u32::MAX),
         };
-        let chosen = self.peers.values().choose_multiple(&mut self.random, most);
+        let chosen = self.peers.values().choose_multiple(&mut self.random, max);
         chosen.into_iter().map(record).collect()
     }
 
@@ -307,7 +313,8 @@
     }
 }
 
-/// After how long without a sign of life a box of `data_centre` is taken as gone, in `own`.
-fn silence(own: &str, data_centre: &str) -> Duration {
-    if data_centre == own { NEAR_SILENCE } else { FAR_SILENCE }
+/// Returns the time without a sign of life after which a box in the data centre `own` removes a box of
+/// `data_centre`.
+fn max_silence(own: &str, data_centre: &str) -> Duration {
+    if data_centre == own { MAX_LOCAL_SILENCE } else { MAX_REMOTE_SILENCE }
 }
