--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -134,7 +134,7 @@
     }
     let bytes = encode(request, plan, remaining);
     let _unread =
-        UnreadHead { stream: stream.clone(), method: &request.method, link: &plan.notices };
+        UnreadHead { stream: stream.clone(), method: &request.method, notices: &plan.notices };
     let mut reader = RawReader::new(stream.clone());
     let answer = {
         let write = std::pin::pin!(send_request(&mut stream, &bytes, request));
--- a/crates/gateway/src/crash_tracker.rs
+++ b/crates/gateway/src/crash_tracker.rs
@@ -1,4 +1,7 @@
-//! Requests under which targets end: what this box sees of them, is told, and refuses.
+//! Tracking of poison requests, under which targets end.
+//!
+//! A box records the crashes that it observes, merges the records of peers and of the store, and refuses requests
+//! by them. The decisions are in `wingbridge_decide::crashes`.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -10,17 +13,18 @@
 
 use crate::context::{lock, millis};
 
-/// The desk's clock begins this far before the box: what peers saw before its start has a time, too.
-const BEFORE_START: Duration = Duration::from_secs(24 * 3600);
+/// Time by which the tracker's clock starts before the process, so that it can represent crashes that peers observed
+/// before the start.
+const CLOCK_LEAD: Duration = Duration::from_secs(24 * 3600);
 
-/// Requests in a note for the store, at most: some 10 KB.
-const NOTED: usize = 64;
+/// Maximum number of requests in a note for the store, about 10 KB.
+const MAX_NOTED: usize = 64;
 
-/// The one ledger of a box, with the clock that it goes by.
+/// The crash ledger of a box, with its clock.
 #[derive(Debug)]
 pub(crate) struct CrashTracker {
     ledger: Mutex<CrashLedger>,
-    /// The notes that the store held last, which most readings bring again.
+    /// Notes of the last read of the store. Most reads return the same ones.
     notes: Mutex<Vec<Vec<u8>>>,
     started: Instant,
 }
@@ -30,35 +34,35 @@
         CrashTracker { ledger: Mutex::default(), notes: Mutex::default(), started: Instant::now() }
     }
 
-    /// Whether a request may be sent to a target.
+    /// Returns whether a request may be sent to a target.
     pub(crate) fn verdict(&self, fingerprint: Fingerprint) -> CrashVerdict {
         lock(&self.ledger).verdict(self.now(), fingerprint)
     }
 
-    /// A target ended under a request.
+    /// Records that a target ended under a request.
     pub(crate) fn record_crash(&self, fingerprint: Fingerprint, target: TargetKey) {
         let changes = lock(&self.ledger).record_crash(self.now(), fingerprint, target);
         self.log_changes(&changes, "own");
     }
 
-    /// An attempt ended and this box doesn't know how.
+    /// Records an attempt whose outcome this box did not observe.
     pub(crate) fn record_unknown_outcome(&self, fingerprint: Fingerprint, target: TargetKey) {
         lock(&self.ledger).record_unknown_outcome(self.now(), fingerprint, target);
     }
 
-    /// A target refuses connections, or another one has its address.
+    /// Records that a target has ended: it refuses connections, or another one has its address.
     pub(crate) fn record_target_ended(&self, target: TargetKey) {
         let changes = lock(&self.ledger).record_target_ended(self.now(), target);
         self.log_changes(&changes, "own");
     }
 
-    /// A target ran a request to a good end.
+    /// Records that a target executed a request successfully.
     pub(crate) fn record_success(&self, fingerprint: Fingerprint) {
         let change = lock(&self.ledger).record_success(self.now(), fingerprint);
         self.log_changes(change.as_slice(), "own");
     }
 
-    /// Takes what a peer told.
+    /// Merges the records of a peer.
     pub(crate) fn merge_records(&self, records: &[CrashRecord], peer: &str) {
         for record in records {
             let changes = lock(&self.ledger).merge_report(self.now(), &decode_record(record));
@@ -66,18 +70,18 @@
         }
     }
 
-    /// What is new since the last call.
+    /// Returns the records that have changed since the last call.
     pub(crate) fn take_unreported(&self) -> Vec<CrashRecord> {
-        lock(&self.ledger).take_unreported(self.now()).iter().map(encode_news).collect()
+        lock(&self.ledger).take_unreported(self.now()).iter().map(encode_report).collect()
     }
 
-    /// What is told again and again, `most` requests at most.
-    pub(crate) fn records_to_repeat(&self, most: usize) -> Vec<CrashRecord> {
-        lock(&self.ledger).reports_to_repeat(self.now(), most).iter().map(encode_news).collect()
+    /// Returns at most `max` records for the periodic repetition to peers, which makes up for lost datagrams.
+    pub(crate) fn records_to_repeat(&self, max: usize) -> Vec<CrashRecord> {
+        lock(&self.ledger).reports_to_repeat(self.now(), max).iter().map(encode_report).collect()
     }
 
-    /// Takes what boxes left in the store. Its times are those of the writers' clocks, which may differ
-    /// by seconds: little beside the minutes of a refusal.
+    /// Applies the notes that boxes wrote to the store. Their times are those of the writers' clocks, which may
+    /// differ by seconds. That is little compared with the minutes for which a request is refused.
     pub(crate) fn apply_notes(&self, notes: Vec<Vec<u8>>) {
         let mut known = lock(&self.notes);
         if *known == notes {
@@ -93,27 +97,27 @@
             };
             let age_ms = unix_millis().saturating_sub(note.written_ms);
             let aged: Vec<CrashRecord> =
-                note.crashes.into_iter().map(|record| grown_older(record, age_ms)).collect();
+                note.crashes.into_iter().map(|record| with_age_added(record, age_ms)).collect();
             self.merge_records(&aged, "store");
         }
         *known = notes;
     }
 
-    /// The requests that are refused now, for the store; and a number that is another one when
-    /// there is something else to write.
+    /// Returns the encoded requests that are refused now, for the store, and before them a version that changes with
+    /// the set of requests or the number of their crashes.
     pub(crate) fn encode_note(&self) -> (u64, Vec<u8>) {
-        let refused = lock(&self.ledger).refused_reports(self.now(), NOTED);
-        let known = refused.iter().map(|news| (news.fingerprint.0, news.ends.len()));
+        let refused = lock(&self.ledger).refused_reports(self.now(), MAX_NOTED);
+        let known = refused.iter().map(|report| (report.fingerprint.0, report.ends.len()));
         let version = known.fold(0_u64, |sum, (fingerprint, ends)| {
             sum.wrapping_add(fingerprint.wrapping_mul(2 * ends as u64 + 1))
         });
-        let crashes = refused.iter().map(encode_news).collect();
+        let crashes = refused.iter().map(encode_report).collect();
         let note = CrashNote { written_ms: unix_millis(), crashes };
         (version, note.encode_to_vec())
     }
 
     fn now(&self) -> TimePoint {
-        TimePoint::default() + BEFORE_START + self.started.elapsed()
+        TimePoint::default() + CLOCK_LEAD + self.started.elapsed()
     }
 
     fn log_changes(&self, changes: &[CrashChange], by: &str) {
@@ -138,12 +142,12 @@
 
 fn unix_millis() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    // A clock before 1970 tells no time: what was written then is taken for new.
+    // A clock before 1970 has no valid time. What was written then counts as new.
     since.map_or(0, millis)
 }
 
-/// A record as it is `age_ms` after it was written.
-fn grown_older(mut record: CrashRecord, age_ms: u64) -> CrashRecord {
+/// Returns the record with `age_ms` added to its ages.
+fn with_age_added(mut record: CrashRecord, age_ms: u64) -> CrashRecord {
     for end_ms in &mut record.ages_ms {
         *end_ms = end_ms.saturating_add(age_ms);
     }
@@ -153,12 +157,12 @@
     record
 }
 
-fn encode_news(news: &CrashReport) -> CrashRecord {
+fn encode_report(report: &CrashReport) -> CrashRecord {
     CrashRecord {
-        fingerprint: news.fingerprint.0,
-        targets: news.ends.iter().map(|end| end.target.0).collect(),
-        ages_ms: news.ends.iter().map(|end| millis(end.age)).collect(),
-        succeeded_plus_one: news.succeeded.map_or(0, |age| millis(age).saturating_add(1)),
+        fingerprint: report.fingerprint.0,
+        targets: report.ends.iter().map(|end| end.target.0).collect(),
+        ages_ms: report.ends.iter().map(|end| millis(end.age)).collect(),
+        succeeded_plus_one: report.succeeded.map_or(0, |age| millis(age).saturating_add(1)),
     }
 }
 
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -1,8 +1,8 @@
-//! What targets say of themselves in the heads of their answers: read, taken into the core, and
-//! told in the log.
+//! Notices that targets give in the heads of their answers: that they are draining, request a back-off, or have a
+//! limit.
 //!
-//! A head counts as soon as it is there. What becomes of the answer behind it (long, cut short, for
-//! nobody any more) changes nothing of what its target has said.
+//! A notice is applied as soon as the head has arrived. It holds even if the body is long, is cut short, or has no
+//! caller any more.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, SystemTime};
@@ -21,103 +21,111 @@
 use crate::permit_manager::SendPermit;
 use crate::ports::HeaderNames;
 
-/// Bytes that a head may have which is read so, at most: those of targets have some 300.
-const UNREAD_BYTES: usize = 4096;
-/// What a target's answer says where it leaves.
-const LEAVES: &str = "1";
+/// Maximum size in bytes of a head that is read by [`UnreadHead`]. Targets send heads of about 300 bytes.
+const MAX_UNREAD_BYTES: usize = 4096;
+/// Value of the header by which a target announces that it is draining.
+const DRAINING: &str = "1";
 
-/// One attempt's view of what its target has said.
+/// Applies the notices in the answer to one attempt, and checks those of its target before the attempt is sent.
 pub(crate) struct AttemptNotices<'a> {
     context: &'a BoxContext,
     key: TargetKey,
     target: &'a str,
     /// The caller's id of the request, if it has one.
     request: Option<&'a str>,
-    /// When the attempt began.
-    asked: TimePoint,
-    /// The permit that it has.
+    /// Time at which the attempt began.
+    started: TimePoint,
+    /// Permit of the attempt, if its target has a limit.
     permit: Option<SendPermit>,
-    /// Whether a head was read already.
-    heard: AtomicBool,
+    /// Whether the head of the answer has been read.
+    is_head_read: AtomicBool,
 }
 
-/// Reads the head of an answer that is there when nobody waits for it any more.
+/// Reads, on drop, the head of an answer that has arrived and that no task waits for any more.
 ///
-/// Of two attempts beside each other the first one with an answer wins, and a caller may leave: the
-/// other answer may have come by then and not have been looked at. A target that had asked
-/// for rest by it got 22 of the next 40 requests (a box on a machine whose processors were all busy).
+/// Of two concurrent attempts the first one with an answer wins, and a caller may disconnect. The other answer may
+/// have arrived by then without having been read. A target that requested a back-off in such an answer got 22 of
+/// the next 40 requests of a box on a machine with all processors busy.
 pub(crate) struct UnreadHead<'a> {
     pub(crate) stream: TcpStream,
     pub(crate) method: &'a str,
-    pub(crate) link: &'a AttemptNotices<'a>,
+    pub(crate) notices: &'a AttemptNotices<'a>,
 }
 
 impl Drop for UnreadHead<'_> {
     fn drop(&mut self) {
-        if self.link.heard.load(Ordering::Acquire) {
+        if self.notices.is_head_read.load(Ordering::Acquire) {
             return;
         }
-        let mut bytes = [0; UNREAD_BYTES];
-        // What is not there yet is not waited for: the connection closes, which cancels the work.
+        let mut bytes = [0; MAX_UNREAD_BYTES];
+        // A head that has not arrived yet is not awaited. The connection closes, which cancels the work.
         let Some(Ok(count)) = self.stream.peek(&mut bytes).now_or_never() else {
             return;
         };
         if let Ok(Some((start, _))) = RawResponseHead::parse(&bytes[..count], self.method) {
-            self.link.apply_head(&start);
+            self.notices.apply_head(&start);
         }
     }
 }
 
 impl<'a> AttemptNotices<'a> {
-    /// A link for an attempt of that `request` at the target `pick`.
+    /// Creates the notices of an attempt at the target `pick`. `request` is the caller's id of the request, if any.
     pub(crate) fn new(
         context: &'a BoxContext,
         pick: &'a SteerPick,
         request: Option<&'a str>,
         permit: Option<SendPermit>,
     ) -> AttemptNotices<'a> {
-        let heard = AtomicBool::new(false);
-        let asked = context.now();
-        AttemptNotices { context, key: pick.key, target: &pick.id, request, asked, permit, heard }
+        let is_head_read = AtomicBool::new(false);
+        let started = context.now();
+        AttemptNotices {
+            context,
+            key: pick.key,
+            target: &pick.id,
+            request,
+            started,
+            permit,
+            is_head_read,
+        }
     }
 
-    /// Takes what the head of an answer says of the target.
+    /// Applies the notices in the head of an answer.
     pub(crate) fn apply_head(&self, start: &RawResponseHead) {
-        self.heard.store(true, Ordering::Release);
+        self.is_head_read.store(true, Ordering::Release);
         let names = &self.context.headers;
-        if !is_own_word(start, names, self.request) {
+        if !is_from_target(start, names, self.request) {
             return;
         }
         let notice = read_notice(start, names);
         let now = self.context.now();
         let mut core = self.context.core();
         let change = core.record_notice(now, self.key, &notice);
-        let limit = core.receive_limit(now, self.key, self.asked, read_limit(start, names));
+        let limit = core.receive_limit(now, self.key, self.started, read_limit(start, names));
         drop(core);
-        self.tell(start.status, &change);
+        self.report_change(start.status, &change);
         if let Some(limit) = limit {
             log_limit(self.target, limit, "own");
-            if let Some(told) = limit_of(self.context, self.key) {
-                self.context.passive_samples.record_limit(self.key, told);
+            if let Some(report) = limit_of(self.context, self.key) {
+                self.context.passive_samples.record_limit(self.key, report);
             }
         }
     }
 
-    /// Whether the target may be sent the request, now that a connection to it is up.
+    /// Returns whether the request may still be sent, now that a connection to the target is established.
     pub(crate) fn may_send(&self) -> bool {
         let now = self.context.now();
-        let (bar, limit, is_evacuated) = {
+        let (ineligibility, limit, is_evacuated) = {
             let core = self.context.core();
             let key = self.key;
             (core.ineligibility(now, key), core.limit(now, key), core.is_evacuated(key))
         };
-        let (notice, since) = match bar {
+        let (notice, since) = match ineligibility {
             _ if is_evacuated => ("evacuated", Duration::ZERO),
             Some(Ineligibility::Draining(since)) => ("leaves", since),
             Some(Ineligibility::BackingOff { since, .. }) => ("rests", since),
             None => match limit {
                 None => return true,
-                // One for a higher limit was for more than the target takes now.
+                // A permit under a higher limit does not hold: the target accepts less now.
                 Some(limit) if self.permit.is_some_and(|permit| permit.under <= limit) => {
                     self.log_limited_send(limit);
                     return true;
@@ -131,7 +139,7 @@
         false
     }
 
-    /// Leaves a line of each send to a target with a limit: over all boxes they show whether it was kept.
+    /// Logs a send to a target with a limit. The lines of all boxes together show whether the limit was kept.
     fn log_limited_send(&self, limit: RequestRate) {
         let by = self.permit.map_or("", |permit| permit.source.as_str());
         let (target, request) = (self.target, self.request_id());
@@ -143,24 +151,24 @@
         self.request.unwrap_or("-")
     }
 
-    /// Tells of what is new: peers of a target that leaves, and the log of both.
-    fn tell(&self, status: u16, change: &NoticeChange) {
+    /// Logs a change of the notices of the target, and reports to peers that it is draining. A back-off is not reported.
+    fn report_change(&self, status: u16, change: &NoticeChange) {
         let (target, request) = (self.target, self.request_id());
         if change.draining {
             log::info!(target, request, status, by = "own"; "target-leaves");
             self.context.passive_samples.record_draining(self.key);
         }
-        if let Some(rest) = change.backoff {
-            log::info!(target, request, status, rest_ms = millis(rest); "target-rests");
+        if let Some(backoff) = change.backoff {
+            log::info!(target, request, status, rest_ms = millis(backoff); "target-rests");
         }
     }
 }
 
-/// Takes a peer's word that a target leaves.
+/// Merges the report of a peer that a target is draining.
 ///
-/// Until it has asked the target itself a box would send it work that is then cut when the target
-/// ends. A rest is not told: it was asked of one box, and one refusal told to all would have
-/// every box turn to the same targets next.
+/// Without it a box would learn of the draining only from an answer of the target to itself, and would send it work
+/// until then that is cut off when the target ends. A back-off is not reported: it was requested from one box, and
+/// if one refusal were reported to all, every box would turn to the same targets next.
 pub(crate) fn merge_draining(context: &BoxContext, key: TargetKey, peer: &str) {
     let now = context.now();
     let mut core = context.core();
@@ -173,36 +181,35 @@
     log::info!(target:% = name, by = peer; "target-leaves");
 }
 
-/// Sets the gauges of targets that want nothing now.
+/// Sets the gauges of targets that are excluded or limited.
 pub(crate) fn update_excluded_gauges(context: &BoxContext) {
     let core = context.core();
-    let ExcludedTargets { draining: leaving, backing_off: resting, evacuated, .. } =
-        core.all_excluded(context.now());
+    let ExcludedTargets { draining, backing_off, evacuated, .. } = core.all_excluded(context.now());
     let limited = core.limited_targets().count();
     drop(core);
     metrics::gauge!("wingbridge_targets_limited").set(limited as f64);
     metrics::gauge!("wingbridge_targets_evacuated").set(evacuated as f64);
-    metrics::gauge!("wingbridge_targets_leaving").set(leaving as f64);
-    metrics::gauge!("wingbridge_targets_resting").set(resting as f64);
+    metrics::gauge!("wingbridge_targets_leaving").set(draining as f64);
+    metrics::gauge!("wingbridge_targets_resting").set(backing_off as f64);
 }
 
-/// Whether an answer to the request with the id `request` is the word of the target that was asked: of
-/// another instance, or in an answer to another request, nobody knows whose it is.
-fn is_own_word(start: &RawResponseHead, names: &HeaderNames, request: Option<&str>) -> bool {
+/// Returns whether an answer to the request with the id `request` comes from the target that was asked. The notices in
+/// an answer of another instance, or to another request, can't be attributed to a target.
+fn is_from_target(start: &RawResponseHead, names: &HeaderNames, request: Option<&str>) -> bool {
     let is_success = (200..300).contains(&start.status);
     let has_proof = !is_success || start.headers.contains(&names.proof);
     start.status != 421 && !is_for_other_request(start, names, request) && has_proof
 }
 
-/// What an answer says of its target: that it leaves, and for how long it wants nothing.
+/// Reads from an answer whether its target is draining, and the back-off that it requests.
 fn read_notice(start: &RawResponseHead, names: &HeaderNames) -> TargetNotice {
-    let mut leaving = start.headers.texts(&names.draining);
-    let rests = matches!(start.status, 429 | 503);
-    let rest = if rests { read_rest(start, names, SystemTime::now()) } else { None };
-    TargetNotice { draining: leaving.any(|text| text == LEAVES), backoff: rest }
+    let mut draining = start.headers.texts(&names.draining);
+    let is_refusal = matches!(start.status, 429 | 503);
+    let backoff = if is_refusal { read_backoff(start, names, SystemTime::now()) } else { None };
+    TargetNotice { draining: draining.any(|text| text == DRAINING), backoff }
 }
 
-/// What an answer says of its target's limit: the lowest one of those that can be read.
+/// Reads the limit that an answer announces, the lowest one if it has several that are valid.
 fn read_limit(start: &RawResponseHead, names: &HeaderNames) -> LimitUpdate {
     let mut texts = start.headers.texts(&names.limit).peekable();
     if texts.peek().is_none() {
@@ -212,25 +219,25 @@
     texts.filter_map(rate).min().map_or(LimitUpdate::Unreadable, LimitUpdate::At)
 }
 
-/// The longest time for which an answer asks to be left alone, of those that can be read: seconds,
-/// whole or not, or a date, which counts from that of the answer if it tells one.
-fn read_rest(start: &RawResponseHead, names: &HeaderNames, now: SystemTime) -> Option<Duration> {
-    let told = start.headers.text("date").and_then(|text| httpdate::parse_http_date(text).ok());
-    let from = told.unwrap_or(now);
+/// Reads the longest valid back-off that an answer requests. It is a decimal number of seconds, or a date, which
+/// counts from the `Date` of the answer if it has one.
+fn read_backoff(start: &RawResponseHead, names: &HeaderNames, now: SystemTime) -> Option<Duration> {
+    let sent_at = start.headers.text("date").and_then(|text| httpdate::parse_http_date(text).ok());
+    let from = sent_at.unwrap_or(now);
     let until = |text: &str| httpdate::parse_http_date(text).ok()?.duration_since(from).ok();
     let read = |text: &str| read_seconds(text).or_else(|| until(text));
     start.headers.texts(&names.retry_after).filter_map(read).max()
 }
 
-/// A time in seconds, whole or not.
+/// Parses a decimal number of seconds.
 fn read_seconds(text: &str) -> Option<Duration> {
     let seconds = read_decimal(text)?;
-    // So many digits that no duration holds them are the longest one.
+    // A number beyond the range of a duration counts as the longest one.
     Some(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
 }
 
-/// A number from 0 on, whole or not, as digits. What a float may be beside that (`inf`, `1e12`) is none
-/// that a target means.
+/// Parses a non-negative decimal number without an exponent. Other texts that parse as a float, such as `inf` and `1e12`,
+/// are rejected since no target means them.
 fn read_decimal(text: &str) -> Option<f64> {
     if !text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.') {
         return None;
--- a/crates/gateway/src/permit_manager.rs
+++ b/crates/gateway/src/permit_manager.rs
@@ -1,5 +1,8 @@
-//! Permits to send to targets that have named a limit: asks to the boxes that keep them, and those that
-//! this box keeps for others. The decisions are in `wingbridge_decide::permits`.
+//! Permits to send requests to targets that announced a limit.
+//!
+//! Each such target has one coordinator among the boxes, from which all boxes request permits. This module sends
+//! the requests of this box, and answers those of others for the targets that this box coordinates. The decisions
+//! are in `wingbridge_decide::permits`.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -18,91 +21,97 @@
 use crate::limit_reports::{limit_of, merge_limit};
 use crate::peers::CoordinatorSeat;
 
-/// An ask without an answer is given up after this long: a round trip takes some milliseconds, and
-/// boxes with a tenth of a core answer some tens of milliseconds late when they are busy.
-const ASK_TIME: Duration = Duration::from_millis(80);
-/// A box that did not answer is not asked again for this long, so that one request in it waits.
-const SILENT_PAUSE: Duration = Duration::from_secs(1);
-/// A box keeps no permits, and asks for none, for this long after its start: until it has heard of the
-/// others it would be the keeper of all targets.
+/// Time after which a request for a permit without a reply is given up. A round trip takes some milliseconds, and
+/// busy boxes with a tenth of a core reply some tens of milliseconds late.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(80);
+/// Time for which a box that did not reply is not asked again, so that only one request within it waits in vain.
+const UNRESPONSIVE_PAUSE: Duration = Duration::from_secs(1);
+/// Time after the start during which a box neither coordinates permits nor requests any. Until it has learned of the
+/// other boxes it would consider itself the coordinator of all targets.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
-/// Boxes that are asked for one permit: the keeper by this box's view, and the one that that names.
-const ASKED_BOXES: usize = 2;
-/// Datagrams that wait to be sent at most.
-const OUTGOING: usize = 64;
-/// Targets whose shares a box remembers, silent boxes and open asks, from which on it looks what can go.
-const REMEMBERED: usize = 1024;
+/// Maximum number of boxes that are asked for one permit: the coordinator in this box's view, and the one to which
+/// it redirects.
+const MAX_ASKED_BOXES: usize = 2;
+/// Maximum number of datagrams that wait to be sent.
+const MAX_OUTGOING: usize = 64;
+/// Number of fallback shares, of unresponsive boxes and of open requests from which on obsolete entries are removed.
+const CLEANUP_THRESHOLD: usize = 1024;
 
-/// By whose word a request is sent to a target with a limit.
+/// The box that permitted a request to a target with a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PermitSource {
-    /// The box that keeps the target's permits.
+    /// The coordinator of the target's permits.
     Coordinator,
-    /// This box alone, while no keeper answers it.
+    /// This box alone, within its fallback share, while no coordinator replies.
     OwnShare,
 }
 
-/// What lets one request go to a target with a limit.
+/// A permit for one request to a target with a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct SendPermit {
-    /// The limit for which it was given: it is none for a lower one.
+    /// Limit under which it was granted. The permit does not hold for a lower one.
     pub(crate) under: RequestRate,
     pub(crate) source: PermitSource,
 }
 
-/// There is none now: the target is no choice for a while.
+/// No permit is available. The target is not eligible for a while.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct NoPermit;
 
-/// Whether a request may wait for the answer of a keeper.
+/// Whether a request may wait for the reply of a coordinator.
 ///
-/// It waits once in vain at most: where several boxes have ended it would go from one silent keeper to the next,
-/// and be refused long after it came.
+/// A request waits in vain at most once. If several boxes have stopped, it would otherwise go from one unresponsive
+/// coordinator to the next, and be refused long after it arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) enum CoordinatorWait {
-    /// It has not met a silent one.
+    /// No coordinator has been unresponsive so far.
     #[default]
     Allowed,
-    /// It has.
+    /// The request has waited for an unresponsive coordinator.
     Spent,
 }
 
-/// Gets permits for this box, and keeps those of others.
+/// Requests permits for this box, and grants permits for the targets that it coordinates.
 #[derive(Debug)]
 pub(crate) struct PermitManager {
-    state: Mutex<DeskState>,
+    state: Mutex<ManagerState>,
     outgoing: Sender<(IpAddr, PermitMessage)>,
 }
 
 #[derive(Debug, Default)]
-struct DeskState {
-    keeper: PermitCoordinator,
-    asks: u64,
-    /// Requests that wait for the answer to an ask.
+struct ManagerState {
+    coordinator: PermitCoordinator,
+    /// Number of the last permit request.
+    last_number: u64,
+    /// Callers' requests that wait for a reply, by the number of the permit request.
     waiting: HashMap<u64, Sender<PeerReply>>,
-    /// What this box sends by itself, where no keeper answers it.
+    /// What this box may send by itself while no coordinator replies.
     shares: HashMap<TargetKey, FallbackShare>,
-    /// Boxes that did not answer, and until when they are not asked.
-    silent: HashMap<IpAddr, Instant>,
+    /// Boxes that did not reply, with the time until which they are not asked.
+    unresponsive: HashMap<IpAddr, Instant>,
 }
 
-/// What a box that was asked says.
+/// The reply of a box that was asked for a permit.
 #[derive(Debug, Clone, Copy)]
 enum PeerReply {
     Answer(PermitAnswer),
-    /// It is not the keeper; this one is, if it knows one.
-    Passed(Option<IpAddr>),
+    /// The box is not the coordinator. It names the one in its view, if any.
+    Redirected(Option<IpAddr>),
 }
 
 impl PermitManager {
-    /// A desk, and what it wants sent.
+    /// Creates a manager, and the channel of the messages that it sends.
     pub(crate) fn new() -> (PermitManager, Receiver<(IpAddr, PermitMessage)>) {
-        let (outgoing, wishes) = async_channel::bounded(OUTGOING);
-        (PermitManager { state: Mutex::default(), outgoing }, wishes)
+        let (outgoing, messages) = async_channel::bounded(MAX_OUTGOING);
+        (PermitManager { state: Mutex::default(), outgoing }, messages)
     }
 
-    /// Asks for a permit to send a request to `pick`, which has the limit `rate`. Waits for the answer of its
-    /// keeper, and never for room there.
+    /// Acquires a permit to send a request to `pick`, which has the limit `rate`. Waits for the coordinator's reply,
+    /// but never until a permit becomes available.
+    ///
+    /// # Errors
+    ///
+    /// No permit is available now.
     pub(crate) async fn acquire(
         &self,
         context: &BoxContext,
@@ -110,19 +119,19 @@
         rate: RequestRate,
         wait: &mut CoordinatorWait,
     ) -> Result<SendPermit, NoPermit> {
-        let kept = match self.seat(context, pick) {
-            Some(CoordinatorSeat::Own) => Some(self.keep(context, pick.key, rate)),
+        let coordinated = match self.coordinator_of(context, pick) {
+            Some(CoordinatorSeat::Own) => Some(self.answer_as_coordinator(context, pick.key, rate)),
             Some(CoordinatorSeat::Peer(host)) if *wait == CoordinatorWait::Allowed => {
                 self.ask_peers(context, host, pick.key, wait).await
             }
             _ => None,
         };
-        let (answer, source) = match kept {
+        let (answer, source) = match coordinated {
             Some(answer) => {
                 lock(&self.state).shares.remove(&pick.key);
                 (answer, PermitSource::Coordinator)
             }
-            None => (self.take_alone(context, pick.key, rate), PermitSource::OwnShare),
+            None => (self.acquire_fallback(context, pick.key, rate), PermitSource::OwnShare),
         };
         match answer {
             PermitAnswer::Granted => Ok(SendPermit { under: rate, source }),
@@ -140,40 +149,41 @@
         }
     }
 
-    /// Sends what it wants sent, until the ring closes.
-    pub(crate) async fn run(gossip: Arc<Gossip>, wishes: Receiver<(IpAddr, PermitMessage)>) {
-        while let Ok((host, news)) = wishes.recv().await {
-            gossip.send_permits(host, news).await;
+    /// Sends the messages of a manager until their channel is closed.
+    pub(crate) async fn run(gossip: Arc<Gossip>, messages: Receiver<(IpAddr, PermitMessage)>) {
+        while let Ok((host, message)) = messages.recv().await {
+            gossip.send_permits(host, message).await;
         }
     }
 
-    /// Takes what a peer asks and answers; returns the answers to it.
+    /// Handles the replies and requests of a peer. Returns the replies to its requests.
     pub(crate) fn handle_message(
         &self,
         context: &BoxContext,
         peer: &str,
-        news: &PermitMessage,
+        message: &PermitMessage,
     ) -> Option<PermitMessage> {
-        for reply in &news.replies {
+        for reply in &message.replies {
             if let Some(limit) = &reply.limit {
                 merge_limit(context, limit, peer);
             }
-            // The request may be gone; then its permit is lost.
+            // The caller's request may be over. Its permit is lost then.
             if let Some(waiting) = lock(&self.state).waiting.remove(&reply.number) {
                 let _ = waiting.try_send(decode_reply(reply));
             }
         }
-        let replies = news.requests.iter().map(|ask| self.reply(context, peer, ask));
+        let replies = message.requests.iter().map(|request| self.reply(context, peer, request));
         let replies: Vec<PermitReply> = replies.collect();
         (!replies.is_empty()).then(|| PermitMessage { requests: Vec::new(), replies })
     }
 
-    /// Who keeps the permits of a target; `None` while this box is not to know.
-    fn seat(&self, context: &BoxContext, pick: &SteerPick) -> Option<CoordinatorSeat> {
+    /// Returns the coordinator of a target's permits, `None` until this box has learned of the others.
+    fn coordinator_of(&self, context: &BoxContext, pick: &SteerPick) -> Option<CoordinatorSeat> {
         is_settled(context).then(|| context.peers().permit_coordinator(&pick.data_centre, pick.key))
     }
 
-    /// The keeper's answer; `None` if there is none in time, or nobody is the keeper by its own view.
+    /// Returns the coordinator's answer, `None` if it does not arrive in time or no asked box considers itself the
+    /// coordinator.
     async fn ask_peers(
         &self,
         context: &BoxContext,
@@ -182,16 +192,17 @@
         wait: &mut CoordinatorWait,
     ) -> Option<PermitAnswer> {
         let mut host = first;
-        for _ in 0..ASKED_BOXES {
+        for _ in 0..MAX_ASKED_BOXES {
             match self.query_peer(context, host, key, wait).await? {
                 PeerReply::Answer(answer) => return Some(answer),
-                PeerReply::Passed(next) => host = next?,
+                PeerReply::Redirected(next) => host = next?,
             }
         }
         None
     }
 
-    /// What the box at `host` says; `None` if it says nothing in time, or did not a moment ago.
+    /// Returns the reply of the box at `host`, `None` if it does not arrive in time or the box was unresponsive a
+    /// moment ago.
     async fn query_peer(
         &self,
         context: &BoxContext,
@@ -201,67 +212,67 @@
     ) -> Option<PeerReply> {
         let limit = limit_of(context, key);
         let cold = context.core().cold_rate(context.now(), key);
-        let (answered, answer) = async_channel::bounded(1);
+        let (replies, reply) = async_channel::bounded(1);
         let number = {
             let mut state = lock(&self.state);
-            if state.silent.get(&host).is_some_and(|until| Instant::now() < *until) {
+            if state.unresponsive.get(&host).is_some_and(|until| Instant::now() < *until) {
                 return None;
             }
-            state.note_waiting(answered)
+            state.add_waiting(replies)
         };
         let cold_plus_one = cold.map_or(0, |rate| rate.millionths() + 1);
-        let ask = PermitRequest { number, limit, target: key.0, cold_plus_one };
-        let news = PermitMessage { requests: vec![ask], replies: Vec::new() };
-        let word = match self.outgoing.try_send((host, news)) {
-            Ok(()) => timeout(ASK_TIME, answer.recv()).await.ok().and_then(Result::ok),
-            // Full: so much is on its way that the answer would be late.
+        let request = PermitRequest { number, limit, target: key.0, cold_plus_one };
+        let message = PermitMessage { requests: vec![request], replies: Vec::new() };
+        let reply = match self.outgoing.try_send((host, message)) {
+            Ok(()) => timeout(REPLY_TIMEOUT, reply.recv()).await.ok().and_then(Result::ok),
+            // The channel is full. With so many datagrams to send the reply would arrive late.
             Err(_) => None,
         };
         let mut state = lock(&self.state);
         state.waiting.remove(&number);
-        match word {
-            Some(_) => drop(state.silent.remove(&host)),
+        match reply {
+            Some(_) => drop(state.unresponsive.remove(&host)),
             None => {
-                state.note_silent(host);
+                state.record_unresponsive(host);
                 *wait = CoordinatorWait::Spent;
             }
         }
-        word
+        reply
     }
 
-    /// The answer to a peer's ask.
-    fn reply(&self, context: &BoxContext, peer: &str, ask: &PermitRequest) -> PermitReply {
-        let key = TargetKey(ask.target);
-        if let Some(told) = &ask.limit {
-            merge_limit(context, told, peer);
+    /// Returns the reply to a peer's request for a permit.
+    fn reply(&self, context: &BoxContext, peer: &str, request: &PermitRequest) -> PermitReply {
+        let key = TargetKey(request.target);
+        if let Some(limit) = &request.limit {
+            merge_limit(context, limit, peer);
         }
-        if let Some(millionths) = ask.cold_plus_one.checked_sub(1) {
-            // The listing by which the asker knows it may be on its way here.
+        if let Some(millionths) = request.cold_plus_one.checked_sub(1) {
+            // The listing from which the requester has this rate may not have arrived here yet.
             let rate = RequestRate::from_millionths(millionths);
             context.core().record_cold(context.now(), key, rate);
         }
-        let (limit, number) = (limit_of(context, key), ask.number);
-        let passed = |keeper: String| PermitReply {
+        let (limit, number) = (limit_of(context, key), request.number);
+        let redirect = |coordinator: String| PermitReply {
             number,
             redirected: true,
-            coordinator: keeper,
+            coordinator,
             limit,
             ..PermitReply::default()
         };
-        // One that does not know the target, or has just started, does not know who keeps its permits.
+        // This box can't determine the coordinator if it does not know the target or has just started.
         let data_centre = context.core().data_centre_of(key).filter(|_| is_settled(context));
         let Some(data_centre) = data_centre else {
-            return passed(String::new());
+            return redirect(String::new());
         };
         let seat = context.peers().permit_coordinator(&data_centre, key);
         if let CoordinatorSeat::Peer(host) = seat {
-            // With two keepers for a moment, twice the limit would be given out.
-            return passed(host.to_string());
+            // If two boxes coordinated the target for a moment, they would grant twice the limit.
+            return redirect(host.to_string());
         }
         let rate = context.core().limit(context.now(), key);
         let answer = match rate {
-            Some(rate) => self.keep(context, key, rate),
-            // It has ended, which the asker learns by this.
+            Some(rate) => self.answer_as_coordinator(context, key, rate),
+            // The limit has ended, of which the reply notifies the requester.
             None => PermitAnswer::Granted,
         };
         let (granted, wait) = match answer {
@@ -272,51 +283,62 @@
         PermitReply { number, granted, wait_ms, limit, ..PermitReply::default() }
     }
 
-    /// The answer to an ask for a target whose permits this box keeps.
-    fn keep(&self, context: &BoxContext, key: TargetKey, rate: RequestRate) -> PermitAnswer {
-        let part = context.peers().reachable_share();
-        lock(&self.state).keeper.answer(context.now(), key, rate, part)
+    /// Returns the answer to a request for a permit of a target that this box coordinates.
+    fn answer_as_coordinator(
+        &self,
+        context: &BoxContext,
+        key: TargetKey,
+        rate: RequestRate,
+    ) -> PermitAnswer {
+        let share = context.peers().reachable_share();
+        lock(&self.state).coordinator.answer(context.now(), key, rate, share)
     }
 
-    /// What this box may do by itself; it asks a keeper again after a moment.
-    fn take_alone(&self, context: &BoxContext, key: TargetKey, rate: RequestRate) -> PermitAnswer {
+    /// Acquires a permit from the fallback share of this box. A denial holds only for a moment, after which the
+    /// coordinator is asked again.
+    fn acquire_fallback(
+        &self,
+        context: &BoxContext,
+        key: TargetKey,
+        rate: RequestRate,
+    ) -> PermitAnswer {
         let boxes = context.peers().boxes();
         let mut state = lock(&self.state);
-        if state.shares.len() >= REMEMBERED {
-            // Each begins again at a moment that is drawn.
+        if state.shares.len() >= CLEANUP_THRESHOLD {
+            // Each share starts anew with a random phase.
             state.shares.clear();
         }
         let share = state.shares.entry(key).or_default();
         match share.acquire(context.now(), rate, boxes, rand::random()) {
-            PermitAnswer::Denied(wait) => PermitAnswer::Denied(wait.min(SILENT_PAUSE)),
+            PermitAnswer::Denied(wait) => PermitAnswer::Denied(wait.min(UNRESPONSIVE_PAUSE)),
             PermitAnswer::Granted => PermitAnswer::Granted,
         }
     }
 }
 
-impl DeskState {
-    /// Notes a request that waits; returns the number of its ask.
-    fn note_waiting(&mut self, answered: Sender<PeerReply>) -> u64 {
-        if self.waiting.len() >= REMEMBERED {
-            // Their callers have left.
+impl ManagerState {
+    /// Adds a request that waits for a reply. Returns the number of its permit request.
+    fn add_waiting(&mut self, replies: Sender<PeerReply>) -> u64 {
+        if self.waiting.len() >= CLEANUP_THRESHOLD {
+            // The closed ones belong to callers that have disconnected.
             self.waiting.retain(|_, waiting| !waiting.is_closed());
         }
-        self.asks += 1;
-        self.waiting.insert(self.asks, answered);
-        self.asks
+        self.last_number += 1;
+        self.waiting.insert(self.last_number, replies);
+        self.last_number
     }
 
-    fn note_silent(&mut self, host: IpAddr) {
+    fn record_unresponsive(&mut self, host: IpAddr) {
         let now = Instant::now();
-        if self.silent.len() >= REMEMBERED {
-            self.silent.retain(|_, until| now < *until);
+        if self.unresponsive.len() >= CLEANUP_THRESHOLD {
+            self.unresponsive.retain(|_, until| now < *until);
         }
-        self.silent.insert(host, now + SILENT_PAUSE);
+        self.unresponsive.insert(host, now + UNRESPONSIVE_PAUSE);
     }
 }
 
 impl PermitSource {
-    /// Its name in logs.
+    /// Returns the name of the source in logs.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             PermitSource::Coordinator => "keeper",
@@ -327,8 +349,8 @@
 
 fn decode_reply(reply: &PermitReply) -> PeerReply {
     if reply.redirected {
-        // A text that is no address names nobody.
-        return PeerReply::Passed(reply.coordinator.parse().ok());
+        // An empty or malformed address names no coordinator.
+        return PeerReply::Redirected(reply.coordinator.parse().ok());
     }
     let wait = Duration::from_millis(reply.wait_ms.into());
     PeerReply::Answer(match reply.granted {
@@ -337,7 +359,7 @@
     })
 }
 
-/// Whether this box has run for long enough to have heard of the others.
+/// Returns whether this box has run for long enough to have learned of the others.
 fn is_settled(context: &BoxContext) -> bool {
     context.now().since(Default::default()) >= SETTLE_TIME
 }
--- a/crates/gateway/src/quota_manager.rs
+++ b/crates/gateway/src/quota_manager.rs
@@ -1,5 +1,8 @@
-//! Customers' quotas at this box: requests that wait for credit, asks to keepers, and what this box
-//! keeps for others. The decisions are in `wingbridge_decide::quota`.
+//! Admission of requests by customers' quotas.
+//!
+//! A request that is admitted takes a token of its customer. Boxes request tokens from the coordinator of the
+//! customer's quota, and callers' requests wait for them for a short time. This module also answers other boxes for
+//! the quotas that this box coordinates. The decisions are in `wingbridge_decide::quota`.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -22,61 +25,66 @@
 use crate::gossip::Gossip;
 use crate::peers::CoordinatorSeat;
 
-/// A request waits for credit this long at most: both keepers can be asked within it.
-const CREDIT_WAIT: Duration = Duration::from_millis(250);
-/// Requests of one customer that wait for credit at most. What is above has no prospect of any.
-const WAITING_MOST: usize = 64;
-/// A refused caller is told to stay away this long at least.
-const RETRY_LEAST: Duration = Duration::from_millis(300);
-/// Wait while no ask is open: a notice ends it.
+/// Maximum time for which a request waits for a token. Within it both coordinators can be result.
+const MAX_TOKEN_WAIT: Duration = Duration::from_millis(250);
+/// Maximum number of requests of one customer that wait for tokens. Further ones would have no prospect of a token.
+const MAX_WAITING: usize = 64;
+/// Minimum time after which a refused caller is told to retry.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Time to wait while no token request is due. A wakeup ends it earlier.
 const IDLE_WAIT: Duration = Duration::from_secs(30);
-/// Shares go between boxes in millionths.
+/// Number of millionths in a whole share. Messages between boxes have shares in millionths.
 const PPM: f64 = 1e6;
 
-/// A request beyond its customer's quota: nothing of it runs.
+/// The refusal of a request beyond its customer's quota. No part of the request is executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct BeyondQuota {
-    /// When there may be credit.
+    /// Time after which a token may be available.
     pub(crate) retry_after: Duration,
-    /// Whether this box decided it without a keeper.
+    /// Whether this box decided without reaching a coordinator.
     pub(crate) alone: bool,
 }
 
-/// Admits requests by their customers' quotas.
+/// Admits requests by their customers' quotas, and coordinates the quotas assigned to this box.
 #[derive(Debug)]
 pub(crate) struct QuotaManager {
-    state: Mutex<DeskState>,
+    state: Mutex<ManagerState>,
     wake: Sender<()>,
 }
 
-/// What became of a look for credit.
-enum Asked {
+/// The result of a look for a token.
+enum TokenResult {
     Admitted,
     Refused(Duration),
-    /// News of its customer's credit come here.
+    /// The request has to wait. This channel yields when tokens of its customer arrive.
     Waits(Receiver<()>),
 }
 
 #[derive(Debug)]
-struct DeskState {
-    book: TokenAccounts,
-    keeper: QuotaCoordinator,
+struct ManagerState {
+    accounts: TokenAccounts,
+    coordinator: QuotaCoordinator,
+    /// Channels that wake the requests that wait for tokens, by customer.
     waiting: HashMap<Name, Vec<Sender<()>>>,
 }
 
 impl QuotaManager {
-    /// A desk, and where it asks to have its asks sent.
+    /// Creates a manager, and the channel on which it asks for due token requests to be sent.
     pub(crate) fn new(slack: QuotaSlack) -> (QuotaManager, Receiver<()>) {
-        let (wake, notices) = async_channel::bounded(1);
-        let state = DeskState {
-            book: TokenAccounts::default(),
-            keeper: QuotaCoordinator::new(TimePoint::default(), slack),
+        let (wake, wakeups) = async_channel::bounded(1);
+        let state = ManagerState {
+            accounts: TokenAccounts::default(),
+            coordinator: QuotaCoordinator::new(TimePoint::default(), slack),
             waiting: HashMap::new(),
         };
-        (QuotaManager { state: Mutex::new(state), wake }, notices)
+        (QuotaManager { state: Mutex::new(state), wake }, wakeups)
     }
 
-    /// Admits a request of `customer`, which waits for credit until `until` at most.
+    /// Admits a request of `customer`. It waits for a token until `until` at most.
+    ///
+    /// # Errors
+    ///
+    /// The request is beyond the quota of its customer.
     pub(crate) async fn admit(
         &self,
         context: &BoxContext,
@@ -87,122 +95,129 @@
             return Ok(());
         };
         let name = &customer.name;
-        let until = until.min(Instant::now() + CREDIT_WAIT);
-        let mut asked = self.ask(context, name, limit, true);
+        let until = until.min(Instant::now() + MAX_TOKEN_WAIT);
+        let mut result = self.try_admit(context, name, limit, true);
         loop {
-            // Full: a notice already waits.
+            // If the channel is full, a wakeup is already pending.
             let _ = self.wake.try_send(());
-            let news = match asked {
-                Asked::Admitted => return Ok(()),
-                Asked::Refused(retry_after) => return Err(self.beyond(name, retry_after)),
-                Asked::Waits(news) => news,
+            let tokens = match result {
+                TokenResult::Admitted => return Ok(()),
+                TokenResult::Refused(retry_after) => {
+                    return Err(self.beyond_quota(name, retry_after));
+                }
+                TokenResult::Waits(tokens) => tokens,
             };
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
-                return Err(self.beyond(name, RETRY_LEAST));
+            let remaining = until.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
+                return Err(self.beyond_quota(name, MIN_RETRY_AFTER));
             }
-            // Late: it is looked up once more, and refused then.
-            let _ = timeout(left, news.recv()).await;
-            asked = self.ask(context, name, limit, false);
+            // After a time-out there is one more attempt before the request is refused.
+            let _ = timeout(remaining, tokens.recv()).await;
+            result = self.try_admit(context, name, limit, false);
         }
     }
 
-    /// Whether a request may go on; one that can't yet is noted for news in the same step, so that
-    /// none are missed.
-    fn ask(&self, context: &BoxContext, name: &Name, limit: QuotaLimit, is_new: bool) -> Asked {
+    /// Tries to admit a request. One that has to wait is registered under the same lock, so that it misses no tokens.
+    fn try_admit(
+        &self,
+        context: &BoxContext,
+        name: &Name,
+        limit: QuotaLimit,
+        is_new: bool,
+    ) -> TokenResult {
         let mut state = lock(&self.state);
-        let DeskState { book, waiting, .. } = &mut *state;
+        let ManagerState { accounts, waiting, .. } = &mut *state;
         let now = context.now();
         let admission = if is_new {
-            book.admit(now, name, limit)
+            accounts.admit(now, name, limit)
         } else {
-            book.admit_waiting(now, name, limit)
+            accounts.admit_waiting(now, name, limit)
         };
         match admission {
-            Admission::Admitted => return Asked::Admitted,
-            Admission::Refused(retry_after) => return Asked::Refused(retry_after),
+            Admission::Admitted => return TokenResult::Admitted,
+            Admission::Refused(retry_after) => return TokenResult::Refused(retry_after),
             Admission::Wait => {}
         }
         let waiting = waiting.entry(name.clone()).or_default();
         waiting.retain(|waiting| !waiting.is_closed());
-        if waiting.len() >= WAITING_MOST {
-            return Asked::Refused(RETRY_LEAST);
+        if waiting.len() >= MAX_WAITING {
+            return TokenResult::Refused(MIN_RETRY_AFTER);
         }
-        let (news, waits) = async_channel::bounded(1);
-        waiting.push(news);
-        Asked::Waits(waits)
+        let (wake, tokens) = async_channel::bounded(1);
+        waiting.push(wake);
+        TokenResult::Waits(tokens)
     }
 
-    /// An admitted request ran nowhere.
+    /// Refunds the token of an admitted request that no target executed.
     pub(crate) fn refund(&self, context: &BoxContext, customer: &Customer) {
         if customer.quota.is_some() {
-            lock(&self.state).book.refund(context.now(), &customer.name);
+            lock(&self.state).accounts.refund(context.now(), &customer.name);
         }
     }
 
-    /// An admitted request may run once more.
+    /// Charges another token for an admitted request that is sent again.
     pub(crate) fn charge(&self, customer: &Customer) {
         if customer.quota.is_some() {
-            lock(&self.state).book.charge(&customer.name);
-            // Full: a notice already waits.
+            lock(&self.state).accounts.charge(&customer.name);
+            // If the channel is full, a wakeup is already pending.
             let _ = self.wake.try_send(());
         }
     }
 
-    /// Sends asks as they are due, until the ring of notices closes.
-    pub(crate) async fn run(context: Arc<BoxContext>, gossip: Arc<Gossip>, notices: Receiver<()>) {
+    /// Sends token requests as they are due, until the channel `wakeups` is closed.
+    pub(crate) async fn run(context: Arc<BoxContext>, gossip: Arc<Gossip>, wakeups: Receiver<()>) {
         loop {
-            let desk = &context.quotas;
-            let due = desk.due_asks(&context);
+            let manager = &context.quotas;
+            let due = manager.due_requests(&context);
             let own = quota_requester(&context.settings.box_id, gossip.incarnation());
-            for (host, news) in desk.sort_asks(&context, own, due) {
-                gossip.send_tokens(host, news).await;
+            for (host, message) in manager.sort_requests(&context, own, due) {
+                gossip.send_tokens(host, message).await;
             }
-            let next = lock(&desk.state).book.next_due(context.now());
+            let next = lock(&manager.state).accounts.next_due(context.now());
             let wait = next.map_or(IDLE_WAIT, |next| next.since(context.now()));
-            if let Ok(Err(_)) = timeout(wait, notices.recv()).await {
+            if let Ok(Err(_)) = timeout(wait, wakeups.recv()).await {
                 return;
             }
         }
     }
 
-    /// Takes what the box at `host` asks and grants; returns the answers to it.
+    /// Handles the grants and token requests of a peer. Returns the grants that answer its requests.
     pub(crate) fn handle_message(
         &self,
         context: &BoxContext,
         peer: QuotaRequester,
-        news: &TokenMessage,
+        message: &TokenMessage,
     ) -> Option<TokenMessage> {
-        for grant in &news.grants {
+        for grant in &message.grants {
             let customer: Name = grant.customer.as_str().into();
-            self.take_grant(context, &customer, &decode_grant(grant));
+            self.apply_grant(context, &customer, &decode_grant(grant));
         }
-        let grants = news.requests.iter().filter_map(|ask| {
-            let customer: Name = ask.customer.as_str().into();
-            let grant = self.answer(context, peer, &customer, &decode_ask(ask))?;
+        let grants = message.requests.iter().filter_map(|request| {
+            let customer: Name = request.customer.as_str().into();
+            let grant = self.answer(context, peer, &customer, &decode_request(request))?;
             Some(encode_grant(&customer, &grant))
         });
         let grants: Vec<TokenGrant> = grants.collect();
         (!grants.is_empty()).then(|| TokenMessage { requests: Vec::new(), grants })
     }
 
-    /// A peer ends as planned.
+    /// Records that a peer announced that it is stopping.
     pub(crate) fn record_box_stopped(&self, peer: QuotaRequester) {
-        lock(&self.state).keeper.record_box_stopped(peer);
+        lock(&self.state).coordinator.record_box_stopped(peer);
     }
 
-    fn due_asks(&self, context: &BoxContext) -> Vec<DueRequest> {
+    fn due_requests(&self, context: &BoxContext) -> Vec<DueRequest> {
         let boxes = context.peers().boxes();
         let now = context.now();
         let mut state = lock(&self.state);
-        state.book.set_boxes(boxes);
-        state.book.remove_idle(now);
-        state.keeper.remove_idle(now);
-        state.book.due_requests(now)
+        state.accounts.set_boxes(boxes);
+        state.accounts.remove_idle(now);
+        state.coordinator.remove_idle(now);
+        state.accounts.due_requests(now)
     }
 
-    /// Asks for other boxes, by their hosts. Those that this box keeps are answered at once.
-    fn sort_asks(
+    /// Groups token requests by the host of their coordinator. Requests to this box itself are answered at once.
+    fn sort_requests(
         &self,
         context: &BoxContext,
         own: QuotaRequester,
@@ -214,76 +229,80 @@
             let seat = if rank == 0 { Some(coordinators.primary) } else { coordinators.standby };
             match seat {
                 Some(CoordinatorSeat::Peer(host)) => {
-                    sorted.entry(host).or_default().requests.push(encode_ask(&customer, &request));
+                    sorted
+                        .entry(host)
+                        .or_default()
+                        .requests
+                        .push(encode_request(&customer, &request));
                 }
                 Some(CoordinatorSeat::Own) => {
                     if let Some(grant) = self.answer(context, own, &customer, &request) {
-                        self.take_grant(context, &customer, &grant);
+                        self.apply_grant(context, &customer, &grant);
                     }
                 }
-                // It is late by its time then.
+                // Without a standby the request is not sent, and counts as unanswered after its timeout.
                 None => {}
             }
         }
         sorted
     }
 
-    /// What this box grants as a keeper; `None` if its configuration knows no such limit.
+    /// Returns the grant of this box as a coordinator, `None` if its configuration has no quota for the customer.
     fn answer(
         &self,
         context: &BoxContext,
-        asker: QuotaRequester,
+        requester: QuotaRequester,
         customer: &Name,
-        ask: &QuotaRequest,
+        request: &QuotaRequest,
     ) -> Option<QuotaGrant> {
         let limit = context.config()?.quota_of(customer)?;
-        let (first, reaches_all) = {
+        let (primary, reaches_all) = {
             let peers = context.peers();
             (peers.coordinators(customer).primary, peers.reaches_all(Instant::now()))
         };
-        let role = match first {
+        let role = match primary {
             CoordinatorSeat::Own => CoordinatorRole::Primary,
             CoordinatorSeat::Peer(_) => CoordinatorRole::Standby,
         };
         let status = CoordinatorStatus { role, reaches_all };
         let now = context.now();
-        Some(lock(&self.state).keeper.answer(now, asker, customer, limit, ask, status))
+        Some(lock(&self.state).coordinator.answer(now, requester, customer, limit, request, status))
     }
 
-    fn take_grant(&self, context: &BoxContext, customer: &Name, grant: &QuotaGrant) {
+    fn apply_grant(&self, context: &BoxContext, customer: &Name, grant: &QuotaGrant) {
         let mut state = lock(&self.state);
-        state.book.apply_grant(context.now(), customer, grant);
-        // Each looks for itself whether there is enough; the ring has room for one notice.
+        state.accounts.apply_grant(context.now(), customer, grant);
+        // Each waiting request checks for itself whether there are enough tokens. Its channel holds one wakeup.
         for waiting in state.waiting.remove(customer).unwrap_or_default() {
             let _ = waiting.try_send(());
         }
     }
 
-    fn beyond(&self, customer: &Name, retry_after: Duration) -> BeyondQuota {
-        let alone = lock(&self.state).book.is_cut_off(customer);
-        BeyondQuota { retry_after: retry_after.max(RETRY_LEAST), alone }
+    fn beyond_quota(&self, customer: &Name, retry_after: Duration) -> BeyondQuota {
+        let alone = lock(&self.state).accounts.is_cut_off(customer);
+        BeyondQuota { retry_after: retry_after.max(MIN_RETRY_AFTER), alone }
     }
 }
 
-/// A box as keepers of credit know it.
+/// Returns the identity under which coordinators of quotas keep the state of a box.
 pub(crate) fn quota_requester(box_id: &str, incarnation: u64) -> QuotaRequester {
     QuotaRequester { box_key: stable_hash(box_id), incarnation }
 }
 
-fn encode_ask(customer: &Name, ask: &QuotaRequest) -> TokenRequest {
+fn encode_request(customer: &Name, request: &QuotaRequest) -> TokenRequest {
     TokenRequest {
         customer: customer.to_string(),
-        number: ask.number,
-        debt: ask.debt,
-        unused: ask.unused,
-        wanted: ask.wanted,
-        share_ppm: as_ppm(ask.share),
-        is_share_assigned: ask.is_share_assigned,
+        number: request.number,
+        debt: request.debt,
+        unused: request.unused,
+        wanted: request.wanted,
+        share_ppm: to_ppm(request.share),
+        is_share_assigned: request.is_share_assigned,
     }
 }
 
-fn decode_ask(ask: &TokenRequest) -> QuotaRequest {
-    let TokenRequest { number, debt, unused, wanted, share_ppm, is_share_assigned, .. } = *ask;
+fn decode_request(request: &TokenRequest) -> QuotaRequest {
+    let TokenRequest { number, debt, unused, wanted, share_ppm, is_share_assigned, .. } = *request;
     QuotaRequest { number, debt, unused, wanted, share: from_ppm(share_ppm), is_share_assigned }
 }
 
@@ -294,7 +313,7 @@
         granted: grant.granted,
         scarce: grant.scarce,
         wait_ms: u32::try_from(millis(grant.wait)).unwrap_or(u32::MAX),
-        share_ppm: as_ppm(grant.share),
+        share_ppm: to_ppm(grant.share),
     }
 }
 
@@ -304,7 +323,7 @@
     QuotaGrant { number, granted, scarce, wait, share: from_ppm(share_ppm) }
 }
 
-fn as_ppm(share: f64) -> u32 {
+fn to_ppm(share: f64) -> u32 {
     (share.clamp(0.0, 1.0) * PPM) as u32
 }
 
--- a/crates/gateway/src/reserved_token.rs
+++ b/crates/gateway/src/reserved_token.rs
@@ -1,42 +1,43 @@
-//! The credit that a request took of its customer's quota.
+//! The token of its customer's quota that a request holds.
 
 use std::sync::Arc;
 
 use crate::context::BoxContext;
 use crate::customers::Customer;
 
-/// Credit of one request. It goes back, once, unless something of the request was sent.
+/// The token of one request. It is refunded on drop unless a part of the request was sent to a target that may have
+/// executed it.
 pub(crate) struct ReservedToken {
     context: Arc<BoxContext>,
     customer: Arc<Customer>,
-    used: bool,
+    is_used: bool,
 }
 
 impl ReservedToken {
-    /// Credit that was admitted for a request of `customer`.
+    /// Creates the token of an admitted request of `customer`.
     pub(crate) fn new(context: Arc<BoxContext>, customer: Arc<Customer>) -> ReservedToken {
-        ReservedToken { context, customer, used: false }
+        ReservedToken { context, customer, is_used: false }
     }
 
-    /// Something is being sent: it may run, also if nobody waits for its end.
+    /// Records that the request is being sent. From now on it may be executed, even if its caller disconnects.
     pub(crate) fn record_sent(&mut self) {
-        self.used = true;
+        self.is_used = true;
     }
 
-    /// It is sent once more: what runs counts, and not what was asked.
+    /// Charges another token since the request is sent again. Quotas count executions, not callers' requests.
     pub(crate) fn record_resent(&self) {
         self.context.quotas.charge(&self.customer);
     }
 
-    /// What was sent ran nowhere.
+    /// Records that no target executed what was sent.
     pub(crate) fn record_not_run(&mut self) {
-        self.used = false;
+        self.is_used = false;
     }
 }
 
 impl Drop for ReservedToken {
     fn drop(&mut self) {
-        if !self.used {
+        if !self.is_used {
             self.context.quotas.refund(&self.context, &self.customer);
         }
     }
