--- a/crates/gateway/src/config_duty.rs
+++ b/crates/gateway/src/config_duty.rs
@@ -1,8 +1,8 @@
-//! Keeps a large configuration fresh: by peers that have a newer one, else by the store.
+//! Keeps a large configuration up to date, from peers that have a newer one or else from the store.
 //!
-//! What is new in a configuration goes from box to box (see `config_source`). A box asks
-//! whoever said that it has a newer one; only if that brings nothing in time, or if nobody
-//! says anything, it reads the store.
+//! Boxes pass the deltas of a configuration to each other (see `config_source`). A box first
+//! requests the newer configuration from a seeder, that is, a peer that reported having it. It
+//! reads the store only if that does not succeed in time, or if no peer has reported a newer one.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -26,21 +26,21 @@
 use crate::transfer_slots::BUSY_RETRY_DELAY;
 use crate::view::ConfigText;
 
-/// Configurations over this are not read with each listing of the targets, in bytes: at
-/// 10 Mbit/s this one takes 26 ms.
+/// Size in bytes above which a configuration is read separately from the listing of targets. A
+/// transfer of this size takes 26 ms at 10 Mbit/s.
 const LARGE_CONFIG_BYTES: usize = 32 * 1024;
-/// A box that reads for its data centre does so with its listing of targets; the duty by
-/// itself reads when that is this late.
-const READER_LAG: Duration = Duration::from_millis(150);
-/// Wait while there is nothing to do: a notice ends it.
-const IDLE_WAIT: Duration = Duration::from_secs(60);
+/// Delay after which this task reads the store although another read is expected: the box that
+/// reads for its data centre normally does so together with its listing of targets.
+const READER_DELAY: Duration = Duration::from_millis(150);
+/// Longest wait between two checks when nothing is due; a notification ends it earlier.
+const MAX_IDLE_WAIT: Duration = Duration::from_secs(60);
 
-/// Whether a configuration is read apart from the targets.
+/// Returns whether a configuration is large enough to be read separately from the targets.
 pub(crate) fn is_large(config: Option<&ConfigText>) -> bool {
     config.is_some_and(|config| config.text.len() > LARGE_CONFIG_BYTES)
 }
 
-/// Reads the configuration from the store, one reading at a time.
+/// Reads the configuration from the store, with at most one read in progress.
 pub(crate) struct ConfigReader {
     context: Arc<BoxContext>,
     gossip: Arc<Gossip>,
@@ -52,21 +52,21 @@
         Arc::new(ConfigReader { context, gossip, reading: AtomicBool::new(false) })
     }
 
-    /// Asks the store for a newer configuration and takes it. Does nothing while another
-    /// reading is under way. Returns whether the store answered.
+    /// Reads a newer configuration from the store, if there is one, and applies it. Does nothing
+    /// while another read is in progress. Returns whether the store answered.
     pub(crate) async fn refresh(&self) -> bool {
         if self.reading.swap(true, Ordering::Relaxed) {
             return true;
         }
-        let began = Instant::now();
-        let mark = self.context.clock_sample();
-        let outcome = self.read(&mark).await;
+        let started_at = Instant::now();
+        let sample = self.context.clock_sample();
+        let outcome = self.read(&sample).await;
         self.reading.store(false, Ordering::Relaxed);
         match outcome {
             Ok(Some(config)) => {
                 let (revision, bytes) = (config.revision, config.text.len());
-                log::info!(revision, bytes, taken_ms = millis(began.elapsed()); "configuration-read");
-                let as_of = self.context.corrected_time(&mark);
+                log::info!(revision, bytes, taken_ms = millis(started_at.elapsed()); "configuration-read");
+                let as_of = self.context.corrected_time(&sample);
                 self.context.apply_config(config, Vec::new(), as_of, "store");
                 self.gossip.broadcast_view_version().await;
                 true
@@ -80,8 +80,9 @@
         }
     }
 
-    /// A configuration that is not held yet; `None` if the store has none.
-    async fn read(&self, mark: &ClockSample) -> Result<Option<ConfigText>, StoreError> {
+    /// Reads the configuration from the store. Returns `None` if the store has none, or none that
+    /// is newer than the one held.
+    async fn read(&self, sample: &ClockSample) -> Result<Option<ConfigText>, StoreError> {
         let port = &self.context.port;
         let (held, after) = {
             let known = self.context.view();
@@ -92,7 +93,7 @@
         };
         let config = match port.poll_config(after).await? {
             ConfigPoll::Unchanged => {
-                let as_of = self.context.corrected_time(mark);
+                let as_of = self.context.corrected_time(sample);
                 self.context.view().confirm_config(held, as_of);
                 return Ok(None);
             }
@@ -103,7 +104,7 @@
             }
         };
         if config.as_ref().is_some_and(|config| config.revision == held) {
-            let as_of = self.context.corrected_time(mark);
+            let as_of = self.context.corrected_time(sample);
             self.context.view().confirm_config(held, as_of);
             return Ok(None);
         }
@@ -111,15 +112,15 @@
     }
 }
 
-/// The duty's state.
+/// Background task that keeps a large configuration up to date.
 pub(crate) struct ConfigDuty {
     context: Arc<BoxContext>,
     gossip: Arc<Gossip>,
     reader: Arc<ConfigReader>,
     random: SmallRng,
     backoff: StoreBackoff,
-    /// The newest configuration that this box has said to be behind of.
-    told_behind: u64,
+    /// Newest revision for which this box has logged that its own configuration is stale.
+    logged_stale: u64,
 }
 
 impl ConfigDuty {
@@ -131,20 +132,20 @@
     ) -> ConfigDuty {
         let random = SmallRng::seed_from_u64(seed);
         let backoff = StoreBackoff::default();
-        ConfigDuty { context, gossip, reader, random, backoff, told_behind: 0 }
+        ConfigDuty { context, gossip, reader, random, backoff, logged_stale: 0 }
     }
 
-    /// Works until the ring of notices closes.
-    pub(crate) async fn run(mut self, notices: Receiver<()>) {
+    /// Runs until the channel of notifications closes.
+    pub(crate) async fn run(mut self, notifications: Receiver<()>) {
         loop {
-            self.note_behind();
-            let until_reading = self.until_reading();
-            if until_reading.is_some_and(|wait| wait.is_zero()) {
-                self.read(&notices).await;
+            self.log_stale();
+            let until_read = self.until_read();
+            if until_read.is_some_and(|wait| wait.is_zero()) {
+                self.read(&notifications).await;
                 continue;
             }
             match self.fetch_from_seeder().await {
-                // A holder that failed is asked no more, until it tells of itself again.
+                // A seeder that failed is not asked again until it reports a newer configuration.
                 Some(ConfigFetch::Applied | ConfigFetch::Failed) => continue,
                 Some(ConfigFetch::Busy(_)) => {
                     task::sleep(BUSY_RETRY_DELAY.mul_f64(1.0 + self.random.random::<f64>())).await;
@@ -152,33 +153,33 @@
                 }
                 None => {}
             }
-            let wait = until_reading.unwrap_or(IDLE_WAIT);
-            if let Ok(Err(_)) = timeout(wait, notices.recv()).await {
+            let wait = until_read.unwrap_or(MAX_IDLE_WAIT);
+            if let Ok(Err(_)) = timeout(wait, notifications.recv()).await {
                 return;
             }
         }
     }
 
-    /// Asks a box that has a newer configuration for it; `None` if there is nobody to ask.
+    /// Fetches a newer configuration from a seeder; returns `None` if no seeder is known.
     async fn fetch_from_seeder(&mut self) -> Option<ConfigFetch> {
-        let far = self
+        let allow_remote = self
             .context
             .config_age()
             .is_none_or(|age| age >= self.context.budget.remote_fetch_age());
         let (host, revision) = {
             let newer = self.context.newer_config();
             let (_, revision) = newer.pending()?;
-            (newer.pick(far)?, revision)
+            (newer.choose_seeder(allow_remote)?, revision)
         };
         let fetched = fetch_config(&self.context, host).await;
         match &fetched {
             ConfigFetch::Applied => self.gossip.send_view_version_to_some().await,
-            ConfigFetch::Busy(holders) => {
+            ConfigFetch::Busy(seeders) => {
                 let held = self.context.view().config_revision();
                 let own = self.context.settings.host();
                 let mut newer = self.context.newer_config();
-                for holder in holders.iter().filter(|holder| **holder != own) {
-                    newer.record(*holder, true, revision, held);
+                for seeder in seeders.iter().filter(|seeder| **seeder != own) {
+                    newer.record(*seeder, true, revision, held);
                 }
             }
             ConfigFetch::Failed => self.context.newer_config().remove_seeder(host),
@@ -186,9 +187,9 @@
         Some(fetched)
     }
 
-    /// Time until this box reads the store by itself; `None` if that is not its turn: small
-    /// configurations are read with the targets.
-    fn until_reading(&mut self) -> Option<Duration> {
+    /// Returns the time until this box reads the store itself. Returns `None` if it doesn't:
+    /// small configurations are read with the targets.
+    fn until_read(&mut self) -> Option<Duration> {
         let (age, bytes) = {
             let known = self.context.view();
             let config = known.config_text();
@@ -200,45 +201,45 @@
         let budget = self.context.budget;
         let transfer = transfer_time(bytes, self.context.settings.link_mbps);
         let rank = self.context.peers().read_priority();
-        let due = budget.config_read_age(rank, self.random.random(), transfer) + READER_LAG;
+        let due = budget.config_read_age(rank, self.random.random(), transfer) + READER_DELAY;
         let mut wait = due.saturating_sub(age).max(self.backoff.remaining());
-        if let Some((heard, _)) = self.context.newer_config().pending() {
-            wait = wait.max(budget.peers_only_time().saturating_sub(heard.elapsed()));
+        if let Some((learned_at, _)) = self.context.newer_config().pending() {
+            wait = wait.max(budget.peers_only_time().saturating_sub(learned_at.elapsed()));
         }
         Some(wait)
     }
 
-    /// Reads the store, until it has answered or a peer has a newer configuration: what is new
-    /// in it is there sooner than all of it.
-    async fn read(&mut self, notices: &Receiver<()>) {
+    /// Reads the store until it answers or a notification arrives that a peer has a newer
+    /// configuration: fetching the deltas from a peer takes less time than reading everything.
+    async fn read(&mut self, notifications: &Receiver<()>) {
         let reader = Arc::clone(&self.reader);
         let reading = task::spawn(async move { reader.refresh().await });
-        match select(reading, pin!(notices.recv())).await {
+        match select(reading, pin!(notifications.recv())).await {
             Either::Left((false, _)) => {
                 self.backoff.record_failure(self.random.random());
                 self.gossip.request_remote_heartbeat().await;
             }
             Either::Left((true, _)) | Either::Right(_) => {
                 self.backoff.reset();
-                // Another reading may be under way, which has not made the age any less.
-                self.backoff.pause_for(READER_LAG);
+                // Another read may be in progress, which has not yet reduced the age.
+                self.backoff.pause_for(READER_DELAY);
             }
         }
     }
 
-    /// Says once that peers have worked by a newer configuration for all the time that a
-    /// change has.
-    fn note_behind(&mut self) {
+    /// Logs once per revision that peers have had a newer configuration for longer than the
+    /// whole time budget of a change.
+    fn log_stale(&mut self) {
         if !self.context.is_stale() {
             return;
         }
         let pending = self.context.newer_config().pending();
         let revision = pending.map_or(0, |(_, revision)| revision);
-        if revision > self.told_behind {
+        if revision > self.logged_stale {
             let age_ms = self.context.config_age().map_or(0, millis);
             log::warn!(config_revision = revision, age_ms; "configuration-behind");
             metrics::counter!("wingbridge_configurations_behind").increment(1);
         }
-        self.told_behind = self.told_behind.max(revision);
+        self.logged_stale = self.logged_stale.max(revision);
     }
 }
--- a/crates/gateway/src/config_exchange.rs
+++ b/crates/gateway/src/config_exchange.rs
@@ -1,4 +1,4 @@
-//! Configurations between boxes, as what is new in them.
+//! Transfer of configurations between boxes, as deltas against the revision that the receiver holds.
 
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
@@ -15,26 +15,26 @@
 use crate::view::ConfigText;
 use crate::view_exchange::query_peer;
 
-/// What came of asking a peer for its configuration.
+/// Outcome of requesting the configuration from a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum ConfigFetch {
-    /// It is held now.
+    /// The configuration was received and applied.
     Applied,
-    /// The peer sends to as many others as it can; those have it.
+    /// All transfer slots of the peer are in use; these other peers have the configuration.
     Busy(Vec<IpAddr>),
-    /// The peer has none that is newer, or can't be reached, or sent nonsense.
+    /// The peer has no newer configuration, was unreachable, or sent an invalid reply.
     Failed,
 }
 
-/// Fetches the configuration of the peer at `host`, and takes it.
+/// Fetches the configuration from the peer at `host` and applies it.
 pub(crate) async fn fetch_config(context: &BoxContext, host: IpAddr) -> ConfigFetch {
-    let began = Instant::now();
-    let start = context.clock_sample();
+    let started_at = Instant::now();
+    let sample = context.clock_sample();
     let held = context.view().config_text().cloned();
     let revision = held.as_ref().map_or(0, |held| held.revision);
     let question = ExchangeQuestion::Config(ConfigRequest { revision });
-    let time = context.budget.config_fetch_timeout();
-    let reply: ConfigReply = match query_peer(context, host, question, time).await {
+    let time_limit = context.budget.config_fetch_timeout();
+    let reply: ConfigReply = match query_peer(context, host, question, time_limit).await {
         Ok(reply) => reply,
         Err(error) => {
             log::warn!(peer:% = host, reason:% = error; "configuration-not-fetched");
@@ -42,11 +42,11 @@
         }
     };
     if reply.busy {
-        let holders = reply.seeders.iter().filter_map(|host| host.parse().ok());
-        return ConfigFetch::Busy(holders.collect());
+        let seeders = reply.seeders.iter().filter_map(|host| host.parse().ok());
+        return ConfigFetch::Busy(seeders.collect());
     }
     let as_of = Instant::now().checked_sub(Duration::from_millis(reply.age_ms));
-    let as_of = as_of.map(|as_of| context.correct(&start, as_of));
+    let as_of = as_of.map(|as_of| context.correct(&sample, as_of));
     let (Some(as_of), false) = (as_of, reply.deltas.is_empty()) else {
         log::info!(peer:% = host, revision = reply.revision; "configuration-not-newer");
         return ConfigFetch::Failed;
@@ -56,7 +56,7 @@
             log::info!(
                 peer:% = host, revision = text.revision, from = reply.deltas[0].from,
                 bytes = reply.encoded_len(), text_bytes = text.text.len(),
-                taken_ms = millis(began.elapsed());
+                taken_ms = millis(started_at.elapsed());
                 "configuration-fetched"
             );
             context.apply_config(text, reply.deltas, as_of, "peer");
@@ -69,7 +69,7 @@
     }
 }
 
-/// Sends a peer what it lacks of the configuration that is held.
+/// Sends a peer the deltas from the configuration that it holds to the one held here.
 pub(crate) async fn serve_config(
     stream: &TcpStream,
     peer: IpAddr,
@@ -78,10 +78,12 @@
 ) -> Result<(), WireError> {
     let age_ms = context.config_age().map_or(0, millis);
     let source = context.config_source.reply(request, age_ms);
-    let late = |_| WireError::new(ErrorKind::Io, "the configuration was not read in time");
-    // As long as the peer waits for it: less would throw away what is nearly through.
-    let time = context.budget.config_fetch_timeout();
-    timeout(time, send_message(stream, source.message())).await.map_err(late)??;
+    let timed_out =
+        |_| WireError::new(ErrorKind::Io, "timed out sending the configuration to a peer");
+    // The requesting peer waits as long: a shorter time limit would discard transfers that are
+    // nearly complete.
+    let time_limit = context.budget.config_fetch_timeout();
+    timeout(time_limit, send_message(stream, source.message())).await.map_err(timed_out)??;
     if !source.message().deltas.is_empty() {
         context.config_source.record_seeder(peer, source.message().revision);
     }
@@ -90,25 +92,26 @@
 
 fn apply_deltas(
     held: Option<&ConfigText>,
-    steps: &[ConfigDelta],
+    deltas: &[ConfigDelta],
 ) -> Result<ConfigText, &'static str> {
     let mut text: Vec<u8> = Vec::new();
     let mut revision = 0;
     if let Some(held) =
-        held.filter(|held| steps.first().is_some_and(|step| step.from == held.revision))
+        held.filter(|held| deltas.first().is_some_and(|delta| delta.from == held.revision))
     {
         text.extend_from_slice(&held.text);
         revision = held.revision;
     }
-    for step in steps {
-        if step.from != revision || step.to <= revision {
-            return Err("its steps don't follow each other");
+    for delta in deltas {
+        if delta.from != revision || delta.to <= revision {
+            return Err("the configuration deltas are not consecutive");
         }
-        text = apply_patch(&text, &step.patch).map_err(|_| "a step does not fit its base")?;
-        if xxh3_64(&text) != step.hash {
-            return Err("a step makes another text than it should");
+        text = apply_patch(&text, &delta.patch)
+            .map_err(|_| "a configuration delta does not fit its base")?;
+        if xxh3_64(&text) != delta.hash {
+            return Err("the hash of a patched configuration does not match its delta");
         }
-        revision = step.to;
+        revision = delta.to;
     }
     Ok(ConfigText { revision, text: text.into() })
 }
--- a/crates/gateway/src/config_source.rs
+++ b/crates/gateway/src/config_source.rs
@@ -1,8 +1,9 @@
-//! What this box can send of the configuration that it holds.
+//! Serves the configuration that this box holds to its peers, as deltas where possible.
 //!
-//! Whoever holds a configuration hands it on, each box to a few at a time, so that it doubles
-//! from turn to turn and no box has to send it to all: 400 KB from one box with 10 Mbit/s to
-//! 30 peers take ten seconds, what is new in it from box to box some tenths.
+//! Each box that holds a configuration passes it on to a few peers at a time, so the number of
+//! boxes that have it doubles with each round and no box has to send it to all of them. One box
+//! with a link of 10 Mbit/s needs ten seconds to send 400 KB to 30 peers; deltas passed from box
+//! to box reach all of them within some tenths of a second.
 
 use std::collections::VecDeque;
 use std::net::IpAddr;
@@ -16,15 +17,15 @@
 use crate::transfer_slots::{TransferSlot, TransferSlots};
 use crate::view::ConfigText;
 
-/// Replies up to this are sent to everybody at once, in bytes: 30 of them take a link with
-/// 10 Mbit/s a fifth of a second.
-const SMALL_REPLY: usize = 8 * 1024;
-/// Steps that are kept: a peer that lacks more versions has the whole text sent.
-const STEPS: usize = 4;
-/// Holders that are named to a peer that has to ask elsewhere.
-const HOLDERS: usize = 8;
+/// Largest reply in bytes that is sent without a transfer slot: 30 replies of this size occupy a
+/// link of 10 Mbit/s for a fifth of a second.
+const MAX_UNSLOTTED_REPLY_BYTES: usize = 8 * 1024;
+/// Number of deltas that are kept. A peer that lacks more revisions gets the complete text.
+const MAX_DELTAS: usize = 4;
+/// Number of seeders that are named to a peer when all transfer slots are in use.
+const MAX_SEEDERS: usize = 8;
 
-/// The configuration as it is handed on.
+/// The configuration that this box holds, with the deltas that lead to it.
 #[derive(Debug)]
 pub struct ConfigSource {
     state: Mutex<SourceState>,
@@ -34,120 +35,120 @@
 #[derive(Debug, Default)]
 struct SourceState {
     text: Option<ConfigText>,
-    /// What led from earlier ones to this one, oldest first.
-    steps: VecDeque<ConfigDelta>,
-    /// All of it, made when it is first needed.
-    whole: Option<ConfigDelta>,
-    /// Boxes to which it was sent, oldest first.
-    holders: VecDeque<IpAddr>,
+    /// Deltas that lead from earlier revisions to the current one, oldest first.
+    deltas: VecDeque<ConfigDelta>,
+    /// Delta from the empty text to the current one, computed on first use.
+    complete: Option<ConfigDelta>,
+    /// Boxes that have received the current configuration from here, oldest first.
+    seeders: VecDeque<IpAddr>,
 }
 
-/// A reply that counts as being sent until it is dropped.
+/// A reply that occupies its transfer slot, if it has one, until it is dropped.
 #[derive(Debug)]
 pub struct SourceReply<'a> {
     reply: ConfigReply,
-    _place: Option<TransferSlot<'a>>,
+    _slot: Option<TransferSlot<'a>>,
 }
 
 impl SourceReply<'_> {
-    /// The reply as it is sent.
+    /// Returns the message to send.
     pub fn message(&self) -> &ConfigReply {
         &self.reply
     }
 }
 
 impl ConfigSource {
-    /// What a box with a link of `link_mbps` hands on: nothing yet.
+    /// Creates a source without a configuration, for a box with a link of `link_mbps`.
     pub fn new(link_mbps: u32) -> ConfigSource {
         ConfigSource { state: Mutex::default(), slots: TransferSlots::new(link_mbps) }
     }
 
-    /// Holds `text` from now on. `steps` are those by which it came here from the one before;
-    /// without them they are made.
-    pub fn put(&self, text: ConfigText, steps: Vec<ConfigDelta>) {
-        let before = {
+    /// Replaces the held configuration by `text` if that is newer. `deltas` are those by which
+    /// a peer sent it; if they are empty, the delta from the previous text is computed.
+    pub fn put(&self, text: ConfigText, deltas: Vec<ConfigDelta>) {
+        let previous = {
             let state = lock(&self.state);
             if state.text.as_ref().is_some_and(|held| held.revision >= text.revision) {
                 return;
             }
             state.text.clone()
         };
-        let steps = match before {
-            Some(_) if !steps.is_empty() => steps,
-            Some(before) => vec![step(before.revision, &before.text, &text)],
+        let deltas = match previous {
+            Some(_) if !deltas.is_empty() => deltas,
+            Some(previous) => vec![make_delta(previous.revision, &previous.text, &text)],
             None => Vec::new(),
         };
         let mut state = lock(&self.state);
-        let joined = state.text.as_ref().map(|held| held.revision);
-        if joined >= Some(text.revision) {
+        let current = state.text.as_ref().map(|held| held.revision);
+        if current >= Some(text.revision) {
             return;
         }
-        if steps.first().map(|step| step.from) != joined {
-            state.steps.clear();
+        if deltas.first().map(|delta| delta.from) != current {
+            state.deltas.clear();
         }
-        if steps.first().is_some_and(|step| step.from > 0) {
-            state.steps.extend(steps);
+        if deltas.first().is_some_and(|delta| delta.from > 0) {
+            state.deltas.extend(deltas);
         }
-        while state.steps.len() > STEPS {
-            state.steps.pop_front();
+        while state.deltas.len() > MAX_DELTAS {
+            state.deltas.pop_front();
         }
         state.text = Some(text);
-        state.whole = None;
-        state.holders.clear();
+        state.complete = None;
+        state.seeders.clear();
     }
 
-    /// What to send to a peer that holds `request.revision`.
+    /// Returns the reply to a peer that holds `request.revision`.
     pub fn reply(&self, request: ConfigRequest, age_ms: u64) -> SourceReply<'_> {
         let mut state = lock(&self.state);
         let Some(text) = state.text.clone() else {
-            return SourceReply { reply: ConfigReply::default(), _place: None };
+            return SourceReply { reply: ConfigReply::default(), _slot: None };
         };
         let reply = ConfigReply { revision: text.revision, age_ms, ..ConfigReply::default() };
         if text.revision <= request.revision {
-            return SourceReply { reply, _place: None };
+            return SourceReply { reply, _slot: None };
         }
-        let steps = state.steps_from(request.revision, &text);
-        let bytes: usize = steps.iter().map(|step| step.patch.len()).sum();
-        if bytes <= SMALL_REPLY {
-            return SourceReply { reply: ConfigReply { deltas: steps, ..reply }, _place: None };
+        let deltas = state.deltas_from(request.revision, &text);
+        let bytes: usize = deltas.iter().map(|delta| delta.patch.len()).sum();
+        if bytes <= MAX_UNSLOTTED_REPLY_BYTES {
+            return SourceReply { reply: ConfigReply { deltas, ..reply }, _slot: None };
         }
-        let Some(place) = self.slots.try_acquire() else {
-            let holders = state.holders.iter().rev().map(IpAddr::to_string).collect();
-            let reply = ConfigReply { busy: true, seeders: holders, ..reply };
-            return SourceReply { reply, _place: None };
+        let Some(slot) = self.slots.try_acquire() else {
+            let seeders = state.seeders.iter().rev().map(IpAddr::to_string).collect();
+            let reply = ConfigReply { busy: true, seeders, ..reply };
+            return SourceReply { reply, _slot: None };
         };
-        SourceReply { reply: ConfigReply { deltas: steps, ..reply }, _place: Some(place) }
+        SourceReply { reply: ConfigReply { deltas, ..reply }, _slot: Some(slot) }
     }
 
-    /// Notes that the box at `host` has the configuration of `revision` from here.
+    /// Records that the box at `host` has received the configuration of `revision` from here.
     pub fn record_seeder(&self, host: IpAddr, revision: u64) {
         let mut state = lock(&self.state);
         if state.text.as_ref().is_none_or(|text| text.revision != revision) {
             return;
         }
-        state.holders.push_back(host);
-        if state.holders.len() > HOLDERS {
-            state.holders.pop_front();
+        state.seeders.push_back(host);
+        if state.seeders.len() > MAX_SEEDERS {
+            state.seeders.pop_front();
         }
     }
 }
 
 impl SourceState {
-    fn steps_from(&mut self, revision: u64, text: &ConfigText) -> Vec<ConfigDelta> {
-        let first = self.steps.iter().position(|step| step.from == revision);
+    fn deltas_from(&mut self, revision: u64, text: &ConfigText) -> Vec<ConfigDelta> {
+        let first = self.deltas.iter().position(|delta| delta.from == revision);
         if let Some(first) = first.filter(|_| revision > 0) {
-            return self.steps.iter().skip(first).cloned().collect();
+            return self.deltas.iter().skip(first).cloned().collect();
         }
-        let whole = self.whole.get_or_insert_with(|| step(0, &[], text));
-        vec![whole.clone()]
+        let complete = self.complete.get_or_insert_with(|| make_delta(0, &[], text));
+        vec![complete.clone()]
     }
 }
 
-fn step(from: u64, before: &[u8], text: &ConfigText) -> ConfigDelta {
+fn make_delta(from: u64, previous: &[u8], text: &ConfigText) -> ConfigDelta {
     ConfigDelta {
         from,
         to: text.revision,
         hash: xxh3_64(&text.text),
-        patch: make_patch(before, &text.text),
+        patch: make_patch(previous, &text.text),
     }
 }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -1,4 +1,4 @@
-//! What every task of a box shares.
+//! State that all tasks of a box share, and how new data from the store or from peers is applied to it.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::AtomicUsize;
@@ -33,13 +33,14 @@
     CachedView, ConfigText, PeerListingDelta, StoreView, TargetEntry, TargetUpdate, ViewChange,
 };
 
-/// Targets that join at once and are named in the log each; of more, as at a start, only the count is.
-const JOINED_NAMED: usize = 20;
+/// Number of simultaneously joining targets that are logged by name; of more, as after a start, only the
+/// count is logged.
+const MAX_JOINED_LOGGED: usize = 20;
 
-/// Homes that are no regions and are named in the log each, of one configuration.
-const HOMES_NAMED: usize = 16;
+/// Number of homes without a region that are logged by name for each configuration.
+const MAX_HOMES_LOGGED: usize = 16;
 
-/// How duties hear of what others took.
+/// Handles by which other tasks reach the background tasks.
 pub(crate) struct DutyHandles {
     pub(crate) quotas: QuotaManager,
     pub(crate) permits: PermitManager,
@@ -48,7 +49,7 @@
     pub(crate) config_changed: async_channel::Sender<()>,
 }
 
-/// What callers, targets, peers and the store have in common within a box.
+/// State that the tasks for callers, targets, peers and the store share within a box.
 pub(crate) struct BoxContext {
     pub(crate) settings: GatewaySettings,
     pub(crate) port: Arc<dyn EnvironmentPort>,
@@ -56,32 +57,32 @@
     pub(crate) policies: PolicySet,
     pub(crate) stopping: StopState,
     pub(crate) peers: Mutex<PeerTable>,
-    /// Admits requests by their customers' quotas.
+    /// Admits requests according to the quotas of their customers.
     pub(crate) quotas: QuotaManager,
-    /// Permits to send to targets with a limit.
+    /// Grants permits to send to targets that have a rate limit.
     pub(crate) permits: PermitManager,
     pub(crate) passive_samples: SampleBuffer,
-    /// Which requests end targets.
+    /// Tracks which requests terminate targets.
     pub(crate) crashes: CrashTracker,
     pub(crate) view_changed: async_channel::Sender<()>,
-    /// Tells that a peer has a configuration that this box lacks, or that there is another one.
+    /// Signals that a peer has a configuration that this box lacks, or that another one is in force.
     pub(crate) config_changed: async_channel::Sender<()>,
-    /// How the time of a change is spent.
+    /// Time limits for the steps by which a change reaches this box.
     pub(crate) budget: ChangeBudget,
-    /// The configuration as it is handed on.
+    /// Serves the configuration to peers.
     pub(crate) config_source: ConfigSource,
-    /// The listing of targets as it is handed on.
+    /// Serves the listing of targets to peers.
     pub(crate) listing_source: ListingSource,
     newer_config: Mutex<NewerConfig>,
-    /// Bytes of request bodies that are held now.
+    /// Bytes of request bodies that are in memory now.
     pub(crate) held_bodies: AtomicUsize,
     started: Instant,
     suspension: SuspensionWatch,
     view: Mutex<CachedView>,
     core: Mutex<SteerCore>,
     split: Mutex<WeightedSplit>,
-    /// Opens once a configuration and the targets are known: with the configuration alone a box
-    /// that has just started turned each caller away.
+    /// Opens once both a configuration and the targets are known: a box that had just started and
+    /// had only the configuration turned every caller away.
     pub(crate) first_view: ReadyLatch,
 }
 
@@ -134,21 +135,22 @@
         })
     }
 
-    /// Now, on the clock of the decision core.
+    /// Returns the current time on the clock of the steering core.
     pub(crate) fn now(&self) -> TimePoint {
         TimePoint::default() + self.started.elapsed()
     }
 
-    /// The decision core. It is held for single steps and never across a wait: at a box's
-    /// few requests a second a thread of its own would cost more wake-ups than it saves.
+    /// Locks the steering core. The lock is held for single operations and never across an await:
+    /// at the few requests a second of a box, a separate thread for the core would cost more
+    /// wake-ups than it saves.
     pub(crate) fn core(&self) -> MutexGuard<'_, SteerCore> {
         lock(&self.core)
     }
 
-    /// What is known of the store. Its ages count the time for which this machine was suspended.
+    /// Locks what is known of the store. Its ages include the time for which this machine was suspended.
     pub(crate) fn view(&self) -> MutexGuard<'_, CachedView> {
         let mut view = lock(&self.view);
-        if let Some(time) = self.suspension.newly(self.port.suspended()) {
+        if let Some(time) = self.suspension.newly_suspended(self.port.suspended()) {
             view.advance_clocks(time);
             self.core().advance_clocks(time);
             log::warn!(suspended_ms = millis(time); "was-suspended");
@@ -156,112 +158,121 @@
         view
     }
 
-    /// A mark from which on the time counts for which this machine is suspended.
+    /// Samples the clock, so that later times can be corrected for suspensions of this machine since now.
     pub(crate) fn clock_sample(&self) -> ClockSample {
         ClockSample::now(self.port.suspended())
     }
 
-    /// `time` as it is on a clock that counted what was suspended since `mark`.
-    pub(crate) fn correct(&self, mark: &ClockSample, time: Instant) -> Instant {
-        mark.correct(time, self.port.suspended())
+    /// Returns `time` as a clock would have it that had counted the time of suspensions since `sample`.
+    pub(crate) fn correct(&self, sample: &ClockSample, time: Instant) -> Instant {
+        sample.correct(time, self.port.suspended())
     }
 
-    /// When `mark` was taken, on that clock.
-    pub(crate) fn corrected_time(&self, mark: &ClockSample) -> Instant {
-        mark.corrected_time(self.port.suspended())
+    /// Returns the time of `sample` on a clock that had counted the time of suspensions since then.
+    pub(crate) fn corrected_time(&self, sample: &ClockSample) -> Instant {
+        sample.corrected_time(self.port.suspended())
     }
 
-    /// Whether this machine was suspended until a moment ago: what peers told meanwhile has no age.
+    /// Returns whether this machine resumed from a suspension moments ago; the age of what peers sent in
+    /// the meantime is unknown then.
     pub(crate) fn recently_resumed(&self) -> bool {
         drop(self.view());
         self.suspension.recently_resumed()
     }
 
-    /// The peers.
+    /// Locks the table of peers.
     pub(crate) fn peers(&self) -> MutexGuard<'_, PeerTable> {
         lock(&self.peers)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub(crate) fn config(&self) -> Option<Arc<RouteConfig>> {
         self.view().config().cloned()
     }
 
-    /// How old what is known of targets is.
+    /// Returns the age of the listing of targets, or `None` if there is none yet.
     pub(crate) fn view_age(&self) -> Option<Duration> {
         self.view().as_of().map(|as_of| as_of.elapsed())
     }
 
-    /// How long ago this box last knew that its configuration is the newest.
+    /// Returns the time since this box last verified that its configuration is the newest one.
     pub(crate) fn config_age(&self) -> Option<Duration> {
         self.view().config_as_of().map(|as_of| as_of.elapsed())
     }
 
-    /// Configurations that peers have and this box lacks.
+    /// Locks the record of a newer configuration that peers have and this box lacks.
     pub(crate) fn newer_config(&self) -> MutexGuard<'_, NewerConfig> {
         lock(&self.newer_config)
     }
 
-    /// The next part of a weighted split.
+    /// Returns the index of the next part of a weighted split.
     pub(crate) fn next_part(&self, weights: &[u32]) -> Option<usize> {
         lock(&self.split).next(weights)
     }
 
-    /// Whether the balancer should send callers.
+    /// Returns whether the balancer should send callers to this box.
     pub(crate) fn is_ready(&self) -> bool {
         self.first_view.is_open() && !self.stopping.is_stopping() && !self.is_stale()
     }
 
-    /// Whether this box has known for the whole time of a change that peers work by a newer
-    /// configuration and could not get it: callers are better served by those peers.
+    /// Returns whether peers have had a newer configuration for the whole time budget of a change
+    /// and this box could not get it. Callers are then better served by those peers.
     pub(crate) fn is_stale(&self) -> bool {
         let pending = self.newer_config().pending();
-        pending.is_some_and(|(heard, _)| heard.elapsed() >= self.budget.total())
+        pending.is_some_and(|(learned_at, _)| learned_at.elapsed() >= self.budget.total())
     }
 
-    /// Takes all that the store holds, and puts it in force.
+    /// Applies a complete reading of the store.
     pub(crate) fn apply_view(&self, mut view: StoreView, as_of: Instant, source: &str) {
         let revision = view.revision;
-        // Before it opens the box to callers, who may ask for such a request first.
+        // Applied before the box opens to callers, whose first request may be a poison request.
         self.crashes.apply_notes(std::mem::take(&mut view.crash_notes));
         let change = self.change_view(|known| known.apply(view, as_of, &*self.port));
-        let heard = self.settle_config(Vec::new());
-        self.on_view_change(&change, &ChangeOrigin { revision, as_of, source, heard });
+        let learned_at = self.publish_config(Vec::new());
+        self.on_change_applied(&change, &ChangeOrigin { revision, as_of, source, learned_at });
     }
 
-    /// Takes a listing of targets and puts it in force.
+    /// Applies a complete listing of targets.
     pub(crate) fn apply_listing(&self, listing: TargetListing, as_of: Instant, source: &str) {
         let revision = listing.revision;
         let change = self.change_view(|known| known.apply_listing(listing, as_of));
-        self.on_view_change(&change, &ChangeOrigin { revision, as_of, source, heard: None });
+        self.on_change_applied(
+            &change,
+            &ChangeOrigin { revision, as_of, source, learned_at: None },
+        );
     }
 
-    /// Takes what a peer tells of a listing and puts it in force; returns whether it fits the one that is
-    /// held.
-    pub(crate) fn merge_delta(&self, told: PeerListingDelta, as_of: Instant) -> bool {
-        let revision = told.revision;
-        let Some(change) = self.change_view(|known| known.merge_delta(told, as_of)) else {
+    /// Merges the delta of a listing that a peer sent. Returns whether the delta fits the listing that is held.
+    pub(crate) fn merge_delta(&self, delta: PeerListingDelta, as_of: Instant) -> bool {
+        let revision = delta.revision;
+        let Some(change) = self.change_view(|known| known.merge_delta(delta, as_of)) else {
             return false;
         };
         let source = "peer";
-        self.on_view_change(&change, &ChangeOrigin { revision, as_of, source, heard: None });
+        self.on_change_applied(
+            &change,
+            &ChangeOrigin { revision, as_of, source, learned_at: None },
+        );
         true
     }
 
-    /// Takes what was written in the store since a revision that this box knew, and puts it in force.
-    pub(crate) fn apply_changes(&self, news: StoreChanges, as_of: Instant) {
-        let revision = news.revision;
-        let change = self.change_view(|known| known.apply_changes(news, as_of, &*self.port));
-        let heard = self.settle_config(Vec::new());
-        self.on_view_change(&change, &ChangeOrigin { revision, as_of, source: "store", heard });
+    /// Applies the changes written to the store since the revision that this box knew.
+    pub(crate) fn apply_changes(&self, changes: StoreChanges, as_of: Instant) {
+        let revision = changes.revision;
+        let change = self.change_view(|known| known.apply_changes(changes, as_of, &*self.port));
+        let learned_at = self.publish_config(Vec::new());
+        self.on_change_applied(
+            &change,
+            &ChangeOrigin { revision, as_of, source: "store", learned_at },
+        );
     }
 
-    /// Takes a configuration that was the newest at `as_of`; `steps` are those by which a peer
-    /// sent it.
+    /// Applies a configuration that was the newest one at `as_of`. `deltas` are those by which a
+    /// peer sent it.
     pub(crate) fn apply_config(
         &self,
         config: ConfigText,
-        steps: Vec<ConfigDelta>,
+        deltas: Vec<ConfigDelta>,
         as_of: Instant,
         source: &str,
     ) {
@@ -271,25 +282,25 @@
             known.confirm_config(revision, as_of);
             change
         });
-        let heard = self.settle_config(steps);
-        self.on_view_change(&change, &ChangeOrigin { revision, as_of, source, heard });
+        let learned_at = self.publish_config(deltas);
+        self.on_change_applied(&change, &ChangeOrigin { revision, as_of, source, learned_at });
     }
 
-    /// Hands on the configuration that is held now. Returns since when this box had known that
-    /// there is a newer one.
-    fn settle_config(&self, steps: Vec<ConfigDelta>) -> Option<Instant> {
+    /// Offers the configuration that is held now to peers. Returns when this box first learned
+    /// that there is a newer one than it had before.
+    fn publish_config(&self, deltas: Vec<ConfigDelta>) -> Option<Instant> {
         let held = self.view().config_text().cloned()?;
-        let heard = {
+        let learned_at = {
             let mut newer = self.newer_config();
-            let heard = newer.pending().map(|(heard, _)| heard);
-            newer.settle(held.revision);
-            heard
+            let learned_at = newer.pending().map(|(learned_at, _)| learned_at);
+            newer.clear_if_held(held.revision);
+            learned_at
         };
-        self.config_source.put(held, steps);
-        heard
+        self.config_source.put(held, deltas);
+        learned_at
     }
 
-    fn on_view_change(&self, change: &ViewChange, from: &ChangeOrigin<'_>) {
+    fn on_change_applied(&self, change: &ViewChange, from: &ChangeOrigin<'_>) {
         let knows_all = self.config().is_some() && self.view_age().is_some();
         if knows_all && self.first_view.open() {
             let age_ms = millis(from.as_of.elapsed());
@@ -308,26 +319,28 @@
             log_customer_problems(&config);
             log_invalid_entries(&config);
             self.log_unknown_homes(&config);
-            // Its duty waits by what was held before: one that came with the targets left a box
-            // without a reading of its own for a minute. Full: a notice already waits.
+            // The configuration task waits according to the configuration held before. Without this
+            // signal, a configuration that arrived with the targets left a box without a read of its
+            // own for a minute. A full channel already has a signal pending.
             let _ = self.config_changed.try_send(());
         }
-        // Full: a notice already waits.
+        // A full channel already has a signal pending.
         let _ = self.view_changed.try_send(());
     }
 
-    /// Says which homes of a configuration are no region of this deployment: nothing is served there.
+    /// Logs the homes of a configuration that are not a region of this deployment: no request with such a
+    /// home is served there.
     fn log_unknown_homes(&self, config: &RouteConfig) {
         let regions = &self.settings.regions;
         let is_unknown = |home: &&Name| !regions.values().any(|region| region == *home);
         let unknown: BTreeSet<&Name> = config.home_regions().filter(is_unknown).collect();
-        for home in unknown.into_iter().take(HOMES_NAMED) {
+        for home in unknown.into_iter().take(MAX_HOMES_LOGGED) {
             log::warn!(version = config.version, home:% = home; "home-unknown");
         }
     }
 
-    /// Changes what is known of the store, and hands what is new by it among the targets that take work to the
-    /// core. The view is held meanwhile, so that no older one can overtake it.
+    /// Changes what is known of the store, and passes the resulting changes of the eligible targets to the
+    /// core. The view stays locked meanwhile, so that an older one can't overtake it.
     pub(crate) fn change_view<T>(&self, change: impl FnOnce(&mut CachedView) -> T) -> T {
         let mut known = self.view();
         let changed = change(&mut known);
@@ -362,24 +375,25 @@
     }
 }
 
-/// Whole milliseconds, for logs and messages.
+/// Returns a duration in whole milliseconds, for logs and messages.
 pub(crate) fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Whose attempts moved what is believed of a target.
+/// The box whose attempts changed the suspicion of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ObservedBy {
-    /// This box's.
+    /// This box.
     Own,
-    /// A peer's.
+    /// A peer.
     Peer,
 }
 
-/// Notes that a target became a suspect or is none any more, and by whose attempts.
+/// Logs and counts that a target became suspected or is no longer suspected.
 ///
-/// Only what this box saw has a line: the peer that saw the rest has one. With a line for each at each
-/// box a quiet day of 113 boxes had 4.4 lines of hearsay for each request.
+/// Only changes caused by attempts of this box are logged: the peer that made the other attempts logs
+/// theirs. When each box logged all of them, a quiet day of 113 boxes had 4.4 lines about attempts of
+/// peers for each request.
 pub(crate) fn log_suspicion(change: Option<SuspicionChange>, by: ObservedBy) {
     let Some(SuspicionChange { id, service, risk, suspect }) = change else {
         return;
@@ -395,13 +409,13 @@
     metrics::counter!("wingbridge_suspicions", "event" => event, "by" => by).increment(1);
 }
 
-/// Logs that another instance answers at a target's address, and who saw it.
+/// Logs that another instance answers at a target's address, and which box observed it.
 pub(crate) fn log_replaced(target: &str, by: &str) {
     log::info!(target, by; "target-replaced");
     metrics::counter!("wingbridge_targets_replaced").increment(1);
 }
 
-/// Logs that a target ended while it had a request of this box.
+/// Logs that a target terminated while it was processing a request of this box.
 pub(crate) fn log_ended(target: &str, fingerprint: Fingerprint) {
     log::info!(target, fingerprint:% = fingerprint; "target-ended");
     metrics::counter!("wingbridge_targets_ended").increment(1);
@@ -411,7 +425,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Says what is odd about the customers of a configuration that came into force.
+/// Logs problems in the customers of a configuration that came into force.
 fn log_customer_problems(config: &RouteConfig) {
     let version = config.version;
     if config.has_unusable_closed_routes() {
@@ -423,7 +437,7 @@
     }
 }
 
-/// Says which entries of a configuration that came into force can't be used, and what holds instead.
+/// Logs the entries of a configuration in force that can't be used, and what is in force instead.
 fn log_invalid_entries(config: &RouteConfig) {
     let version = config.version;
     metrics::gauge!("wingbridge_odd_entries").set(config.invalid_entries.count() as f64);
@@ -431,27 +445,27 @@
         let InvalidEntry { table, name, reason, instead } = entry;
         log::warn!(version, table, name = name.as_str(), reason = reason.as_str(), instead; "entry-odd");
     }
-    let untold = config.invalid_entries.count() - config.invalid_entries.logged().len();
-    if untold > 0 {
-        log::warn!(version, untold; "more-entries-odd");
+    let unlogged = config.invalid_entries.count() - config.invalid_entries.logged().len();
+    if unlogged > 0 {
+        log::warn!(version, untold = unlogged; "more-entries-odd");
     }
 }
 
-/// Where something that was taken came from, for the log.
+/// Origin of a change that was applied, for the log.
 struct ChangeOrigin<'a> {
     revision: u64,
     as_of: Instant,
     source: &'a str,
-    /// Since when this box had known of it by peers.
-    heard: Option<Instant>,
+    /// Time at which this box first learned of the change from peers.
+    learned_at: Option<Instant>,
 }
 
 fn log_change(change: &ViewChange, from: &ChangeOrigin<'_>) {
-    let ChangeOrigin { revision, as_of, source, heard } = *from;
+    let ChangeOrigin { revision, as_of, source, learned_at } = *from;
     let age_ms = millis(as_of.elapsed());
     if let Some(version) = change.config {
-        let heard_ms = heard.map_or(0, |heard| millis(heard.elapsed()));
-        log::info!(version, revision, age_ms, heard_ms, source; "configuration-in-force");
+        let learned_ms = learned_at.map_or(0, |learned_at| millis(learned_at.elapsed()));
+        log::info!(version, revision, age_ms, heard_ms = learned_ms, source; "configuration-in-force");
     }
     if let Some(reason) = &change.refused {
         log::error!(revision, reason = reason.as_str(), source; "configuration-refused");
@@ -468,7 +482,7 @@
     for id in &change.departed {
         log::info!(target:% = id, revision, age_ms, source; "target-left");
     }
-    if change.joined.len() > JOINED_NAMED {
+    if change.joined.len() > MAX_JOINED_LOGGED {
         log::info!(count = change.joined.len(), revision, age_ms, source; "targets-joined");
         return;
     }
--- a/crates/gateway/src/invalid_entries.rs
+++ b/crates/gateway/src/invalid_entries.rs
@@ -1,28 +1,29 @@
-//! Entries of a configuration that can't be used as they stand, each of which costs only itself.
+//! Entries of a configuration that can't be used, each of which affects nothing but itself.
 //!
-//! A configuration that was refused whole for one of them stopped every change for everybody, and a
-//! box that had just started answered nobody. What an odd entry leads to is read off the
-//! configuration alone, so that it is the same in each box, however the configuration came there.
+//! When a configuration was refused as a whole because of one such entry, no change could take
+//! effect any more, and a box that had just started answered no caller. The replacement for an
+//! invalid entry depends on the configuration alone, so it is the same in every box, however the
+//! configuration arrived there.
 
-/// Odd entries that are told one by one; of more, the count is.
+/// Number of invalid entries that are logged individually; of the others only the count is logged.
 const MAX_LOGGED: usize = 16;
-/// Signs of a name and of a reason that are kept: either may repeat what stands in the entry.
-const TEXT_LENGTH: usize = 200;
+/// Number of characters kept of a name and of a reason: either may repeat the contents of the entry.
+const MAX_TEXT_CHARS: usize = 200;
 
-/// An entry that can't be used as it stands.
+/// An entry of a configuration that can't be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidEntry {
-    /// The table that it stands in.
+    /// Table of the configuration that contains the entry.
     pub table: &'static str,
-    /// Its name there.
+    /// Name of the entry in its table; empty if the table itself is invalid.
     pub name: String,
-    /// What is odd.
+    /// Reason why the entry can't be used.
     pub reason: String,
-    /// What is in force in its place.
+    /// Description of what is in force in its place.
     pub instead: &'static str,
 }
 
-/// The odd entries of one configuration.
+/// The invalid entries of one configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct InvalidEntries {
     count: usize,
@@ -30,24 +31,24 @@
 }
 
 impl InvalidEntry {
-    /// One that is as if it did not stand there.
+    /// Creates an entry that is ignored, as if it were not in its table.
     pub fn excluded(table: &'static str, name: &str, reason: &str) -> InvalidEntry {
         InvalidEntry::replaced(table, name, reason, "nothing")
     }
 
-    /// One with something else in its place.
+    /// Creates an entry that is replaced by what `instead` describes.
     pub fn replaced(
         table: &'static str,
         name: &str,
         reason: &str,
         instead: &'static str,
     ) -> InvalidEntry {
-        InvalidEntry { table, name: shortened(name), reason: shortened(reason), instead }
+        InvalidEntry { table, name: truncated(name), reason: truncated(reason), instead }
     }
 }
 
 impl InvalidEntries {
-    /// Adds one.
+    /// Counts an entry, and keeps it for the log if there is room.
     pub fn add(&mut self, entry: InvalidEntry) {
         self.count += 1;
         if self.logged.len() < MAX_LOGGED {
@@ -55,17 +56,17 @@
         }
     }
 
-    /// How many there are.
+    /// Returns the number of invalid entries, including those that are not logged individually.
     pub fn count(&self) -> usize {
         self.count
     }
 
-    /// The first of them.
+    /// Returns the entries that are logged individually, at most the first 16.
     pub fn logged(&self) -> &[InvalidEntry] {
         &self.logged
     }
 }
 
-fn shortened(text: &str) -> String {
-    text.chars().take(TEXT_LENGTH).collect()
+fn truncated(text: &str) -> String {
+    text.chars().take(MAX_TEXT_CHARS).collect()
 }
--- a/crates/gateway/src/latch.rs
+++ b/crates/gateway/src/latch.rs
@@ -1,10 +1,10 @@
-//! A gate that opens once, and wakes all who wait for it.
+//! A latch that opens once and wakes all tasks that wait for it.
 
 use std::convert::Infallible;
 
 use async_channel::{Receiver, Sender};
 
-/// Closed at first. It opens by closing a channel on which nothing is ever sent.
+/// A latch, initially closed. It opens by closing a channel on which nothing is ever sent.
 #[derive(Debug, Clone)]
 pub(crate) struct ReadyLatch {
     sender: Sender<Infallible>,
@@ -19,19 +19,19 @@
 }
 
 impl ReadyLatch {
-    /// Opens it; returns whether it was closed before.
+    /// Opens the latch. Returns whether it was closed before.
     pub(crate) fn open(&self) -> bool {
         self.sender.close()
     }
 
-    /// Whether it is open.
+    /// Returns whether the latch is open.
     pub(crate) fn is_open(&self) -> bool {
         self.receiver.is_closed()
     }
 
-    /// Waits until it is open.
+    /// Waits until the latch is open.
     pub(crate) async fn wait_open(&self) {
-        // Nothing is ever sent: the only end is that the channel closes.
+        // Nothing is ever sent, so this returns only when the channel closes.
         let _ = self.receiver.recv().await;
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,12 +1,14 @@
-//! A whole box in one process: callers on one side, targets on the other, its peers
-//! beside it, and a store above that it only reads.
+//! A complete box in one process: a proxy between callers and targets that exchanges state with
+//! peer boxes and reads its configuration and targets from a store.
 //!
-//! What the store and the messages of the environment look like is not known here: an
-//! adapter implements [`ports::EnvironmentPort`] and hands in [`settings::GatewaySettings`].
-//! Duties: connections and requests are tasks of the I/O pool; [`store_sync`] keeps what is
-//! known of targets fresh, alone or by peers, and [`config_duty`] a large configuration;
-//! [`gossip`] tells peers what was seen, and [`quota_manager`] admits requests by customers' quotas. [`change_budget`] has the times of all of these.
-//! Decisions about targets are in `wingbridge_decide::steer`.
+//! This crate does not depend on the format of the store or of the environment's messages: an
+//! adapter implements [`ports::EnvironmentPort`] and provides [`settings::GatewaySettings`].
+//! Connections and requests are tasks of the I/O pool. Background tasks do the rest:
+//! [`store_sync`] keeps the listing of targets up to date, from the store or from peers;
+//! [`config_duty`] does the same for a large configuration; [`gossip`] sends peers what this box
+//! has observed; [`quota_manager`] admits requests according to their customers' quotas.
+//! [`change_budget`] defines the time limits of these tasks. Decisions about targets are made in
+//! `wingbridge_decide::steer`.
 
 mod answers;
 mod attempt;
--- a/crates/gateway/src/newer_config.rs
+++ b/crates/gateway/src/newer_config.rs
@@ -1,64 +1,72 @@
-//! A configuration that is newer than the one that this box holds, and who has it.
+//! Tracks the newest configuration that peers have and this box lacks, and the peers that have it.
 
 use std::net::IpAddr;
 use std::time::Instant;
 
 use rand::seq::IndexedRandom;
 
-/// Boxes that are remembered for one configuration.
-const HOLDERS: usize = 64;
+/// Number of seeders that are remembered in each group, local and remote.
+const MAX_SEEDERS: usize = 64;
 
-/// The newest configuration that peers were heard to hold.
+/// The newest configuration that peers have reported, if it is newer than the one held here.
 #[derive(Debug, Default)]
 pub(crate) struct NewerConfig {
     revision: u64,
-    /// When this box first heard that there is a newer one than its own.
-    heard: Option<Instant>,
-    near: Vec<IpAddr>,
-    far: Vec<IpAddr>,
+    /// Time at which this box first learned of a configuration newer than its own.
+    learned_at: Option<Instant>,
+    local: Vec<IpAddr>,
+    remote: Vec<IpAddr>,
 }
 
 impl NewerConfig {
-    /// Notes that the box at `host` holds the configuration of `revision`, while this box
-    /// holds that of `held`. Returns whether it is the first to say so.
-    pub(crate) fn record(&mut self, host: IpAddr, is_near: bool, revision: u64, held: u64) -> bool {
-        self.settle(held);
+    /// Records that the box at `host` has the configuration of `revision`, while this box holds
+    /// that of `held`. Returns whether this is the first report of that revision.
+    pub(crate) fn record(
+        &mut self,
+        host: IpAddr,
+        is_local: bool,
+        revision: u64,
+        held: u64,
+    ) -> bool {
+        self.clear_if_held(held);
         if revision <= held || revision < self.revision {
             return false;
         }
         let first = revision > self.revision;
         if first {
-            *self = NewerConfig { revision, heard: self.heard, ..NewerConfig::default() };
-            self.heard.get_or_insert_with(Instant::now);
+            *self = NewerConfig { revision, learned_at: self.learned_at, ..NewerConfig::default() };
+            self.learned_at.get_or_insert_with(Instant::now);
         }
-        let holders = if is_near { &mut self.near } else { &mut self.far };
-        if !holders.contains(&host) && holders.len() < HOLDERS {
-            holders.push(host);
+        let seeders = if is_local { &mut self.local } else { &mut self.remote };
+        if !seeders.contains(&host) && seeders.len() < MAX_SEEDERS {
+            seeders.push(host);
         }
         first
     }
 
-    /// Forgets what is no news for a box that holds the configuration of `held`.
-    pub(crate) fn settle(&mut self, held: u64) {
+    /// Clears the record if the configuration of `held`, which this box holds, is as new.
+    pub(crate) fn clear_if_held(&mut self, held: u64) {
         if self.revision <= held {
             *self = NewerConfig::default();
         }
     }
 
-    /// Takes the box at `host` for one that can't hand it over now.
+    /// Removes the box at `host` from the seeders because it could not deliver the configuration.
     pub(crate) fn remove_seeder(&mut self, host: IpAddr) {
-        self.near.retain(|known| *known != host);
-        self.far.retain(|known| *known != host);
+        self.local.retain(|known| *known != host);
+        self.remote.retain(|known| *known != host);
     }
 
-    /// A box to ask; one of another data centre only if there is none here and `far` allows it.
-    pub(crate) fn pick(&self, far: bool) -> Option<IpAddr> {
-        let near = self.near.choose(&mut rand::rng()).copied();
-        near.or_else(|| self.far.choose(&mut rand::rng()).copied().filter(|_| far))
+    /// Chooses a seeder at random: one in this data centre, or, if there is none and
+    /// `allow_remote` is set, one in another data centre.
+    pub(crate) fn choose_seeder(&self, allow_remote: bool) -> Option<IpAddr> {
+        let local = self.local.choose(&mut rand::rng()).copied();
+        local.or_else(|| self.remote.choose(&mut rand::rng()).copied().filter(|_| allow_remote))
     }
 
-    /// Since when a newer one is known, and its revision; `None` if there is none.
+    /// Returns when a newer configuration was first learned of, and its newest revision; `None` if
+    /// no newer one is known.
     pub(crate) fn pending(&self) -> Option<(Instant, u64)> {
-        self.heard.map(|heard| (heard, self.revision))
+        self.learned_at.map(|learned_at| (learned_at, self.revision))
     }
 }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts a box's duties, and ends them without cutting a request.
+//! Starts the tasks of a box, and shuts the box down without interrupting requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,31 +25,32 @@
 use crate::store_sync::StoreSync;
 use crate::view_exchange::serve_peers;
 
-/// The balancer needs this long after "not ready" to send no more callers: two questions,
-/// a second apart, and some.
-const BALANCER_TIME: Duration = Duration::from_millis(3000);
-/// Connections that rest are closed this long before the end of a planned stop.
-const IDLE_CLOSE_BEFORE: Duration = Duration::from_millis(900);
-/// The process ends this long before the environment would kill it.
-const END_BEFORE: Duration = Duration::from_millis(150);
-/// Time between two looks at what is still open during a planned stop.
-const STOP_STEP: Duration = Duration::from_millis(50);
+/// Time after the first "not ready" answer until the balancer sends no more callers: two readiness
+/// checks, a second apart, and a margin.
+const BALANCER_DRAIN_TIME: Duration = Duration::from_millis(3000);
+/// Time before the end of a planned stop at which idle connections are closed.
+const IDLE_CLOSE_LEAD: Duration = Duration::from_millis(900);
+/// Time before the environment would kill the process at which it ends by itself.
+const END_LEAD: Duration = Duration::from_millis(150);
+/// Time between two checks for open connections during a planned stop.
+const STOP_CHECK_PERIOD: Duration = Duration::from_millis(50);
 const METRICS_PATH: &str = "/metrics";
 
-/// Runs a box until `stop`, then until what is in flight has ended or the time is over.
+/// Runs a box until `stop` is signalled, and then until the requests in progress have ended or the
+/// stop time is over.
 ///
 /// # Errors
-/// An address can't be listened on, or a shipped policy is faulty.
+/// Fails if an address can't be bound, or if one of the built-in policies is faulty.
 pub fn run(
     settings: GatewaySettings,
     port: Arc<dyn EnvironmentPort>,
     stop: &StopSignal,
     reloads: Receiver<()>,
 ) -> eyre::Result<Outcome> {
-    task::block_on(run_duties(settings, port, stop, reloads))
+    task::block_on(run_tasks(settings, port, stop, reloads))
 }
 
-async fn run_duties(
+async fn run_tasks(
     settings: GatewaySettings,
     port: Arc<dyn EnvironmentPort>,
     stop: &StopSignal,
@@ -61,11 +62,11 @@
     let exchange = TcpListener::bind(settings.exchange).await?;
     let socket = UdpSocket::bind(SocketAddr::new(settings.host(), settings.gossip_port)).await?;
     let (passive_samples, sample_requests) = SampleBuffer::new();
-    let (view_changed, notices) = async_channel::bounded(1);
-    let (config_changed, heard) = async_channel::bounded(1);
+    let (view_changed, view_notifications) = async_channel::bounded(1);
+    let (config_changed, config_notifications) = async_channel::bounded(1);
     let (quotas, quota_requests) = QuotaManager::new(settings.quota_slack);
     let (permits, permit_requests) = PermitManager::new();
-    let (fetching, named) = async_channel::bounded(1);
+    let (listing_fetches, pending_fetches) = async_channel::bounded(1);
     let stopping = StopState::new();
     log::info!(
         box_id = settings.box_id.as_str(), data_centre = settings.data_centre.as_str(),
@@ -76,57 +77,56 @@
         log::warn!(without:% = settings.mechanisms; "parts-of-the-pick-off");
     }
     let policies = PolicySet::compile()?;
-    let duty_handles =
-        DutyHandles { quotas, permits, passive_samples, view_changed, config_changed };
-    let context = BoxContext::new(settings, port, policies, stopping, duty_handles, seed);
-    let gossip = Gossip::new(Arc::clone(&context), socket, seed, fetching);
+    let handles = DutyHandles { quotas, permits, passive_samples, view_changed, config_changed };
+    let context = BoxContext::new(settings, port, policies, stopping, handles, seed);
+    let gossip = Gossip::new(Arc::clone(&context), socket, seed, listing_fetches);
     let reader = ConfigReader::new(Arc::clone(&context), Arc::clone(&gossip));
     let store =
         StoreSync::new(Arc::clone(&context), Arc::clone(&gossip), Arc::clone(&reader), seed);
     let config = ConfigDuty::new(Arc::clone(&context), Arc::clone(&gossip), reader, seed);
-    let duties = [
+    let tasks = [
         task::spawn(serve_readiness(readiness, Arc::clone(&context))),
         task::spawn(serve_peers(exchange, Arc::clone(&context))),
         task::spawn(Arc::clone(&gossip).receive()),
         task::spawn(Arc::clone(&gossip).run_heartbeats()),
         task::spawn(Arc::clone(&gossip).run_reports(sample_requests)),
-        task::spawn(fetch_listings(Arc::clone(&context), named)),
+        task::spawn(fetch_listings(Arc::clone(&context), pending_fetches)),
         task::spawn(QuotaManager::run(Arc::clone(&context), Arc::clone(&gossip), quota_requests)),
         task::spawn(PermitManager::run(Arc::clone(&gossip), permit_requests)),
-        task::spawn(store.run(notices)),
-        task::spawn(config.run(heard)),
-        task::spawn(note_reloads(reloads)),
+        task::spawn(store.run(view_notifications)),
+        task::spawn(config.run(config_notifications)),
+        task::spawn(log_reloads(reloads)),
         task::spawn(accept_callers(callers, Arc::clone(&context))),
     ];
     stop.wait().await;
-    let whole = wind_down(&context).await;
+    let complete = drain_connections(&context).await;
     gossip.broadcast_stopping().await;
-    log::info!(whole, open = context.stopping.open_connections(); "stopped");
-    for duty in duties {
-        duty.cancel().await;
+    log::info!(whole = complete, open = context.stopping.open_connections(); "stopped");
+    for task in tasks {
+        task.cancel().await;
     }
-    Ok(if whole { Outcome::Done } else { Outcome::CheckFailed })
+    Ok(if complete { Outcome::Done } else { Outcome::CheckFailed })
 }
 
-/// Serves what is open and what still comes, and returns when nothing is left or the
-/// time is over; true if nothing is cut.
-async fn wind_down(context: &BoxContext) -> bool {
-    let began = Instant::now();
+/// Serves the open connections and new ones, and returns when no connection is left or the stop
+/// time is over. Returns whether all requests were completed.
+async fn drain_connections(context: &BoxContext) -> bool {
+    let started_at = Instant::now();
     let stopping = &context.stopping;
     let stop_time = context.settings.stop_time;
-    let idle_close = stop_time.saturating_sub(IDLE_CLOSE_BEFORE);
-    let end = stop_time.saturating_sub(END_BEFORE);
-    stopping.begin(began + stop_time / 2, began + end);
+    let idle_close = stop_time.saturating_sub(IDLE_CLOSE_LEAD);
+    let end = stop_time.saturating_sub(END_LEAD);
+    stopping.begin(started_at + stop_time / 2, started_at + end);
     log::info!(open = stopping.open_connections(), busy = stopping.busy_requests(); "stopping");
-    while began.elapsed() < end {
-        if began.elapsed() >= BALANCER_TIME && stopping.open_connections() == 0 {
+    while started_at.elapsed() < end {
+        if started_at.elapsed() >= BALANCER_DRAIN_TIME && stopping.open_connections() == 0 {
             break;
         }
-        if began.elapsed() >= idle_close && !stopping.is_closing() {
-            log::info!(open = stopping.open_connections(), after_ms = millis(began.elapsed()); "closing-idle");
+        if started_at.elapsed() >= idle_close && !stopping.is_closing() {
+            log::info!(open = stopping.open_connections(), after_ms = millis(started_at.elapsed()); "closing-idle");
             stopping.close_idle();
         }
-        task::sleep(STOP_STEP).await;
+        task::sleep(STOP_CHECK_PERIOD).await;
     }
     stopping.busy_requests() == 0
 }
@@ -152,9 +152,9 @@
     .await;
 }
 
-/// Settings are read at the start alone; a reload is noted and changes nothing.
-async fn note_reloads(reloads: Receiver<()>) {
+/// Logs reload signals, which have no effect: settings are only read at start-up.
+async fn log_reloads(reloads: Receiver<()>) {
     while reloads.recv().await.is_ok() {
-        log::info!(outcome = "settings are read at the start; nothing changes"; "reload");
+        log::info!(outcome = "settings are only read at start-up; reload ignored"; "reload");
     }
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a box, already checked.
+//! Validated settings of a box.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -8,61 +8,62 @@
 use wingbridge_decide::quota::QuotaSlack;
 use wingbridge_decide::steer::mechanism::MechanismSet;
 
-/// Checked settings.
+/// Validated settings of a box.
 #[derive(Debug, Clone)]
 pub struct GatewaySettings {
-    /// This box.
+    /// Id of this box, unique among all boxes.
     pub box_id: String,
-    /// Its data centre.
+    /// Data centre of this box.
     pub data_centre: String,
-    /// The region of each data centre.
+    /// Region of each data centre.
     pub regions: HashMap<String, Name>,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub callers: SocketAddr,
-    /// Where the balancer asks for readiness, and metrics are.
+    /// Address that serves readiness to the balancer, and the metrics.
     pub readiness: SocketAddr,
-    /// The path that the balancer asks for.
+    /// Path under which the balancer checks readiness.
     pub readiness_path: String,
-    /// Where peers fetch the view of the store.
+    /// Address on which peers fetch the configuration and the listing of targets.
     pub exchange: SocketAddr,
-    /// The port on which all boxes take datagrams.
+    /// UDP port on which all boxes receive gossip.
     pub gossip_port: u16,
-    /// Addresses of some boxes; any of them may be stale.
+    /// Addresses of some boxes, to find the others; any of them may be out of date.
     pub seeds: Vec<IpAddr>,
-    /// Time between SIGTERM and the end, at most.
+    /// Longest time between SIGTERM and the end of the process.
     pub stop_time: Duration,
-    /// Time after which a change that the store took must be in force.
+    /// Time within which a change that the store has accepted must be in force.
     pub change_time: Duration,
-    /// Retries that a request earns, 0 to 1.
+    /// Number of retries that each request earns, from 0 to 1.
     pub retry_share: f64,
-    /// Retries ahead of what was earned, of all boxes together.
+    /// Number of retries that all boxes together may make beyond those earned.
     pub retry_slack: f64,
-    /// The window in which retries and requests are counted.
+    /// Time window over which retries and requests are counted.
     pub retry_window: Duration,
-    /// What the operators allow above customers' quotas, for what boxes can't know of each other.
+    /// Requests allowed beyond customers' quotas, because boxes learn of each other's requests late.
     pub quota_slack: QuotaSlack,
-    /// What a kilobyte to another data centre costs, in worth of requests.
+    /// Cost of sending a kilobyte to another data centre, as a number of requests.
     pub cross_cost: f64,
-    /// Parts of the pick that are switched off, for measurements.
+    /// Steering mechanisms that are switched off, for measurements.
     pub mechanisms: MechanismSet,
-    /// What this box's link carries, in megabits a second; 0 if unknown. Boxes with more read
-    /// the store for those with less.
+    /// Bandwidth of this box's link in Mbit/s; 0 if unknown. Boxes with more bandwidth read the
+    /// store for those with less.
     pub link_mbps: u32,
-    /// Connections of callers at once.
+    /// Maximum number of callers' connections at the same time.
     pub max_connections: usize,
-    /// Bytes of request bodies that are held at once, in all requests together.
+    /// Maximum number of bytes of request bodies held in memory, over all requests.
     pub max_held_body_bytes: usize,
-    /// How much is logged.
+    /// Level of the log.
     pub log_level: String,
 }
 
 impl GatewaySettings {
-    /// The region of a data centre; no name if it is not known, so that no request with homes goes there.
+    /// Returns the region of a data centre. The name is empty if the data centre is unknown, so that no
+    /// request with homes is sent there.
     pub fn region_of(&self, data_centre: &str) -> Name {
         self.regions.get(data_centre).cloned().unwrap_or_default()
     }
 
-    /// This box's IP number among its peers.
+    /// Returns the IP address of this box among its peers.
     pub fn host(&self) -> IpAddr {
         self.exchange.ip()
     }
--- a/crates/gateway/src/stopping.rs
+++ b/crates/gateway/src/stopping.rs
@@ -1,4 +1,4 @@
-//! The steps of a planned stop, as all tasks see them.
+//! Progress of a planned stop, shared by all tasks.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, OnceLock};
@@ -8,21 +8,21 @@
 
 #[derive(Debug, Clone, Copy)]
 struct StopTimes {
-    careful: Instant,
+    refuse_from: Instant,
     end: Instant,
 }
 
-/// How far a planned stop is.
+/// Progress of a planned stop. Clones share it.
 #[derive(Debug, Clone)]
 pub(crate) struct StopState {
     stopping: Arc<AtomicBool>,
-    /// When the process ends, and from when on no request is taken that could outlast it.
+    /// Time at which the process ends, and time from which requests that could last longer are refused.
     end: Arc<OnceLock<StopTimes>>,
-    /// Connections of callers that are open.
+    /// Number of open connections of callers.
     open: Arc<AtomicUsize>,
-    /// Requests that are read and not yet answered.
+    /// Number of requests that have been read and not yet answered.
     busy: Arc<AtomicUsize>,
-    /// Opens when connections that rest are to be closed.
+    /// Opens when idle connections are to be closed.
     closing: ReadyLatch,
 }
 
@@ -37,44 +37,44 @@
         }
     }
 
-    /// The stop begins: callers are told to go elsewhere, and are still served. At `end`
-    /// the process is gone, so from `careful` on nothing is taken that could outlast it.
-    pub(crate) fn begin(&self, careful: Instant, end: Instant) {
-        self.end.get_or_init(|| StopTimes { careful, end });
+    /// Begins the stop: callers are asked to connect elsewhere, and are still served. The process
+    /// ends at `end`, so from `refuse_from` on no request is accepted that could take longer.
+    pub(crate) fn begin(&self, refuse_from: Instant, end: Instant) {
+        self.end.get_or_init(|| StopTimes { refuse_from, end });
         self.stopping.store(true, Ordering::Release);
     }
 
-    /// Whether a request that may take until `until` could be cut by a planned stop.
+    /// Returns whether a planned stop could interrupt a request that may take until `until`.
     pub(crate) fn could_interrupt(&self, until: Instant) -> bool {
-        self.end.get().is_some_and(|times| Instant::now() >= times.careful && until > times.end)
+        self.end.get().is_some_and(|times| Instant::now() >= times.refuse_from && until > times.end)
     }
 
-    /// Whether a stop has begun.
+    /// Returns whether a stop has begun.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// Connections that rest are closed from now on, and no further request is read.
+    /// Closes idle connections from now on; no further request is read.
     pub(crate) fn close_idle(&self) {
         self.closing.open();
     }
 
-    /// Whether no further request is to be read.
+    /// Returns whether no further request is to be read.
     pub(crate) fn is_closing(&self) -> bool {
         self.closing.is_open()
     }
 
-    /// Waits until [`StopState::close_idle`].
+    /// Waits until [`StopState::close_idle`] is called.
     pub(crate) async fn wait_closing(&self) {
         self.closing.wait_open().await;
     }
 
-    /// Counts a connection until the guard is dropped.
+    /// Counts an open connection until the guard is dropped.
     pub(crate) fn count_connection(&self) -> CountGuard {
         CountGuard::new(&self.open)
     }
 
-    /// Counts a request until the guard is dropped.
+    /// Counts a request in progress until the guard is dropped.
     pub(crate) fn count_request(&self) -> CountGuard {
         CountGuard::new(&self.busy)
     }
@@ -88,7 +88,7 @@
     }
 }
 
-/// Counts something while it lives.
+/// Counts a connection or a request until it is dropped.
 #[derive(Debug)]
 pub(crate) struct CountGuard {
     count: Arc<AtomicUsize>,
--- a/crates/gateway/src/suspension.rs
+++ b/crates/gateway/src/suspension.rs
@@ -1,19 +1,19 @@
-//! Time for which this machine stood suspended, taken into account where ages and times left matter.
+//! Corrects ages and remaining times for the time during which this machine was suspended.
 //!
-//! [`Instant`] doesn't count it. A box that wakes would tell its peers that what it knew before was still right a
-//! moment ago, and give targets time that callers don't have.
+//! [`Instant`] does not count that time. Without the correction, a box that resumes would report to its peers that
+//! old data was valid a moment ago, and would give targets time that callers no longer have.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
 use crate::context::lock;
 
-/// Shorter ones count as none: two clocks are read one after the other.
-const NOTICED: Duration = Duration::from_millis(20);
-/// What comes within this after a box woke may have waited for it, so that its age is not known.
-const WAKING: Duration = Duration::from_millis(200);
+/// Shortest suspension that is taken into account: two clocks are read one after the other, which differs by less.
+const MIN_SUSPENSION: Duration = Duration::from_millis(20);
+/// Time after a resume within which received data may have been waiting since before, so that its age is unknown.
+const RESUME_GRACE: Duration = Duration::from_millis(200);
 
-/// When something began, and how long the machine had been suspended by then.
+/// A point in time, together with how long the machine had been suspended until then.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ClockSample {
     at: Instant,
@@ -21,26 +21,27 @@
 }
 
 impl ClockSample {
-    /// A mark for now, `suspended` being the machine's whole suspended time.
+    /// Takes a sample of the current time; `suspended` is the total suspended time of the machine.
     pub(crate) fn now(suspended: Duration) -> ClockSample {
         ClockSample { at: Instant::now(), suspended }
     }
 
-    /// A time after this mark as it is on a clock that counted what was suspended since, up to `suspended`.
+    /// Returns `time`, a time after this sample, as a clock would have it that had counted the suspensions since
+    /// the sample. `suspended` is the total suspended time until now.
     pub(crate) fn correct(&self, time: Instant, suspended: Duration) -> Instant {
-        let since = suspended.saturating_sub(self.suspended);
-        let since = if since < NOTICED { Duration::ZERO } else { since };
-        // A time before all that the clock can tell can't be corrected, and none has been seen.
-        time.checked_sub(since).unwrap_or(time)
+        let missing = suspended.saturating_sub(self.suspended);
+        let missing = if missing < MIN_SUSPENSION { Duration::ZERO } else { missing };
+        // A time that the clock can't represent is left uncorrected; this has not been observed.
+        time.checked_sub(missing).unwrap_or(time)
     }
 
-    /// When it began, on that clock.
+    /// Returns the time of the sample itself on such a clock.
     pub(crate) fn corrected_time(&self, suspended: Duration) -> Instant {
         self.correct(self.at, suspended)
     }
 }
 
-/// Notices that the machine was suspended.
+/// Detects that the machine was suspended.
 #[derive(Debug)]
 pub(crate) struct SuspensionWatch {
     state: Mutex<WatchState>,
@@ -48,27 +49,27 @@
 
 #[derive(Debug)]
 struct WatchState {
-    known: Duration,
-    woke: Option<Instant>,
+    counted: Duration,
+    resumed_at: Option<Instant>,
 }
 
 impl SuspensionWatch {
-    /// A watch for what comes after `suspended`.
+    /// Creates a watch for suspensions after the total suspended time `suspended`.
     pub(crate) fn new(suspended: Duration) -> SuspensionWatch {
-        SuspensionWatch { state: Mutex::new(WatchState { known: suspended, woke: None }) }
+        SuspensionWatch { state: Mutex::new(WatchState { counted: suspended, resumed_at: None }) }
     }
 
-    /// How long the machine was suspended since the last call, if it was.
-    pub(crate) fn newly(&self, suspended: Duration) -> Option<Duration> {
+    /// Returns how long the machine was suspended since the last call, or `None` if it was not.
+    pub(crate) fn newly_suspended(&self, suspended: Duration) -> Option<Duration> {
         let mut state = lock(&self.state);
-        let time = suspended.checked_sub(state.known).filter(|time| *time >= NOTICED)?;
-        state.known = suspended;
-        state.woke = Some(Instant::now());
+        let time = suspended.checked_sub(state.counted).filter(|time| *time >= MIN_SUSPENSION)?;
+        state.counted = suspended;
+        state.resumed_at = Some(Instant::now());
         Some(time)
     }
 
-    /// Whether it woke a moment ago.
+    /// Returns whether the machine resumed less than 200 ms ago.
     pub(crate) fn recently_resumed(&self) -> bool {
-        lock(&self.state).woke.is_some_and(|woke| woke.elapsed() < WAKING)
+        lock(&self.state).resumed_at.is_some_and(|resumed_at| resumed_at.elapsed() < RESUME_GRACE)
     }
 }
