--- a/crates/gateway/src/config_duty.rs
+++ b/crates/gateway/src/config_sync.rs
@@ -113,7 +113,7 @@
 }
 
 /// Background task that keeps a large configuration up to date.
-pub(crate) struct ConfigDuty {
+pub(crate) struct ConfigSync {
     context: Arc<BoxContext>,
     gossip: Arc<Gossip>,
     reader: Arc<ConfigReader>,
@@ -123,16 +123,16 @@
     logged_stale: u64,
 }
 
-impl ConfigDuty {
+impl ConfigSync {
     pub(crate) fn new(
         context: Arc<BoxContext>,
         gossip: Arc<Gossip>,
         reader: Arc<ConfigReader>,
         seed: u64,
-    ) -> ConfigDuty {
+    ) -> ConfigSync {
         let random = SmallRng::seed_from_u64(seed);
         let backoff = StoreBackoff::default();
-        ConfigDuty { context, gossip, reader, random, backoff, logged_stale: 0 }
+        ConfigSync { context, gossip, reader, random, backoff, logged_stale: 0 }
     }
 
     /// Runs until the channel of notifications closes.
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -41,7 +41,7 @@
 const MAX_HOMES_LOGGED: usize = 16;
 
 /// Handles by which other tasks reach the background tasks.
-pub(crate) struct DutyHandles {
+pub(crate) struct TaskHandles {
     pub(crate) quotas: QuotaManager,
     pub(crate) permits: PermitManager,
     pub(crate) passive_samples: SampleBuffer,
@@ -92,7 +92,7 @@
         port: Arc<dyn EnvironmentPort>,
         policies: PolicySet,
         stopping: StopState,
-        handles: DutyHandles,
+        handles: TaskHandles,
         seed: u64,
     ) -> Arc<BoxContext> {
         let core = SteerCore::new(SteerSetup {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -5,7 +5,7 @@
 //! adapter implements [`ports::EnvironmentPort`] and provides [`settings::GatewaySettings`].
 //! Connections and requests are tasks of the I/O pool. Background tasks do the rest:
 //! [`store_sync`] keeps the listing of targets up to date, from the store or from peers;
-//! [`config_duty`] does the same for a large configuration; [`gossip`] sends peers what this box
+//! [`config_sync`] does the same for a large configuration; [`gossip`] sends peers what this box
 //! has observed; [`quota_manager`] admits requests according to their customers' quotas.
 //! [`change_budget`] defines the time limits of these tasks. Decisions about targets are made in
 //! `wingbridge_decide::steer`.
@@ -14,9 +14,9 @@
 mod attempt;
 mod caller_connections;
 mod change_budget;
-mod config_duty;
 mod config_exchange;
 pub mod config_source;
+mod config_sync;
 mod context;
 mod crash_tracker;
 pub mod customers;
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -12,8 +12,8 @@
 use wingbridge_process::{Outcome, StopSignal};
 
 use crate::caller_connections::accept_callers;
-use crate::config_duty::{ConfigDuty, ConfigReader};
-use crate::context::{BoxContext, DutyHandles, millis};
+use crate::config_sync::{ConfigReader, ConfigSync};
+use crate::context::{BoxContext, TaskHandles, millis};
 use crate::gossip::{Gossip, fetch_listings};
 use crate::passive_samples::SampleBuffer;
 use crate::permit_manager::PermitManager;
@@ -77,13 +77,13 @@
         log::warn!(without:% = settings.mechanisms; "parts-of-the-pick-off");
     }
     let policies = PolicySet::compile()?;
-    let handles = DutyHandles { quotas, permits, passive_samples, view_changed, config_changed };
+    let handles = TaskHandles { quotas, permits, passive_samples, view_changed, config_changed };
     let context = BoxContext::new(settings, port, policies, stopping, handles, seed);
     let gossip = Gossip::new(Arc::clone(&context), socket, seed, listing_fetches);
     let reader = ConfigReader::new(Arc::clone(&context), Arc::clone(&gossip));
     let store =
         StoreSync::new(Arc::clone(&context), Arc::clone(&gossip), Arc::clone(&reader), seed);
-    let config = ConfigDuty::new(Arc::clone(&context), Arc::clone(&gossip), reader, seed);
+    let config = ConfigSync::new(Arc::clone(&context), Arc::clone(&gossip), reader, seed);
     let tasks = [
         task::spawn(serve_readiness(readiness, Arc::clone(&context))),
         task::spawn(serve_peers(exchange, Arc::clone(&context))),
--- a/crates/gateway/src/store_sync.rs
+++ b/crates/gateway/src/store_sync.rs
@@ -15,7 +15,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::config_duty::{ConfigReader, is_large};
+use crate::config_sync::{ConfigReader, is_large};
 use crate::context::{BoxContext, millis};
 use crate::gossip::Gossip;
 use crate::ports::{StoreError, StorePoll};
