--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -151,7 +151,8 @@
         self.request.unwrap_or("-")
     }
 
-    /// Logs a change of the notices of the target, and reports to peers that it is draining. A back-off is not reported.
+    /// Logs a change of the notices of the target, and reports to peers that it is draining. A back-off is not
+    /// reported.
     fn report_change(&self, status: u16, change: &NoticeChange) {
         let (target, request) = (self.target, self.request_id());
         if change.draining {
@@ -236,8 +237,8 @@
     Some(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
 }
 
-/// Parses a non-negative decimal number without an exponent. Other texts that parse as a float, such as `inf` and `1e12`,
-/// are rejected since no target means them.
+/// Parses a non-negative decimal number without an exponent. Other texts that parse as a float, such as `inf` and
+/// `1e12`, are rejected since no target means them.
 fn read_decimal(text: &str) -> Option<f64> {
     if !text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.') {
         return None;
