--- a/crates/gateway/tests/harness/caller.rs
+++ b/crates/gateway/tests/harness/caller.rs
@@ -1,4 +1,4 @@
-//! A caller on one connection.
+//! A caller that sends requests on one connection.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -6,23 +6,23 @@
 use super::header;
 use super::target::read_message;
 
-/// A caller on one connection.
+/// A caller that sends requests on one connection.
 pub struct CallerStandin {
     pub(super) stream: TcpStream,
 }
 
-/// What a caller got.
+/// An answer as a caller received it.
 #[derive(Debug, Clone)]
 pub struct CallerReply {
     pub status: u16,
     pub head: String,
     pub body: String,
-    /// Whether the body was as long as its head says.
+    /// Whether the body has the length that the head announces.
     pub complete: bool,
 }
 
 impl CallerStandin {
-    /// Its connection.
+    /// Returns the connection.
     pub fn stream(&self) -> &TcpStream {
         &self.stream
     }
@@ -33,7 +33,7 @@
         self.read().expect("an answer")
     }
 
-    /// Sends a request.
+    /// Sends a request with the id "id-1".
     pub fn send(&mut self, method: &str, path: &str, more_headers: &str, body: &str) {
         let length = if body.is_empty() {
             String::new()
@@ -45,18 +45,18 @@
         ));
     }
 
-    /// Sends bytes as they are. A box that has answered already may have closed.
+    /// Sends bytes as they are. Errors are ignored, since a box that has already answered may have closed.
     pub fn send_raw(&mut self, bytes: &str) {
         let _ = self.stream.write_all(bytes.as_bytes());
     }
 
-    /// Reads the beginning of an answer, some `bytes` of it at least.
+    /// Reads the first `bytes` bytes of an answer.
     pub fn read_beginning(&mut self, bytes: usize) {
         let mut beginning = vec![0; bytes];
         self.stream.read_exact(&mut beginning).expect("an answer begins");
     }
 
-    /// Reads an answer; `None` if the connection closes before one.
+    /// Reads an answer. Returns `None` if the connection closes before its head is complete.
     pub fn read(&mut self) -> Option<CallerReply> {
         let (head, mut body) = read_message(&mut self.stream, false)?;
         let status = head.split(' ').nth(1)?.parse().ok()?;
--- a/crates/gateway/tests/harness/gateway.rs
+++ b/crates/gateway/tests/harness/gateway.rs
@@ -12,17 +12,17 @@
 use wingbridge_process::Outcome;
 use wingbridge_process::stop::{StopHandle, stop_channel};
 
-use super::{CallerReply, CallerStandin, READ_TIME, eventually, own_host};
+use super::{CallerReply, CallerStandin, READ_TIMEOUT, eventually, own_host};
 
-/// Ports of a box; its address is its own.
+// Ports of a box; each box has its own address.
 const CALLERS: u16 = 7001;
 const READINESS: u16 = 7002;
-/// Where it answers its peers' questions.
+/// Port on which a box answers the requests of its peers.
 pub const EXCHANGE: u16 = 7003;
-/// Where it takes datagrams.
+/// UDP port on which a box receives gossip.
 pub const GOSSIP: u16 = 7004;
 
-/// A running box.
+/// A box that runs on a thread of its own.
 pub struct BoxUnderTest {
     host: IpAddr,
     stop: StopHandle,
@@ -30,12 +30,12 @@
 }
 
 impl BoxUnderTest {
-    /// Starts a box over `port` that knows `seeds`.
+    /// Starts a box that uses the store behind `port`, with `seeds` as the addresses of other boxes.
     pub fn start(port: Arc<dyn EnvironmentPort>, seeds: &[IpAddr]) -> BoxUnderTest {
         BoxUnderTest::start_with(port, seeds, |_| {})
     }
 
-    /// The same with changed settings.
+    /// Starts a box like [`BoxUnderTest::start`], with settings modified by `change`.
     pub fn start_with(
         port: Arc<dyn EnvironmentPort>,
         seeds: &[IpAddr],
@@ -44,7 +44,7 @@
         BoxUnderTest::start_at(own_host(), port, seeds, change)
     }
 
-    /// The same at an address that others were told before.
+    /// Starts a box like [`BoxUnderTest::start_with`] at a given address.
     pub fn start_at(
         host: IpAddr,
         port: Arc<dyn EnvironmentPort>,
@@ -61,12 +61,12 @@
         BoxUnderTest { host, stop, thread: Some(thread) }
     }
 
-    /// Its address among boxes.
+    /// Returns the address of the box.
     pub fn host(&self) -> IpAddr {
         self.host
     }
 
-    /// Whether the balancer would send it callers.
+    /// Returns whether the readiness check of the balancer succeeds.
     pub fn is_ready(&self) -> bool {
         let address = SocketAddr::new(self.host, READINESS);
         let Ok(mut stream) = TcpStream::connect(address) else {
@@ -79,27 +79,27 @@
             && answer.starts_with("HTTP/1.1 200")
     }
 
-    /// Waits until it is ready.
+    /// Waits until the box is ready.
     pub fn wait_ready(&self) -> &BoxUnderTest {
         eventually("the box is ready", || self.is_ready());
         self
     }
 
-    /// A caller's connection.
+    /// Opens a caller's connection.
     pub fn connect(&self) -> CallerStandin {
         let stream = TcpStream::connect(SocketAddr::new(self.host, CALLERS)).expect("it listens");
-        stream.set_read_timeout(Some(READ_TIME)).expect("a valid time");
+        stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a valid time");
         CallerStandin { stream }
     }
 
-    /// A caller's connection to the box at `host`, if it takes one.
+    /// Opens a caller's connection to the box at `host`; `None` if that fails.
     pub fn try_connect(host: IpAddr) -> Option<CallerStandin> {
         let stream = TcpStream::connect(SocketAddr::new(host, CALLERS)).ok()?;
-        stream.set_read_timeout(Some(READ_TIME)).ok()?;
+        stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
         Some(CallerStandin { stream })
     }
 
-    /// One request on a connection of its own.
+    /// Sends one request on a new connection and reads the answer.
     pub fn request(&self, method: &str, path: &str) -> CallerReply {
         self.connect().request(method, path, "")
     }
@@ -109,7 +109,7 @@
         self.stop.stop();
     }
 
-    /// Waits for the end of a planned stop.
+    /// Begins a planned stop, if that has not been done, and waits until the box has ended.
     pub fn wait_end(mut self) -> Outcome {
         self.stop.stop();
         let thread = self.thread.take().expect("it runs");
@@ -132,7 +132,7 @@
         change_time: Duration::from_secs(2),
         retry_share: 1.0,
         retry_slack: 1000.0,
-        // A box has no slack in the first window of its life; with none it has it at once.
+        // A box has no retry slack in the first window after its start; a window of zero gives it at once.
         retry_window: Duration::ZERO,
         quota_slack: QuotaSlack { requests: 0.0, window: Duration::from_secs(5) },
         cross_cost: 0.01,
--- a/crates/gateway/tests/harness/load.rs
+++ b/crates/gateway/tests/harness/load.rs
@@ -1,24 +1,24 @@
-//! Boxes that are asked again and again, and what came of it at a target.
+//! Continuous load on boxes, and the peak rate of the requests that arrive at a target.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Has each of `boxes` asked again and again by a thread of its own, each `pause` after it has answered, for as
-/// long as `meanwhile` lasts.
+/// Runs `request` in a loop for each of `boxes`, on a thread per box and with `pause` after each request, until
+/// `meanwhile` returns.
 pub fn request_while<B: Sync, T>(
     boxes: &[B],
-    ask: impl Fn(&B) + Sync,
+    request: impl Fn(&B) + Sync,
     pause: Duration,
     meanwhile: impl FnOnce() -> T,
 ) -> T {
     let is_over = AtomicBool::new(false);
     thread::scope(|scope| {
-        for asked in boxes {
-            let (is_over, ask) = (&is_over, &ask);
+        for target_box in boxes {
+            let (is_over, request) = (&is_over, &request);
             scope.spawn(move || {
                 while !is_over.load(Ordering::Acquire) {
-                    ask(asked);
+                    request(target_box);
                     thread::sleep(pause);
                 }
             });
@@ -28,7 +28,7 @@
     })
 }
 
-/// Has the boxes asked no longer, also if the test fails.
+/// Stops the load when dropped, also if the test panics.
 struct OnEnd<'a>(&'a AtomicBool);
 
 impl Drop for OnEnd<'_> {
@@ -37,7 +37,7 @@
     }
 }
 
-/// The most that came within `window` from `from` on.
+/// Returns the largest number of arrivals after `from` within any period of length `window`.
 pub fn max_within(arrivals: &[Instant], from: Instant, window: Duration) -> usize {
     let mut late: Vec<Instant> = arrivals.iter().copied().filter(|at| *at >= from).collect();
     late.sort_unstable();
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -1,7 +1,7 @@
-//! A box with stand-ins on loopback: a store that tests write, targets that follow a
-//! script, and a caller that speaks raw bytes.
+//! Runs a box on loopback with stand-ins: a store whose contents tests set, targets that follow a
+//! script, and a caller that sends raw bytes.
 //!
-//! Each test has addresses of its own within 127.0.0.0/8, so no port is ever taken.
+//! Each test uses its own addresses within 127.0.0.0/8, so ports never collide.
 
 #![allow(dead_code, reason = "each test file uses its part of the harness")]
 #![allow(unused_imports, reason = "each test file uses its part of the harness")]
@@ -32,15 +32,15 @@
     BEGUN_ANSWER_BYTES, LONG_ANSWER_BYTES, POISON_PATH_PART, Script, TargetStandin, entry,
 };
 
-/// Looks at something that is about to happen; then the test fails.
-const LOOKS: usize = 1000;
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
-/// No read of a test waits longer: it fails instead of standing still.
-const READ_TIME: Duration = Duration::from_secs(20);
+/// Number of checks of an expected condition before the test fails.
+const MAX_CHECKS: usize = 1000;
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Time limit of each read in a test, so that a missing answer fails the test instead of blocking it.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
 
-/// An address on loopback that nobody else in this run has.
+/// Returns a loopback address that is not used elsewhere in this run.
 pub fn own_host() -> IpAddr {
     let process = std::process::id();
     let number = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
@@ -48,18 +48,19 @@
     Ipv4Addr::new(127, high, low, number).into()
 }
 
-/// Waits until `check` holds.
+/// Waits until `check` returns true, and panics with `what` if that takes more than ten seconds.
 pub fn eventually(what: &str, mut check: impl FnMut() -> bool) {
-    for _ in 0..LOOKS {
+    for _ in 0..MAX_CHECKS {
         if check() {
             return;
         }
-        thread::sleep(LOOK_PAUSE);
+        thread::sleep(CHECK_INTERVAL);
     }
-    panic!("this did not come about: {what}");
+    panic!("condition not reached in time: {what}");
 }
 
-/// The count of a metric without labels, over all boxes of this process; 0 before the first.
+/// Returns the value of a counter without labels, over all boxes of this process; 0 if it has not been
+/// incremented yet.
 pub fn counter_value(name: &str) -> u64 {
     let text = render_metrics();
     let mut lines = text.lines().filter_map(|line| line.split_once(' '));
@@ -71,7 +72,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The value of a header in a head.
+/// Returns the value of a header in the head of a message.
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let lines = head.lines().skip(1);
     let mut pairs = lines.filter_map(|line| line.split_once(':'));
@@ -79,7 +80,7 @@
     found.map(|(_, value)| value.trim())
 }
 
-/// A route to `service` under `/NAME/`.
+/// Creates a route to `service` for the prefix `/NAME/`.
 pub fn route(name: &str, service: &str, kind: RouteKind) -> Route {
     Route {
         name: name.into(),
@@ -89,7 +90,7 @@
         services: vec![service.into()],
         weights: vec![1],
         max_attempts: 2,
-        // Longer than any test looks for something to happen: no time-out helps it along.
+        // Longer than any test waits for a condition, so that no test passes because of a time-out.
         timeout: Duration::from_secs(60),
         goal: Duration::from_secs(1),
         priority: 1,
@@ -98,7 +99,7 @@
     }
 }
 
-/// A customer without a limit, with its keys.
+/// Creates a customer without a quota, with its keys.
 pub fn customer(name: &str, keys: &[&str]) -> CustomerSetup {
     CustomerSetup {
         customer: Customer { name: name.into(), priority: None, quota: None, home_regions: None },
@@ -106,7 +107,7 @@
     }
 }
 
-/// A configuration of `routes`.
+/// Creates a configuration with `routes`.
 pub fn config(version: u64, routes: Vec<Route>) -> RouteConfig {
     RouteConfig::new(
         version,
--- a/crates/gateway/tests/harness/peer.rs
+++ b/crates/gateway/tests/harness/peer.rs
@@ -1,4 +1,4 @@
-//! Questions to a box as its peers ask them, and what they tell each other of targets.
+//! Requests that peers send to a box, and the encoding of the targets that they exchange.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -12,12 +12,12 @@
 
 use super::EXCHANGE;
 
-/// A connection on which a box answers questions.
+/// Opens a connection on which a box answers the requests of its peers.
 pub fn connect_exchange(host: IpAddr) -> TcpStream {
     task::block_on(TcpStream::connect(SocketAddr::new(host, EXCHANGE))).expect("it listens")
 }
 
-/// Asks a question on a connection.
+/// Sends a request on a connection and returns the reply.
 pub fn exchange_on<M: Message + Default>(
     stream: &TcpStream,
     question: Option<ExchangeQuestion>,
@@ -28,18 +28,18 @@
     })
 }
 
-/// Asks for the targets that lead from the listing with that hash; 0 for all of them.
+/// Fetches the changes since the listing with the hash `digest`, or all targets if it is 0.
 pub fn fetch_targets(host: IpAddr, digest: u64) -> TargetsReply {
     let question = ExchangeQuestion::Targets(TargetsRequest { digest });
     exchange_on(&connect_exchange(host), Some(question)).expect("it answers")
 }
 
-/// Targets as boxes send them to each other.
+/// Encodes targets as boxes send them to each other.
 pub fn packed(targets: Vec<TargetRecord>) -> Vec<Vec<u8>> {
     vec![lz4_flex::block::compress_prepend_size(&TargetRecords { targets }.encode_to_vec())]
 }
 
-/// The targets of a reply.
+/// Decodes the targets of a reply.
 pub fn unpacked(reply: &TargetsReply) -> Vec<TargetRecord> {
     let unpack = |part: &Vec<u8>| {
         let bytes = lz4_flex::block::decompress_size_prepended(part).expect("it was packed");
--- a/crates/gateway/tests/harness/store.rs
+++ b/crates/gateway/tests/harness/store.rs
@@ -1,4 +1,4 @@
-//! The store, as tests write it.
+//! A store whose contents are set by tests.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -20,14 +20,14 @@
 
 use super::lock;
 
-/// How long a configuration that is on its way over a stalled link takes to fail: longer than
-/// any test looks for something to happen.
-const STALL: Duration = Duration::from_secs(30);
+/// Time until the transfer of a configuration over a stalled link fails: longer than any test waits for a
+/// condition.
+const STALL_TIME: Duration = Duration::from_secs(30);
 
-/// Makes the noise in configurations the same each time.
+/// Seed that makes the noise the same in all configurations.
 const NOISE_SEED: u64 = 7;
 
-/// The store, as tests write it. Clones share it.
+/// A store whose contents are set by tests. Clones share it.
 #[derive(Clone, Default)]
 pub struct StoreStandin {
     state: Arc<Mutex<StoreState>>,
@@ -37,24 +37,24 @@
 struct StoreState {
     view: StoreView,
     config: RouteConfig,
-    away: bool,
-    contacts: Vec<IpAddr>,
-    /// By data centre.
+    unreachable: bool,
+    bootstrap_addresses: Vec<IpAddr>,
+    /// Crash notes by data centre.
     crash_notes: BTreeMap<String, Vec<u8>>,
     reads: usize,
     config_reads: usize,
     config_change_requests: usize,
-    /// Time for which the machines of its boxes were suspended.
+    /// Total time for which the machines of the boxes were suspended.
     suspended: Duration,
-    /// Whether it has no history.
-    forgetful: bool,
-    /// What became of targets, with the revisions at which that was written.
+    /// Whether the store has discarded its history.
+    history_lost: bool,
+    /// Changes of targets with the revisions at which they were written; `None` for removed ones.
     written: Vec<(u64, Name, Option<TargetEntry>)>,
-    /// Questions for all that is new.
+    /// Number of polls for changes.
     change_requests: usize,
-    /// Bytes that make the next configuration longer.
+    /// Number of blanks that are added to the next configurations.
     padding: usize,
-    /// The same of bytes that are all different and stay the same.
+    /// Number of random bytes that are added to the next configurations, the same ones in all of them.
     noise: usize,
 }
 
@@ -71,7 +71,7 @@
         state.config = config;
     }
 
-    /// Writes all targets.
+    /// Replaces all targets.
     pub fn put_targets(&self, targets: Vec<TargetEntry>) {
         let mut state = lock(&self.state);
         state.view.revision += 1;
@@ -83,65 +83,65 @@
         state.written.extend(now);
     }
 
-    /// Has nothing more sent to the targets of those data centres, and of no others.
+    /// Evacuates these data centres, and no others.
     pub fn put_evacuated(&self, data_centres: &[&str]) {
         let mut state = lock(&self.state);
         state.view.revision += 1;
         state.view.evacuated = data_centres.iter().map(|name| Name::from(*name)).collect();
     }
 
-    /// Whether calls fail from now on.
-    pub fn set_unreachable(&self, away: bool) {
-        lock(&self.state).away = away;
+    /// Sets whether calls fail from now on.
+    pub fn set_unreachable(&self, unreachable: bool) {
+        lock(&self.state).unreachable = unreachable;
     }
 
-    /// Makes the configurations from now on longer by so many bytes.
+    /// Adds this number of blanks to each configuration that is written from now on.
     pub fn set_padding(&self, bytes: usize) {
         lock(&self.state).padding = bytes;
     }
 
-    /// Makes the configurations from now on longer by so many bytes that can't be compressed
-    /// and are the same in all of them.
+    /// Adds this number of bytes to each configuration that is written from now on. They can't be
+    /// compressed and are the same in all configurations.
     pub fn set_noise(&self, bytes: usize) {
         lock(&self.state).noise = bytes;
     }
 
-    /// Lets the machines of its boxes have been suspended for `time` in all.
+    /// Sets the total time for which the machines of the boxes were suspended.
     pub fn set_suspended(&self, time: Duration) {
         lock(&self.state).suspended = time;
     }
 
-    /// Whether it forgets its history from now on.
-    pub fn set_history_lost(&self, forgetful: bool) {
-        lock(&self.state).forgetful = forgetful;
+    /// Sets whether the store has discarded its history.
+    pub fn set_history_lost(&self, history_lost: bool) {
+        lock(&self.state).history_lost = history_lost;
     }
 
-    /// Questions for news of the configuration so far.
+    /// Returns the number of polls for a newer configuration so far.
     pub fn config_change_requests(&self) -> usize {
         lock(&self.state).config_change_requests
     }
 
-    /// Questions for all that is new so far.
+    /// Returns the number of polls for changes so far.
     pub fn change_requests(&self) -> usize {
         lock(&self.state).change_requests
     }
 
-    /// Readings of the whole configuration so far.
+    /// Returns the number of reads of the complete configuration so far.
     pub fn config_reads(&self) -> usize {
         lock(&self.state).config_reads
     }
 
-    /// Readings so far, failed ones too.
+    /// Returns the number of reads of everything or of all targets so far, including failed ones.
     pub fn reads(&self) -> usize {
         lock(&self.state).reads
     }
 
-    /// A port to this store. `reachable` says whether it can be reached by this box.
+    /// Returns a port to this store. If `reachable` is false, all its calls fail.
     pub fn port(&self, reachable: bool) -> Arc<dyn EnvironmentPort> {
         Arc::new(StandinPort { store: self.clone(), reachable, stalls: false })
     }
 
-    /// A port over a link on which a configuration that is read apart never arrives.
+    /// Returns a port over a link on which configurations that are read separately never arrive.
     pub fn stalling_port(&self) -> Arc<dyn EnvironmentPort> {
         Arc::new(StandinPort { store: self.clone(), reachable: true, stalls: true })
     }
@@ -154,34 +154,40 @@
 }
 
 impl StandinPort {
-    fn request<T>(&self, work: impl FnOnce(&mut StoreState) -> T) -> Result<T, StoreError> {
+    fn access<T>(&self, work: impl FnOnce(&mut StoreState) -> T) -> Result<T, StoreError> {
         let mut state = lock(&self.store.state);
-        if state.away || !self.reachable {
-            return Err(StoreError::new(StoreErrorKind::Unreachable, "the stand-in is away"));
+        if state.unreachable || !self.reachable {
+            return Err(StoreError::new(
+                StoreErrorKind::Unreachable,
+                "the store stand-in is unreachable",
+            ));
         }
         Ok(work(&mut state))
     }
 
-    /// Waits for what a stalled link never carries.
-    async fn pass<T>(&self, config: Result<T, StoreError>) -> Result<T, StoreError> {
+    /// Returns `config`, or an error after a long time if the link stalls.
+    async fn transfer<T>(&self, config: Result<T, StoreError>) -> Result<T, StoreError> {
         if !self.stalls {
             return config;
         }
-        task::sleep(STALL).await;
-        Err(StoreError::new(StoreErrorKind::Unreachable, "the link of the stand-in has stalled"))
+        task::sleep(STALL_TIME).await;
+        Err(StoreError::new(
+            StoreErrorKind::Unreachable,
+            "the link to the store stand-in has stalled",
+        ))
     }
 }
 
 impl EnvironmentPort for StandinPort {
     fn read_all(&self) -> BoxFuture<'_, Result<StoreView, StoreError>> {
         lock(&self.store.state).reads += 1;
-        let view = self.request(|state| state.view.clone());
+        let view = self.access(|state| state.view.clone());
         Box::pin(async { view })
     }
 
     fn read_targets(&self) -> BoxFuture<'_, Result<TargetListing, StoreError>> {
         lock(&self.store.state).reads += 1;
-        let listing = self.request(|state| TargetListing {
+        let listing = self.access(|state| TargetListing {
             revision: state.view.revision,
             targets: state.view.targets.clone(),
             evacuated: state.view.evacuated.clone(),
@@ -191,8 +197,8 @@
 
     fn poll_changes(&self, after: u64) -> BoxFuture<'_, Result<StorePoll, StoreError>> {
         lock(&self.store.state).change_requests += 1;
-        let news = self.request(|state| {
-            if state.forgetful {
+        let poll = self.access(|state| {
+            if state.history_lost {
                 return StorePoll::HistoryDiscarded;
             }
             let mut last = BTreeMap::new();
@@ -217,37 +223,37 @@
             };
             StorePoll::Changed(Box::new(changes))
         });
-        Box::pin(async { news })
+        Box::pin(async { poll })
     }
 
     fn read_config(&self) -> BoxFuture<'_, Result<Option<ConfigText>, StoreError>> {
-        let config = self.request(|state| {
+        let config = self.access(|state| {
             state.config_reads += 1;
             state.view.config.clone()
         });
-        Box::pin(self.pass(config))
+        Box::pin(self.transfer(config))
     }
 
     fn poll_config(&self, after: u64) -> BoxFuture<'_, Result<ConfigPoll, StoreError>> {
-        let news = self.request(|state| {
+        let poll = self.access(|state| {
             state.config_change_requests += 1;
             match &state.view.config {
-                _ if state.forgetful => ConfigPoll::HistoryDiscarded,
+                _ if state.history_lost => ConfigPoll::HistoryDiscarded,
                 Some(config) if config.revision > after => ConfigPoll::Changed(config.clone()),
                 _ => ConfigPoll::Unchanged,
             }
         });
         Box::pin(async {
-            match news {
-                Ok(ConfigPoll::Changed(_)) => self.pass(news).await,
-                _ => news,
+            match poll {
+                Ok(ConfigPoll::Changed(_)) => self.transfer(poll).await,
+                _ => poll,
             }
         })
     }
 
     fn read_bootstrap_addresses(&self) -> BoxFuture<'_, Result<Vec<IpAddr>, StoreError>> {
-        let contacts = self.request(|state| state.contacts.clone());
-        Box::pin(async { contacts })
+        let bootstrap_addresses = self.access(|state| state.bootstrap_addresses.clone());
+        Box::pin(async { bootstrap_addresses })
     }
 
     fn write_bootstrap_addresses<'a>(
@@ -255,7 +261,7 @@
         _: &'a str,
         hosts: &'a [IpAddr],
     ) -> BoxFuture<'a, Result<(), StoreError>> {
-        let written = self.request(|state| state.contacts = hosts.to_vec());
+        let written = self.access(|state| state.bootstrap_addresses = hosts.to_vec());
         Box::pin(async { written })
     }
 
@@ -264,7 +270,7 @@
         data_centre: &'a str,
         note: &'a [u8],
     ) -> BoxFuture<'a, Result<(), StoreError>> {
-        let written = self.request(|state| {
+        let written = self.access(|state| {
             state.crash_notes.insert(data_centre.to_string(), note.to_vec());
             state.view.revision += 1;
             state.view.crash_notes = state.crash_notes.values().cloned().collect();
--- a/crates/gateway/tests/harness/target.rs
+++ b/crates/gateway/tests/harness/target.rs
@@ -9,167 +9,176 @@
 
 use wingbridge_gateway::view::TargetEntry;
 
-use super::{LOOK_PAUSE, READ_TIME, eventually, header, lock, own_host};
+use super::{CHECK_INTERVAL, READ_TIMEOUT, eventually, header, lock, own_host};
 
-/// What a target does with a request.
+/// Reaction of a target to a request. A complete answer has the status 200 and the proof of the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Script {
-    /// Answers well.
+    /// Sends a complete answer.
     Good,
-    /// Answers well in chunks.
+    /// Sends a complete answer in chunks.
     Chunked,
-    /// Answers well and ends the body by closing.
+    /// Sends a complete answer whose body ends when the connection closes.
     UntilClose,
-    /// Runs it and fails.
+    /// Runs the request and answers with the status 500.
     Fails,
-    /// Refuses and says that it ran nothing.
+    /// Refuses with the status 503 and declares that the request was not run.
     Sheds,
-    /// Refuses for too many requests, and says that it ran nothing.
+    /// Refuses with the status 429 and declares that the request was not run.
     TooMany,
-    /// Refuses, and doesn't say whether it ran.
+    /// Refuses with the status 503 without declaring whether the request was run.
     Busy,
-    /// Is another instance than the one that was meant.
+    /// Answers that it is another instance than the expected one, and that the request was not run.
     OtherInstance,
-    /// Runs it and closes within the body.
+    /// Runs the request and closes in the middle of the body.
     Truncated,
-    /// Runs it and closes without an answer.
+    /// Runs the request and closes without an answer.
     ClosesUnanswered,
-    /// Answers well without its proof.
+    /// Sends a complete answer without the proof of the target.
     NoProof,
-    /// Gives the answer to another request.
+    /// Sends the answer to another request.
     WrongId,
-    /// Refuses another request, and says that it ran nothing of that.
+    /// Refuses with the id of another request and declares that that one was not run.
     WrongIdSheds,
-    /// Encodes the body.
+    /// Sends an answer with an encoded body.
     Encoded,
-    /// Answers well, and sends another answer behind.
+    /// Sends a complete answer, current_script by a second one.
     AnswersTwice,
-    /// Answers well before it has read the body.
+    /// Sends a complete answer before it has read the body of the request.
     AnswersBeforeBody,
-    /// Works until its connection is closed.
+    /// Processes the request until its connection is closed.
     Hangs,
-    /// Answers well once the test lets it.
+    /// Sends a complete answer once the test calls [`TargetStandin::release`].
     WaitsForRelease,
-    /// Refuses once the test lets it, and says that it ran nothing.
+    /// Refuses once the test calls [`TargetStandin::release`], and declares that the request was not run.
     WaitsThenSheds,
-    /// Answers with two megabytes and breaks off within them.
+    /// Sends an answer of two megabytes that is cut off ten bytes before its end.
     LongTruncated,
-    /// Answers with two megabytes.
+    /// Sends an answer of two megabytes.
     Long,
-    /// Begins an answer of two megabytes and works on the rest until its connection is closed.
+    /// Sends the beginning of an answer of two megabytes and then waits until its connection is closed.
     LongHangs,
-    /// Begins to run it and ends by it, with all that is open there; its address refuses from then on.
+    /// Terminates while processing the request and closes all its connections; its address refuses connections
+    /// from then on.
     Crashes,
-    /// Ends by what is asked of [`POISON_PATH_PART`], and answers all else well.
+    /// Terminates on a request whose path contains [`POISON_PATH_PART`], and answers all others completely.
     CrashesOnPoison,
-    /// The same, once the connection by which it came has closed.
+    /// Like `CrashesOnPoison`, but terminates only once the connection of the request has been closed.
     CrashesOnPoisonAfterClose,
 }
 
-/// The part of a path that marks requests under which targets end.
+/// Part of the path that marks poison requests.
 pub const POISON_PATH_PART: &str = "deadly";
-/// Bytes of a long answer.
+/// Length in bytes of the body of a long answer.
 pub const LONG_ANSWER_BYTES: usize = 2 << 20;
-/// Bytes of one that is begun and not finished.
+/// Length in bytes of the part that is sent of a long answer that does not complete.
 pub const BEGUN_ANSWER_BYTES: usize = 1000;
 
-/// A request that came, head and body, and when.
-struct SeenRequest {
+/// A received request, head and body, with the time of its arrival.
+struct ReceivedRequest {
     at: Instant,
     text: String,
 }
 
-impl SeenRequest {
-    fn now(head: &str, body: &str) -> SeenRequest {
-        SeenRequest { at: Instant::now(), text: format!("{head}\r\n\r\n{body}") }
+impl ReceivedRequest {
+    fn now(head: &str, body: &str) -> ReceivedRequest {
+        ReceivedRequest { at: Instant::now(), text: format!("{head}\r\n\r\n{body}") }
     }
 }
 
-/// Connections that are served now, each with its number.
+/// Connections that are being served, each with its number.
 type OpenStreams = Arc<Mutex<Vec<(usize, TcpStream)>>>;
 
 /// A target on a thread of its own.
 pub struct TargetStandin {
     pub entry: TargetEntry,
     script: Arc<Mutex<Script>>,
-    said: Arc<Mutex<String>>,
-    seen: Arc<Mutex<Vec<SeenRequest>>>,
+    headers: Arc<Mutex<String>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
     hang_ups: Arc<Mutex<usize>>,
-    gate: Arc<AtomicBool>,
+    released: Arc<AtomicBool>,
 }
 
 impl TargetStandin {
-    /// A target of `service` that follows `script`.
+    /// Starts a target of `service` that follows `script`.
     pub fn start(id: &str, service: &str, script: Script) -> TargetStandin {
         let listener = TcpListener::bind((own_host(), 0)).expect("loopback");
         let address = listener.local_addr().expect("bound").to_string();
         let script = Arc::new(Mutex::new(script));
-        let (seen, hang_ups) = (Arc::new(Mutex::new(Vec::new())), Arc::new(Mutex::new(0)));
-        let said = Arc::new(Mutex::new(String::new()));
-        let gate = Arc::new(AtomicBool::new(false));
-        let (says, opened) = (Arc::clone(&said), Arc::clone(&gate));
-        let (followed, noted, counted) =
-            (Arc::clone(&script), Arc::clone(&seen), Arc::clone(&hang_ups));
+        let (received, hang_ups) = (Arc::new(Mutex::new(Vec::new())), Arc::new(Mutex::new(0)));
+        let headers = Arc::new(Mutex::new(String::new()));
+        let released = Arc::new(AtomicBool::new(false));
+        let (shared_headers, release_flag) = (Arc::clone(&headers), Arc::clone(&released));
+        let (current_script, recorded, hang_up_count) =
+            (Arc::clone(&script), Arc::clone(&received), Arc::clone(&hang_ups));
         thread::spawn(move || {
             let open: OpenStreams = Arc::default();
             for number in 0.. {
                 let Ok((stream, _)) = listener.accept() else { return };
-                let script = *lock(&followed);
-                if ends_by(script, &stream) {
-                    note_deadly(&stream, &noted);
+                let script = *lock(&current_script);
+                if crashes_on(script, &stream) {
+                    record_poison(&stream, &recorded);
                     if script == Script::CrashesOnPoisonAfterClose {
                         wait_closed(&stream);
                     }
                     drop(listener);
-                    end_all(&stream, &lock(&open));
+                    close_all(&stream, &lock(&open));
                     return;
                 }
                 lock(&open).extend(stream.try_clone().map(|stream| (number, stream)));
                 let open = Arc::clone(&open);
-                let (noted, counted) = (Arc::clone(&noted), Arc::clone(&counted));
-                let (said, opened) = (lock(&says).clone(), Arc::clone(&opened));
+                let (recorded, hang_up_count) = (Arc::clone(&recorded), Arc::clone(&hang_up_count));
+                let (headers, release_flag) =
+                    (lock(&shared_headers).clone(), Arc::clone(&release_flag));
                 thread::spawn(move || {
-                    serve(stream, script, &said, &noted, &counted, &opened);
-                    // Kept, it would hold a descriptor for each request of a long test.
+                    serve(stream, script, &headers, &recorded, &hang_up_count, &release_flag);
+                    // If the entry stayed, a long test would hold a descriptor for each request.
                     lock(&open).retain(|(known, _)| *known != number);
                 });
             }
         });
-        TargetStandin { entry: entry(id, service, &address), script, said, seen, hang_ups, gate }
+        TargetStandin {
+            entry: entry(id, service, &address),
+            script,
+            headers,
+            received,
+            hang_ups,
+            released,
+        }
     }
 
-    /// The requests that came, head and body.
+    /// Returns the received requests, each with head and body.
     pub fn requests(&self) -> Vec<String> {
-        lock(&self.seen).iter().map(|seen| seen.text.clone()).collect()
+        lock(&self.received).iter().map(|received| received.text.clone()).collect()
     }
 
-    /// When they came.
+    /// Returns the arrival times of the received requests.
     pub fn arrivals(&self) -> Vec<Instant> {
-        lock(&self.seen).iter().map(|seen| seen.at).collect()
+        lock(&self.received).iter().map(|received| received.at).collect()
     }
 
-    /// Callers' connections that closed while it worked.
+    /// Returns the number of connections that were closed while a request was being processed.
     pub fn hang_ups(&self) -> usize {
         *lock(&self.hang_ups)
     }
 
-    /// Lets what waits under [`Script::WaitsForRelease`] go on.
+    /// Lets requests continue that wait in [`Script::WaitsForRelease`] or [`Script::WaitsThenSheds`].
     pub fn release(&self) {
-        self.gate.store(true, Ordering::Release);
+        self.released.store(true, Ordering::Release);
     }
 
-    /// Has those header lines in each answer from the next request on; each ends its line.
+    /// Adds these header lines, each with its line end, to each answer from the next connection on.
     pub fn set_answer_headers(&self, lines: &str) {
-        *lock(&self.said) = lines.to_string();
+        *lock(&self.headers) = lines.to_string();
     }
 
-    /// Follows another script from the next request on.
+    /// Follows another script from the next connection on.
     pub fn set_script(&self, script: Script) {
         *lock(&self.script) = script;
     }
 }
 
-/// A target's entry.
+/// Creates the entry of a target.
 pub fn entry(id: &str, service: &str, address: &str) -> TargetEntry {
     TargetEntry {
         id: id.into(),
@@ -184,8 +193,8 @@
     }
 }
 
-/// Whether a target of `script` ends by the request that comes on `stream`.
-fn ends_by(script: Script, stream: &TcpStream) -> bool {
+/// Returns whether a target with `script` terminates on the request that arrives on `stream`.
+fn crashes_on(script: Script, stream: &TcpStream) -> bool {
     match script {
         Script::Crashes => true,
         Script::CrashesOnPoison | Script::CrashesOnPoisonAfterClose => {
@@ -198,26 +207,26 @@
     }
 }
 
-/// Waits until the peer has closed, and leaves what it sent before unread.
+/// Waits until the peer has closed the connection, and discards what it sent before.
 fn wait_closed(stream: &TcpStream) {
     let mut watched = stream.try_clone().expect("a connection can be shared");
-    let _ = watched.set_read_timeout(Some(READ_TIME));
+    let _ = watched.set_read_timeout(Some(READ_TIMEOUT));
     let mut sent = [0; 4096];
     while watched.read(&mut sent).is_ok_and(|read| read > 0) {}
 }
 
-/// Reads and notes the request under which a target ends.
-fn note_deadly(stream: &TcpStream, seen: &Mutex<Vec<SeenRequest>>) {
+/// Reads and records the request on which a target terminates.
+fn record_poison(stream: &TcpStream, received: &Mutex<Vec<ReceivedRequest>>) {
     let mut stream = stream.try_clone().expect("a connection can be shared");
     if let Some((head, body)) = read_message(&mut stream, true) {
-        lock(seen).push(SeenRequest::now(&head, &body));
+        lock(received).push(ReceivedRequest::now(&head, &body));
     }
 }
 
-/// Breaks off all that is open at a target.
-fn end_all(last: &TcpStream, open: &[(usize, TcpStream)]) {
+/// Closes all open connections of a target.
+fn close_all(last: &TcpStream, open: &[(usize, TcpStream)]) {
     for stream in open.iter().map(|(_, stream)| stream).chain([last]) {
-        // Those that were served are closed already.
+        // Connections of completed requests are already closed.
         let _ = stream.shutdown(Shutdown::Both);
     }
 }
@@ -225,17 +234,17 @@
 fn serve(
     mut stream: TcpStream,
     script: Script,
-    said: &str,
-    seen: &Mutex<Vec<SeenRequest>>,
+    headers: &str,
+    received: &Mutex<Vec<ReceivedRequest>>,
     hang_ups: &Mutex<usize>,
-    gate: &AtomicBool,
+    released: &AtomicBool,
 ) {
     let Some((head, body)) = read_message(&mut stream, script != Script::AnswersBeforeBody) else {
         return;
     };
     let id = header(&head, "x-id").unwrap_or_default().to_string();
-    lock(seen).push(SeenRequest::now(&head, &body));
-    let ok = format!("HTTP/1.1 200 Fine\r\nX-Id: {id}\r\nX-Proof: p\r\nX-Kept: k\r\n{said}");
+    lock(received).push(ReceivedRequest::now(&head, &body));
+    let ok = format!("HTTP/1.1 200 Fine\r\nX-Id: {id}\r\nX-Proof: p\r\nX-Kept: k\r\n{headers}");
     let answer = match script {
         Script::Good
         | Script::CrashesOnPoison
@@ -246,32 +255,32 @@
         Script::Chunked => format!("{ok}Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n"),
         Script::UntilClose => format!("{ok}\r\nhello"),
         Script::Fails => format!(
-            "HTTP/1.1 500 Broken\r\nX-Id: {id}\r\nX-Proof: p\r\n{said}Content-Length: 3\r\n\r\nbad"
+            "HTTP/1.1 500 Broken\r\nX-Id: {id}\r\nX-Proof: p\r\n{headers}Content-Length: 3\r\n\r\nbad"
         ),
         Script::Sheds => {
             format!(
-                "HTTP/1.1 503 Full\r\nX-Id: {id}\r\nX-Not-Run: 1\r\n{said}Content-Length: 0\r\n\r\n"
+                "HTTP/1.1 503 Full\r\nX-Id: {id}\r\nX-Not-Run: 1\r\n{headers}Content-Length: 0\r\n\r\n"
             )
         }
         Script::TooMany => {
             format!(
-                "HTTP/1.1 429 Many\r\nX-Id: {id}\r\nX-Not-Run: 1\r\n{said}Content-Length: 0\r\n\r\n"
+                "HTTP/1.1 429 Many\r\nX-Id: {id}\r\nX-Not-Run: 1\r\n{headers}Content-Length: 0\r\n\r\n"
             )
         }
         Script::Busy => format!(
-            "HTTP/1.1 503 Busy\r\nX-Id: {id}\r\nX-Proof: p\r\n{said}Content-Length: 0\r\n\r\n"
+            "HTTP/1.1 503 Busy\r\nX-Id: {id}\r\nX-Proof: p\r\n{headers}Content-Length: 0\r\n\r\n"
         ),
-        // It ran nothing, and says that as well.
+        // It did not run the request, and declares that as well.
         Script::OtherInstance => {
             format!(
-                "HTTP/1.1 421 Other\r\nX-Id: {id}\r\nX-Not-Run: 1\r\n{said}Content-Length: 0\r\n\r\n"
+                "HTTP/1.1 421 Other\r\nX-Id: {id}\r\nX-Not-Run: 1\r\n{headers}Content-Length: 0\r\n\r\n"
             )
         }
         Script::Truncated => format!("{ok}Content-Length: 50\r\n\r\nhello"),
-        // A target that ends never comes here.
+        // A target that crashes is handled before.
         Script::ClosesUnanswered | Script::Crashes => String::new(),
         Script::NoProof => {
-            format!("HTTP/1.1 200 Fine\r\nX-Id: {id}\r\n{said}Content-Length: 5\r\n\r\nhello")
+            format!("HTTP/1.1 200 Fine\r\nX-Id: {id}\r\n{headers}Content-Length: 5\r\n\r\nhello")
         }
         Script::WrongId => ok.replace(&id, "another") + "Content-Length: 5\r\n\r\nhello",
         Script::WrongIdSheds => {
@@ -284,7 +293,7 @@
             format!("{one}{}", one.replace("hello", "again"))
         }
         Script::Hangs => {
-            // It ends when the peer closes; a reset is as good.
+            // The read ends when the peer closes; a reset has the same effect.
             let _ = stream.read(&mut [0; 16]);
             *lock(hang_ups) += 1;
             return;
@@ -294,24 +303,24 @@
                 "{ok}Content-Length: {LONG_ANSWER_BYTES}\r\n\r\n{}",
                 "x".repeat(BEGUN_ANSWER_BYTES)
             );
-            // The box may have gone away, which counts as a hang-up as well.
+            // The box may already have closed, which counts as a hang-up as well.
             let _ = stream.write_all(begun.as_bytes());
             let _ = stream.read(&mut [0; 16]);
             *lock(hang_ups) += 1;
             return;
         }
         Script::WaitsForRelease => {
-            while !gate.load(Ordering::Acquire) {
-                thread::sleep(LOOK_PAUSE);
+            while !released.load(Ordering::Acquire) {
+                thread::sleep(CHECK_INTERVAL);
             }
             format!("{ok}Content-Length: 5\r\n\r\nhello")
         }
         Script::WaitsThenSheds => {
-            while !gate.load(Ordering::Acquire) {
-                thread::sleep(LOOK_PAUSE);
+            while !released.load(Ordering::Acquire) {
+                thread::sleep(CHECK_INTERVAL);
             }
             format!(
-                "HTTP/1.1 503 Full\r\nX-Id: {id}\r\nX-Not-Run: 1\r\n{said}Content-Length: 0\r\n\r\n"
+                "HTTP/1.1 503 Full\r\nX-Id: {id}\r\nX-Not-Run: 1\r\n{headers}Content-Length: 0\r\n\r\n"
             )
         }
         Script::Long | Script::LongTruncated => {
@@ -320,13 +329,13 @@
             format!("{ok}Content-Length: {LONG_ANSWER_BYTES}\r\n\r\n{}", "x".repeat(length))
         }
     };
-    // The box may have gone away, which is the test's business.
+    // The box may already have closed; the test checks that itself.
     let _ = stream.write_all(answer.as_bytes());
     let _ = stream.shutdown(Shutdown::Write);
     let _ = stream.read(&mut [0; 16]);
 }
 
-/// Reads a head and, if wanted, a body by its length.
+/// Reads the head of a message and, with `with_body`, a body of the announced length.
 pub(super) fn read_message(stream: &mut TcpStream, with_body: bool) -> Option<(String, String)> {
     let mut bytes = Vec::new();
     let end = loop {
