--- a/crates/gateway/tests/answers.rs
+++ b/crates/gateway/tests/answers.rs
@@ -1,4 +1,4 @@
-//! What a caller gets for what targets do, and how often targets run it.
+//! The answers that callers get for different behaviours of targets, and how often a request is sent to targets.
 
 mod harness;
 
@@ -15,11 +15,11 @@
 struct AnswerCase {
     name: &'static str,
     kind: RouteKind,
-    /// Scripts of the service's targets.
+    /// Scripts of the targets of the service, one target each.
     scripts: &'static [Script],
     status: u16,
     body: Option<&'static str>,
-    /// Requests that targets got, at least and at most.
+    /// Minimum and maximum number of requests that targets receive.
     sends: (usize, usize),
 }
 
@@ -49,7 +49,7 @@
         sends: (1, 1),
     },
     AnswerCase {
-        name: "an order's failure goes to the caller",
+        name: "the failure of a non-repeatable request is forwarded to the caller",
         kind: ONCE,
         scripts: &[Script::Fails, Script::Fails],
         status: 500,
@@ -57,7 +57,7 @@
         sends: (1, 1),
     },
     AnswerCase {
-        name: "a repeatable failure is tried twice",
+        name: "a repeatable request that fails is sent twice",
         kind: REPEATABLE,
         scripts: &[Script::Fails, Script::Fails],
         status: 500,
@@ -65,7 +65,7 @@
         sends: (2, 2),
     },
     AnswerCase {
-        name: "a repeatable failure, then good",
+        name: "a repeatable request fails at one target and succeeds at the other",
         kind: REPEATABLE,
         scripts: &[Script::Fails, Script::Good],
         status: 200,
@@ -73,7 +73,7 @@
         sends: (1, 2),
     },
     AnswerCase {
-        name: "an order that was shed goes elsewhere",
+        name: "a non-repeatable request that was shed is sent to another target",
         kind: ONCE,
         scripts: &[Script::Sheds, Script::Good],
         status: 200,
@@ -81,7 +81,7 @@
         sends: (1, 2),
     },
     AnswerCase {
-        name: "all shed: not run",
+        name: "all targets shed: not run",
         kind: ONCE,
         scripts: &[Script::Sheds, Script::Sheds],
         status: 503,
@@ -89,7 +89,7 @@
         sends: (2, 2),
     },
     AnswerCase {
-        name: "the refusal of another request says nothing of an order",
+        name: "the refusal of another request does not show that this one did not run",
         kind: ONCE,
         scripts: &[Script::WrongIdSheds, Script::WrongIdSheds],
         status: 502,
@@ -97,7 +97,7 @@
         sends: (1, 1),
     },
     AnswerCase {
-        name: "another instance at the address: not run",
+        name: "another instance listens at the address: not run",
         kind: ONCE,
         scripts: &[Script::OtherInstance],
         status: 503,
@@ -105,7 +105,7 @@
         sends: (1, 1),
     },
     AnswerCase {
-        name: "another instance, then the right one",
+        name: "another instance listens at one address; the other target answers",
         kind: ONCE,
         scripts: &[Script::OtherInstance, Script::Good],
         status: 200,
@@ -113,7 +113,7 @@
         sends: (1, 2),
     },
     AnswerCase {
-        name: "an order cut short is unknown and not repeated",
+        name: "an answer cut short to a non-repeatable request: outcome unknown, no retry",
         kind: ONCE,
         scripts: &[Script::Truncated, Script::Truncated],
         status: 502,
@@ -121,7 +121,7 @@
         sends: (1, 1),
     },
     AnswerCase {
-        name: "a lookup cut short is repeated",
+        name: "an answer cut short to a repeatable request: retry",
         kind: REPEATABLE,
         scripts: &[Script::Truncated, Script::Good],
         status: 200,
@@ -129,7 +129,7 @@
         sends: (1, 2),
     },
     AnswerCase {
-        name: "an order without an answer is unknown and not repeated",
+        name: "no answer to a non-repeatable request: outcome unknown, no retry",
         kind: ONCE,
         scripts: &[Script::ClosesUnanswered, Script::ClosesUnanswered],
         status: 502,
@@ -145,7 +145,7 @@
         sends: (1, 1),
     },
     AnswerCase {
-        name: "another request's answer",
+        name: "the answer to another request",
         kind: ONCE,
         scripts: &[Script::WrongId],
         status: 502,
@@ -163,7 +163,7 @@
 ];
 
 #[test]
-fn callers_get_whole_answers_or_a_true_word() {
+fn callers_get_complete_answers_or_the_correct_failure_status() {
     for case in CASES {
         let store = StoreStandin::default();
         let ids = (0..case.scripts.len()).map(|number| format!("t{number}"));
@@ -192,7 +192,7 @@
     }
 }
 
-/// A box before one target, with a route of each kind to it.
+/// Starts a box with one target, which has a repeatable and a non-repeatable route.
 fn one_target(script: Script) -> (StoreStandin, TargetStandin, BoxUnderTest) {
     let store = StoreStandin::default();
     let target = TargetStandin::start("t", "service", script);
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn what_a_target_gets_is_the_caller_s_request() {
+fn requests_are_forwarded_with_rewritten_headers() {
     let (_store, target, gateway) = one_target(Script::Good);
     let mut caller = gateway.connect();
     let headers =
@@ -223,12 +223,16 @@
     assert_eq!(header(head, "x-hop"), None);
     assert_eq!(head.matches("X-Wanted").count(), 1);
     assert_eq!(header(head, "x-wanted"), Some("t"));
-    let left: u64 = header(head, "x-left").expect("told").parse().expect("a number");
-    assert!(left < 4000, "less than the caller has: {left}");
+    let remaining: u64 =
+        header(head, "x-left").expect("a remaining time").parse().expect("a number");
+    assert!(
+        remaining < 4000,
+        "remaining time {remaining} ms is not less than the caller's 4000 ms"
+    );
 }
 
 #[test]
-fn chunks_with_trailers_are_passed_on_with_a_length() {
+fn a_short_chunked_body_with_trailers_is_forwarded_with_a_content_length() {
     let (_store, target, gateway) = one_target(Script::Good);
     let mut caller = gateway.connect();
     caller.send_raw(
@@ -242,7 +246,7 @@
 }
 
 #[test]
-fn a_second_answer_never_reaches_a_caller() {
+fn surplus_answers_of_a_target_are_not_forwarded() {
     let (_store, _target, gateway) = one_target(Script::AnswersTwice);
     let mut caller = gateway.connect();
     for _ in 0..3 {
@@ -251,7 +255,7 @@
 }
 
 #[test]
-fn an_answer_that_comes_before_the_body_is_read_is_taken() {
+fn an_answer_before_the_target_has_read_the_body_is_forwarded() {
     let (_store, _target, gateway) = one_target(Script::AnswersBeforeBody);
     let mut caller = gateway.connect();
     caller.send("POST", "/order/x", "", &"b".repeat(4 << 20));
@@ -259,32 +263,34 @@
 }
 
 #[test]
-fn a_caller_that_hangs_up_cancels_the_work() {
+fn a_caller_that_disconnects_cancels_the_work() {
     let (_store, target, gateway) = one_target(Script::Hangs);
     let mut caller = gateway.connect();
     caller.send("GET", "/get/x", "", "");
-    eventually("the target works", || target.requests().len() == 1);
+    eventually("the target has received the request", || target.requests().len() == 1);
     drop(caller);
-    eventually("its connection is closed", || target.hang_ups() == 1);
+    eventually("the target's connection is closed", || target.hang_ups() == 1);
 }
 
-/// While a long answer was passed on the caller's side was not watched: the target worked on for
-/// 10 s for a caller that had left.
+/// The caller's connection was not watched while a long answer was forwarded, so the target worked on for 10 s after
+/// the caller had disconnected.
 #[test]
-fn a_caller_that_leaves_within_a_long_answer_cancels_the_work() {
-    const LEFT: &str = "wingbridge_hang_ups_in_answers";
+fn a_caller_that_disconnects_during_a_long_answer_cancels_the_work() {
+    const HANG_UPS: &str = "wingbridge_hang_ups_in_answers";
     start_metrics();
     let (_store, target, gateway) = one_target(Script::LongHangs);
     let mut caller = gateway.connect();
     caller.send("GET", "/get/x", "", "");
     caller.read_beginning(BEGUN_ANSWER_BYTES);
     drop(caller);
-    eventually("its connection is closed", || target.hang_ups() == 1);
-    eventually("the box saw that it left", || counter_value(LEFT) == 1);
+    eventually("the target's connection is closed", || target.hang_ups() == 1);
+    eventually("the box counted the disconnection", || counter_value(HANG_UPS) == 1);
 }
 
-/// A request of that kind that hangs at the only target, with a good one that joins then.
-fn hang_beside_a_good_target(kind: RouteKind) -> (CallerStandin, [TargetStandin; 2], BoxUnderTest) {
+/// Sends a request of the given kind that hangs at the only target, then adds a target that answers.
+fn request_hanging_at_one_target(
+    kind: RouteKind,
+) -> (CallerStandin, [TargetStandin; 2], BoxUnderTest) {
     let store = StoreStandin::default();
     let hangs = TargetStandin::start("hangs", "service", Script::Hangs);
     let good = TargetStandin::start("good", "service", Script::Good);
@@ -294,43 +300,44 @@
     gateway.wait_ready();
     let mut caller = gateway.connect();
     caller.send("POST", "/r/x", "", "body");
-    eventually("it hangs", || hangs.requests().len() == 1);
+    eventually("the first target has received the request", || hangs.requests().len() == 1);
     store.put_targets(vec![hangs.entry.clone(), good.entry.clone()]);
     (caller, [hangs, good], gateway)
 }
 
-/// Requests that hung ended with 504 after one attempt, though half of them could have been
-/// sent again.
+/// Without hedges, requests that hung were answered with 504 after one attempt, though half of them were repeatable.
 #[test]
 fn a_repeatable_request_that_hangs_is_answered_by_another_target() {
-    let (mut caller, [hangs, good], _gateway) = hang_beside_a_good_target(REPEATABLE);
+    let (mut caller, [hangs, good], _gateway) = request_hanging_at_one_target(REPEATABLE);
     let reply = caller.read().expect("an answer");
     assert_eq!((reply.status, reply.body.as_str()), (200, "hello"), "{reply:?}");
     assert_eq!((hangs.requests().len(), good.requests().len()), (1, 1));
-    eventually("what lost the race is cancelled", || hangs.hang_ups() == 1);
+    eventually("the slower attempt is cancelled", || hangs.hang_ups() == 1);
 }
 
-/// An order that hangs may be running.
+/// A non-repeatable request that hangs may be running.
 #[test]
-fn an_order_that_hangs_is_sent_to_nobody_else() {
-    let (_caller, [hangs, good], gateway) = hang_beside_a_good_target(ONCE);
-    // Another request finds the good target, so this box knows of it.
+fn a_non_repeatable_request_that_hangs_is_not_sent_to_another_target() {
+    let (_caller, [hangs, good], gateway) = request_hanging_at_one_target(ONCE);
+    // When another request reaches the second target, the box has added it.
     let mut others = Vec::new();
     while good.requests().is_empty() {
         let mut other = gateway.connect();
         let sends = hangs.requests().len();
         other.send("POST", "/r/other", "", "");
         others.push(other);
-        eventually("it arrives", || hangs.requests().len() > sends || !good.requests().is_empty());
+        eventually("the request reaches a target", || {
+            hangs.requests().len() > sends || !good.requests().is_empty()
+        });
     }
-    // Five times the time after which one that may be repeated is sent again.
+    // Five times the time after which a repeatable request is hedged.
     std::thread::sleep(std::time::Duration::from_millis(1500));
     let sends = hangs.requests().len() + good.requests().len();
-    assert_eq!(sends, 1 + others.len(), "each order went to one target");
+    assert_eq!(sends, 1 + others.len(), "each request was sent to one target only");
 }
 
 #[test]
-fn at_the_end_of_its_time_a_request_that_was_sent_is_unknown() {
+fn a_request_that_was_sent_has_an_unknown_outcome_at_its_deadline() {
     let store = StoreStandin::default();
     let target = TargetStandin::start("t", "service", Script::Hangs);
     let mut short = route("order", "service", ONCE);
@@ -345,12 +352,12 @@
 }
 
 #[test]
-fn a_target_that_can_t_be_reached_costs_an_order_nothing() {
+fn non_repeatable_requests_succeed_beside_an_unreachable_target() {
     let store = StoreStandin::default();
     let good = TargetStandin::start("good", "service", Script::Good);
-    let dead = harness::entry("dead", "service", &format!("{}:9", harness::own_host()));
+    let unreachable = harness::entry("dead", "service", &format!("{}:9", harness::own_host()));
     store.put_config(config(1, vec![route("order", "service", ONCE)]));
-    store.put_targets(vec![good.entry.clone(), dead]);
+    store.put_targets(vec![good.entry.clone(), unreachable]);
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     gateway.wait_ready();
     for _ in 0..10 {
@@ -359,18 +366,18 @@
 }
 
 #[test]
-fn a_long_answer_passes_whole_or_breaks_off_visibly() {
+fn a_long_answer_is_forwarded_completely_or_visibly_truncated() {
     let (_store, target, gateway) = one_target(Script::Long);
     let reply = gateway.request("GET", "/get/x");
     assert!(reply.complete && reply.body.len() == LONG_ANSWER_BYTES);
     target.set_script(Script::LongTruncated);
     let reply = gateway.request("GET", "/get/x");
     assert_eq!(reply.status, 200);
-    assert!(!reply.complete, "the connection closes short of the announced length");
+    assert!(!reply.complete, "the connection is closed before the declared length");
 }
 
 #[test]
-fn what_no_route_takes_is_not_found() {
+fn requests_without_a_route_get_404() {
     let (_store, target, gateway) = one_target(Script::Good);
     assert_eq!(gateway.request("GET", "/unknown/x").status, 404);
     assert_eq!(gateway.request("GET", "/get").status, 404);
@@ -378,7 +385,7 @@
 }
 
 #[test]
-fn a_request_that_says_two_things_is_refused_and_goes_nowhere() {
+fn a_request_with_conflicting_lengths_is_rejected_and_not_forwarded() {
     let (_store, target, gateway) = one_target(Script::Good);
     let mut caller = gateway.connect();
     caller.send_raw("POST /order/x HTTP/1.1\r\nHost: host.example\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd");
--- a/crates/gateway/tests/ended_targets.rs
+++ b/crates/gateway/tests/ended_targets.rs
@@ -1,4 +1,4 @@
-//! What a box notes of a target that closes a connection without an answer.
+//! Whether a box detects that a target which closed a connection without an answer has ended.
 
 mod harness;
 
@@ -9,7 +9,7 @@
 struct EndCase {
     name: &'static str,
     script: Script,
-    /// Targets that a box takes to have ended.
+    /// Number of targets that the box counts as ended.
     ended: u64,
 }
 
@@ -20,10 +20,10 @@
     EndCase { name: "it failed", script: Script::Fails, ended: 0 },
 ];
 
-/// "closed before an answer" stood in the logs alike for targets that had ended and for answers
-/// that were lost on the way: 18 ended targets could only be told by later refusals of connections.
+/// The logs gave "closed before an answer" both for targets that had ended and for answers that were lost on the
+/// way, so that 18 ended targets could be recognized only by later refusals of connections.
 #[test]
-fn a_target_that_ended_is_told_from_one_whose_answer_was_lost() {
+fn an_ended_target_is_distinguished_from_a_lost_answer() {
     start_metrics();
     for case in CASES {
         let target = TargetStandin::start("t", "service", case.script);
--- a/crates/gateway/tests/homes.rs
+++ b/crates/gateway/tests/homes.rs
@@ -1,5 +1,4 @@
-//! Requests that may be served in some regions only: no other region's target sees them, whatever fails at
-//! home.
+//! Requests with home regions: no target of another region receives them, whatever fails in the home regions.
 
 mod harness;
 
@@ -14,10 +13,10 @@
     name: &'static str,
     route: Option<&'static [&'static str]>,
     customer: Option<&'static [&'static str]>,
-    /// What the targets in the region "home" do.
+    /// Script of the target in the region "home".
     script: Script,
     status: u16,
-    /// Whether the target in the region "abroad" may get some.
+    /// Whether the target in the region "abroad" receives requests.
     abroad: bool,
 }
 
@@ -34,7 +33,7 @@
         abroad: true,
     },
     HomeCase {
-        name: "the route's",
+        name: "home region of the route",
         route: Some(HOME),
         customer: None,
         script: Script::Good,
@@ -42,7 +41,7 @@
         abroad: false,
     },
     HomeCase {
-        name: "the customer's",
+        name: "home region of the customer",
         route: None,
         customer: Some(HOME),
         script: Script::Good,
@@ -50,7 +49,7 @@
         abroad: false,
     },
     HomeCase {
-        name: "all at home refuse",
+        name: "all targets in the home region refuse",
         route: Some(HOME),
         customer: None,
         script: Script::Sheds,
@@ -58,7 +57,7 @@
         abroad: false,
     },
     HomeCase {
-        name: "both, with nothing in common",
+        name: "route and customer without a common region",
         route: Some(HOME),
         customer: Some(ABROAD),
         script: Script::Good,
@@ -66,7 +65,7 @@
         abroad: false,
     },
     HomeCase {
-        name: "one that is no region",
+        name: "a home region that does not exist",
         route: Some(&["nowhere"]),
         customer: None,
         script: Script::Good,
@@ -86,9 +85,9 @@
     abroad.entry.data_centre = "elsewhere".into();
     let mut setup = customer("one", &["key-of-one"]);
     setup.customer.home_regions = names(case.customer);
-    let mut taken = route("r", "service", RouteKind::Repeatable);
-    taken.home_regions = names(case.route);
-    let routes = config(1, vec![taken]);
+    let mut home_route = route("r", "service", RouteKind::Repeatable);
+    home_route.home_regions = names(case.route);
+    let routes = config(1, vec![home_route]);
     store.put_config(routes.with_customers(CustomerTable::new(vec![setup])));
     store.put_targets(vec![abroad.entry.clone(), home.entry.clone()]);
     let gateway = BoxUnderTest::start_with(store.port(true), &[], |settings| {
@@ -108,7 +107,7 @@
 }
 
 #[test]
-fn a_request_is_served_in_its_home_regions_alone() {
+fn requests_are_served_only_in_their_home_regions() {
     for case in CASES {
         check(case);
     }
--- a/crates/gateway/tests/requests_ahead.rs
+++ b/crates/gateway/tests/pipelined_requests.rs
@@ -1,6 +1,6 @@
-//! Requests that a caller sends before it has the answer to the one before.
+//! Pipelined requests: those that a caller sends before it has received the answer to the previous one.
 //!
-//! They were worked on one after the other, so that the last of four waited four times as long as each takes.
+//! They were handled one after the other, so that the last of four took four times as long as a single one.
 
 mod harness;
 
@@ -42,7 +42,7 @@
     format!("GET /{route}/x HTTP/1.1\r\nHost: host.example\r\nX-Id: id-{id}\r\n{more}\r\n")
 }
 
-/// Answers on one connection, of which several may come at once.
+/// Reads the answers on one connection, of which several may arrive at once.
 struct Answers {
     caller: CallerStandin,
     bytes: Vec<u8>,
@@ -53,7 +53,7 @@
         Answers { caller, bytes: Vec::new() }
     }
 
-    /// The head of the next answer; `None` if the connection closes before one.
+    /// Returns the head of the next answer; `None` if the connection closes before it is complete.
     fn next_head(&mut self) -> Option<String> {
         loop {
             let text = String::from_utf8_lossy(&self.bytes).into_owned();
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn requests_sent_ahead_are_worked_on_beside_each_other_and_answered_in_order() {
+fn pipelined_requests_run_concurrently_and_are_answered_in_order() {
     let world = world(Script::WaitsForRelease, RouteKind::Repeatable);
     let mut caller = world.gateway.connect();
     let heads: String = (0..4).map(|id| head(id, "r", "")).collect();
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn what_may_run_once_only_waits_for_the_answers_before_it() {
+fn a_non_repeatable_request_waits_for_the_answers_before_it() {
     let world = world(Script::WaitsForRelease, RouteKind::Repeatable);
     let mut caller = world.gateway.connect();
     caller.send_raw(&format!("{}{}{}", head(0, "r", ""), head(1, "other", ""), head(2, "r", "")));
@@ -101,7 +101,7 @@
     thread::sleep(Duration::from_millis(200));
     let once =
         |target: &TargetStandin| target.requests().iter().any(|seen| seen.contains("/other/"));
-    assert!(!world.targets.iter().any(once), "it could stand behind an answer that closes");
+    assert!(!world.targets.iter().any(once), "an earlier answer could still close the connection");
     world.targets.iter().for_each(TargetStandin::release);
     let mut answers = Answers::new(caller);
     for id in 0..3 {
@@ -111,25 +111,25 @@
 }
 
 #[test]
-fn nothing_behind_a_request_that_ends_its_connection_is_run() {
+fn no_request_runs_after_one_that_closes_its_connection() {
     let world = world(Script::Good, RouteKind::Repeatable);
     let mut caller = world.gateway.connect();
     caller.send_raw(&format!("{}{}", head(0, "r", "Connection: close\r\n"), head(1, "r", "")));
     let mut answers = Answers::new(caller);
     assert!(is_served(&answers.next_head().expect("an answer")));
-    assert!(answers.next_head().is_none(), "it is unread");
+    assert!(answers.next_head().is_none(), "the second request is not read");
     assert_eq!(world.requests(), 1);
 }
 
 #[test]
-fn a_planned_stop_loses_none_of_those_it_works_on() {
+fn a_planned_stop_loses_no_open_pipelined_request() {
     let world = world(Script::WaitsForRelease, RouteKind::Repeatable);
     let mut caller = world.gateway.connect();
     let heads: String = (0..3).map(|id| head(id, "r", "")).collect();
     caller.send_raw(&heads);
     eventually("all three have reached targets", || world.requests() >= 3);
     world.gateway.begin_stop();
-    eventually("it stops", || !world.gateway.is_ready());
+    eventually("the box is stopping", || !world.gateway.is_ready());
     caller.send_raw(&head(3, "r", ""));
     thread::sleep(Duration::from_millis(100));
     world.targets.iter().for_each(TargetStandin::release);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_frees_all_of_them() {
+fn a_caller_that_disconnects_cancels_all_pipelined_requests() {
     let world = world(Script::Hangs, RouteKind::Repeatable);
     let mut caller = world.gateway.connect();
     let heads: String = (0..3).map(|id| head(id, "r", "")).collect();
@@ -148,5 +148,5 @@
     eventually("all three have reached targets", || world.requests() >= 3);
     drop(caller);
     let hang_ups = || world.targets.iter().map(TargetStandin::hang_ups).sum::<usize>();
-    eventually("all three are free", || hang_ups() >= 3);
+    eventually("all three attempts are cancelled", || hang_ups() >= 3);
 }
--- a/crates/gateway/tests/retries_without_target.rs
+++ b/crates/gateway/tests/retries_without_target.rs
@@ -1,8 +1,8 @@
-//! A retry that has nowhere to go.
+//! Retries while no other target is eligible.
 //!
-//! A request that failed took a retry of the budget first and looked for another target then. Where all others
-//! rested it was taken for nothing: of 202 refusals of three resting targets 43 were met by retries, and 98 requests were
-//! refused since the budget was used up.
+//! A failed request took a retry from the budget before it looked for another target. If all others were backing off,
+//! that retry was wasted: of 202 refusals by three targets that were backing off, 43 were answers to retries, and 98
+//! requests were refused because the budget was used up.
 
 mod harness;
 
@@ -11,7 +11,7 @@
 use wingbridge_process::metrics::start_metrics;
 
 #[test]
-fn a_retry_that_has_nowhere_to_go_is_not_taken_from_the_budget() {
+fn a_retry_without_an_eligible_target_does_not_use_the_budget() {
     start_metrics();
     let store = StoreStandin::default();
     store.put_config(config(1, vec![route("r", "service", RouteKind::Repeatable)]));
@@ -28,7 +28,11 @@
     }
     let before = counter_value("wingbridge_retries");
     for _ in 0..10 {
-        assert_eq!(gateway.request("GET", "/r/x").status, 500, "the one that is left fails");
+        assert_eq!(
+            gateway.request("GET", "/r/x").status,
+            500,
+            "only the failing target is eligible"
+        );
     }
     assert_eq!(counter_value("wingbridge_retries"), before);
 }
