--- a/crates/gateway/src/view_exchange.rs
+++ b/crates/gateway/src/view_exchange.rs
@@ -93,8 +93,7 @@
 ) -> Result<M, WireError> {
     let address = SocketAddr::new(host, context.settings.exchange.port());
     let exchange = async {
-        let late =
-            |_| WireError::new(ErrorKind::Io, format!("no connection within {CONNECT_TIMEOUT:?}"));
+        let late = |_| WireError::new(ErrorKind::Io, "no connection was established in time");
         let stream =
             timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.map_err(late)??;
         stream.set_nodelay(true)?;
