--- a/crates/gateway/tests/cold_targets.rs
+++ b/crates/gateway/tests/cold_targets.rs
@@ -1,8 +1,8 @@
-//! Targets that are cold take few requests a second from all boxes together.
+//! Targets that are cold get few requests per second from all boxes together.
 //!
-//! One got 18 in a second where it bore 5.5 and 16.2 were allowed: that it is slow was a price in the choice, and
-//! boxes that each found it idle sent to it at once. The bound is over all boxes, so that it is kept by the same
-//! permits as the limits that targets name.
+//! A cold target got 18 requests in a second where it could serve 5.5 and 16.2 were allowed: its slowness was
+//! only a cost in the choice of targets, and boxes that each saw it idle sent to it at once. The rate is now
+//! limited over all boxes, with the same permits as the limits that targets report.
 
 mod harness;
 
@@ -16,17 +16,17 @@
 use wingbridge_decide::steer::RequestRate;
 use wingbridge_gateway::routes::RouteKind;
 
-/// What a cold target takes in these tests, in requests a second.
+/// Rate of a cold target in these tests, in requests per second.
 const RATE: f64 = 4.0;
-/// What may come in any second: one and a half times that, and the operators' slack.
-const MOST: usize = 14;
-/// Time in which all boxes have heard of a listing, and of each other.
-const NEWS_TIME: Duration = Duration::from_secs(3);
-/// For how long boxes are asked.
-const ASKED_FOR: Duration = Duration::from_secs(5);
-/// Boxes of a test.
+/// Maximum number of requests in any second: one and a half times the rate, plus the operators' slack.
+const MAX_PER_SECOND: usize = 14;
+/// Time within which all boxes have received a listing and found each other.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Time for which requests are counted.
+const LOAD_TIME: Duration = Duration::from_secs(5);
+/// Number of boxes.
 const BOXES: usize = 6;
-/// Time between two requests to one box.
+/// Time between the answer of a box and the next request to it.
 const PAUSE: Duration = Duration::from_millis(5);
 
 struct World {
@@ -42,7 +42,7 @@
         let cold = TargetStandin::start("cold", "service", Script::Good);
         let warm = TargetStandin::start("warm", "service", Script::Good);
         let routes = vec![route("r", "service", RouteKind::AtMostOnce)];
-        let rates = [("service".into(), RequestRate::new(RATE).expect("above 0"))];
+        let rates = [("service".into(), RequestRate::new(RATE).expect("the rate is positive"))];
         store.put_config(config(1, routes).with_cold_rates(rates.into()));
         let hosts: Vec<_> = (0..BOXES).map(|_| own_host()).collect();
         let mut world = World { store, cold, warm, boxes: Vec::new() };
@@ -51,10 +51,10 @@
             let port = world.store.port(true);
             world.boxes.push(BoxUnderTest::start_at(*host, port, &hosts, |_| {}));
         }
-        for started in &world.boxes {
-            started.wait_ready();
+        for gateway in &world.boxes {
+            gateway.wait_ready();
         }
-        thread::sleep(NEWS_TIME);
+        thread::sleep(SETTLE_TIME);
         world
     }
 
@@ -67,25 +67,28 @@
 }
 
 #[test]
-fn six_boxes_keep_to_what_a_cold_target_takes_and_use_it() {
+fn boxes_together_keep_the_rate_of_a_cold_target_and_still_use_it() {
     let world = World::start();
-    let ask = |gateway: &BoxUnderTest| drop(gateway.request("POST", "/r/x"));
-    let from = request_while(&world.boxes, ask, PAUSE, || {
+    let request = |gateway: &BoxUnderTest| drop(gateway.request("POST", "/r/x"));
+    let from = request_while(&world.boxes, request, PAUSE, || {
         world.list(true);
-        thread::sleep(NEWS_TIME);
+        thread::sleep(SETTLE_TIME);
         let from = Instant::now();
-        thread::sleep(ASKED_FOR);
+        thread::sleep(LOAD_TIME);
         from
     });
     let arrivals = world.cold.arrivals();
-    let most = max_within(&arrivals, from, Duration::from_secs(1));
-    assert!(most <= MOST, "{most} in a second");
+    let peak = max_within(&arrivals, from, Duration::from_secs(1));
+    assert!(peak <= MAX_PER_SECOND, "the target got {peak} requests in a second");
     let used = arrivals.iter().filter(|at| **at >= from).count();
-    assert!(used >= ASKED_FOR.as_secs() as usize, "{used}: it is to be used all the same");
+    assert!(
+        used >= LOAD_TIME.as_secs() as usize,
+        "the cold target got only {used} requests in {LOAD_TIME:?}"
+    );
     world.list(false);
     let before = world.cold.requests().len();
-    eventually("warm again, it is asked as before", || {
-        world.boxes.iter().for_each(|asked| drop(asked.request("POST", "/r/x")));
+    eventually("the warm target is used without the limit", || {
+        world.boxes.iter().for_each(|gateway| drop(gateway.request("POST", "/r/x")));
         world.cold.requests().len() >= before + 60
     });
 }
--- a/crates/gateway/tests/evacuations.rs
+++ b/crates/gateway/tests/evacuations.rs
@@ -1,7 +1,7 @@
-//! Data centres to whose targets operators want nothing sent.
+//! Evacuated data centres: operators want no requests sent to the targets in them.
 //!
-//! Their word stands in the store, and nothing read it: an evacuated data centre went on getting its part of
-//! all requests, thousands of them after the time by which it had to be empty.
+//! The evacuations were written to the store, but boxes did not read them: an evacuated data centre went on
+//! getting its share of all requests, thousands of them after the time by which it had to be empty.
 
 mod harness;
 
@@ -12,28 +12,29 @@
 };
 use wingbridge_gateway::routes::RouteKind;
 
-/// More requests than would miss a target by chance.
-const ASKED: usize = 40;
-/// Bytes of a configuration that is not read with each listing.
-const LARGE: usize = 100 << 10;
+/// Number of requests after which a target that is in use has got one almost certainly.
+const REQUESTS: usize = 40;
+/// Size in bytes of a configuration that is read separately from the listing.
+const LARGE_CONFIG_BYTES: usize = 100 << 10;
 
 struct World {
     store: StoreStandin,
-    /// One in the boxes' own data centre, one elsewhere.
-    near: TargetStandin,
-    far: TargetStandin,
+    /// The target in the data centre of the boxes.
+    local: TargetStandin,
+    /// The target in another data centre.
+    remote: TargetStandin,
 }
 
 impl World {
     fn new(padding: usize) -> World {
         let store = StoreStandin::default();
-        let near = TargetStandin::start("near", "service", Script::Good);
-        let mut far = TargetStandin::start("far", "service", Script::Good);
-        far.entry.data_centre = "elsewhere".into();
+        let local = TargetStandin::start("near", "service", Script::Good);
+        let mut remote = TargetStandin::start("far", "service", Script::Good);
+        remote.entry.data_centre = "elsewhere".into();
         store.set_padding(padding);
         store.put_config(config(1, vec![route("r", "service", RouteKind::AtMostOnce)]));
-        store.put_targets(vec![far.entry.clone(), near.entry.clone()]);
-        World { store, near, far }
+        store.put_targets(vec![remote.entry.clone(), local.entry.clone()]);
+        World { store, local, remote }
     }
 
     fn start(&self, reachable: bool, seeds: &[IpAddr]) -> BoxUnderTest {
@@ -43,74 +44,74 @@
     }
 }
 
-/// Waits until the box sends nothing to `target`, and asks it often enough to be sure.
-fn sends_nothing(gateway: &BoxUnderTest, target: &TargetStandin) {
-    eventually("nothing more is sent there", || {
+/// Waits until none of [`REQUESTS`] requests to the box reaches `target`.
+fn wait_unused(gateway: &BoxUnderTest, target: &TargetStandin) {
+    eventually("no more requests are sent to the target", || {
         let before = target.requests().len();
-        (0..ASKED).all(|_| gateway.request("POST", "/r/x").status == 200)
+        (0..REQUESTS).all(|_| gateway.request("POST", "/r/x").status == 200)
             && target.requests().len() == before
     });
 }
 
-fn sends_again(gateway: &BoxUnderTest, target: &TargetStandin) {
+fn wait_used(gateway: &BoxUnderTest, target: &TargetStandin) {
     let before = target.requests().len();
-    eventually("it gets requests again", || {
+    eventually("the target gets requests", || {
         gateway.request("POST", "/r/x");
         target.requests().len() > before
     });
 }
 
 #[test]
-fn an_evacuated_data_centre_gets_nothing_until_it_is_taken_back() {
-    for padding in [0, LARGE] {
+fn an_evacuated_data_centre_gets_no_requests_until_it_is_restored() {
+    for padding in [0, LARGE_CONFIG_BYTES] {
         let world = World::new(padding);
         let gateway = world.start(true, &[]);
-        sends_again(&gateway, &world.near);
+        wait_used(&gateway, &world.local);
         world.store.put_evacuated(&["centre"]);
-        sends_nothing(&gateway, &world.near);
+        wait_unused(&gateway, &world.local);
         world.store.put_evacuated(&[]);
-        sends_again(&gateway, &world.near);
+        wait_used(&gateway, &world.local);
     }
 }
 
 #[test]
-fn an_evacuation_outlasts_listings_restarts_and_an_absent_store() {
+fn an_evacuation_persists_over_listings_restarts_and_store_outages() {
     let world = World::new(0);
     world.store.put_evacuated(&["centre"]);
     let gateway = world.start(true, &[]);
-    sends_nothing(&gateway, &world.near);
-    world.store.put_targets(vec![world.far.entry.clone(), world.near.entry.clone()]);
+    wait_unused(&gateway, &world.local);
+    world.store.put_targets(vec![world.remote.entry.clone(), world.local.entry.clone()]);
     world.store.set_history_lost(true);
-    sends_nothing(&gateway, &world.near);
+    wait_unused(&gateway, &world.local);
     let second = world.start(true, &[gateway.host()]);
     world.store.set_unreachable(true);
-    sends_nothing(&gateway, &world.near);
-    sends_nothing(&second, &world.near);
+    wait_unused(&gateway, &world.local);
+    wait_unused(&second, &world.local);
     assert!(
-        world.near.requests().is_empty(),
-        "a box that starts knows it before its first request"
+        world.local.requests().is_empty(),
+        "a starting box has the evacuation before its first request"
     );
 }
 
 #[test]
-fn a_box_that_can_t_reach_the_store_hears_of_it_by_its_peers() {
+fn a_box_without_the_store_gets_evacuations_from_peers() {
     let world = World::new(0);
     let reader = world.start(true, &[own_host()]);
     let cut_off = world.start(false, &[reader.host()]);
-    sends_again(&cut_off, &world.near);
+    wait_used(&cut_off, &world.local);
     world.store.put_evacuated(&["centre"]);
-    sends_nothing(&cut_off, &world.near);
+    wait_unused(&cut_off, &world.local);
     world.store.put_evacuated(&[]);
-    sends_again(&cut_off, &world.near);
+    wait_used(&cut_off, &world.local);
 }
 
 #[test]
-fn with_all_data_centres_evacuated_requests_are_refused_at_once() {
+fn requests_are_refused_at_once_if_all_data_centres_are_evacuated() {
     let world = World::new(0);
     let gateway = world.start(true, &[]);
     world.store.put_evacuated(&["centre", "elsewhere", "nowhere"]);
     eventually("requests are refused", || gateway.request("POST", "/r/x").status == 503);
-    let before = (world.near.requests().len(), world.far.requests().len());
-    assert!((0..ASKED).all(|_| gateway.request("POST", "/r/x").status == 503));
-    assert_eq!((world.near.requests().len(), world.far.requests().len()), before);
+    let before = (world.local.requests().len(), world.remote.requests().len());
+    assert!((0..REQUESTS).all(|_| gateway.request("POST", "/r/x").status == 503));
+    assert_eq!((world.local.requests().len(), world.remote.requests().len()), before);
 }
--- a/crates/gateway/tests/exchange.rs
+++ b/crates/gateway/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Questions between boxes, as raw messages: who is sent what, and what nonsense does.
+//! Requests between boxes, as raw messages: what a peer is sent, and the effect of invalid messages.
 
 mod harness;
 
@@ -33,58 +33,58 @@
     store
 }
 
-fn ask_config(host: IpAddr, revision: u64) -> ConfigReply {
+fn fetch_config(host: IpAddr, revision: u64) -> ConfigReply {
     let question = ExchangeQuestion::Config(ConfigRequest { revision });
     exchange_on(&connect_exchange(host), Some(question)).expect("it answers")
 }
 
 #[test]
-fn a_peer_is_sent_what_is_new_to_it() {
+fn a_peer_is_sent_the_delta_of_the_configuration() {
     let store = store();
     store.set_noise(200_000);
     store.put_config(config(2, vec![route("r", "service", RouteKind::Repeatable)]));
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     gateway.wait_ready();
-    let first = ask_config(gateway.host(), 0);
+    let first = fetch_config(gateway.host(), 0);
     assert_eq!((first.deltas.len(), first.deltas[0].from), (1, 0));
-    let text = apply_patch(b"", &first.deltas[0].patch).expect("it fits the empty text");
+    let text = apply_patch(b"", &first.deltas[0].patch).expect("the patch fits the empty text");
     assert!(text.len() > 200_000);
     store.put_config(config(3, vec![route("later", "service", RouteKind::Repeatable)]));
     eventually("the change is in force", || gateway.request("GET", "/later/x").status != 404);
-    // A box works by a configuration a moment before it can hand it on: what is new has to be worked out.
-    eventually("it is handed on", || {
-        ask_config(gateway.host(), first.revision).revision > first.revision
+    // A configuration is in force a moment before the box can send it, because the delta is computed first.
+    eventually("the change can be fetched", || {
+        fetch_config(gateway.host(), first.revision).revision > first.revision
     });
-    let second = ask_config(gateway.host(), first.revision);
+    let second = fetch_config(gateway.host(), first.revision);
     assert_eq!((second.deltas.len(), second.deltas[0].from), (1, first.revision));
-    let patched = apply_patch(&text, &second.deltas[0].patch).expect("it fits its base");
+    let patched = apply_patch(&text, &second.deltas[0].patch).expect("the patch fits its base");
     assert_eq!(patched[0], b'3');
-    assert!(second.encoded_len() < 5_000, "what is the same is not sent");
-    let unknown = ask_config(gateway.host(), first.revision - 1);
-    assert_eq!(unknown.deltas[0].from, 0, "a peer with another one has all of it sent");
-    assert_eq!(ask_config(gateway.host(), second.revision).deltas, []);
+    assert!(second.encoded_len() < 5_000, "unchanged text is not sent again");
+    let unknown = fetch_config(gateway.host(), first.revision - 1);
+    assert_eq!(unknown.deltas[0].from, 0, "a peer with an unknown revision is sent the full text");
+    assert_eq!(fetch_config(gateway.host(), second.revision).deltas, []);
 }
 
-struct RoomCase {
+struct TransferCase {
     name: &'static str,
     link_mbps: u32,
     bytes: usize,
-    /// Boxes that are sent it at once, of twenty that ask.
+    /// Number of concurrent transfers for twenty requests.
     sent: usize,
 }
 
-const ROOM: &[RoomCase] = &[
-    RoomCase { name: "a narrow link", link_mbps: 10, bytes: 100_000, sent: 3 },
-    RoomCase { name: "an unknown one", link_mbps: 0, bytes: 100_000, sent: 3 },
-    RoomCase { name: "a wide one", link_mbps: 200, bytes: 100_000, sent: 16 },
-    RoomCase { name: "little to send", link_mbps: 10, bytes: 4_000, sent: 20 },
+const TRANSFERS: &[TransferCase] = &[
+    TransferCase { name: "low capacity", link_mbps: 10, bytes: 100_000, sent: 3 },
+    TransferCase { name: "unknown capacity", link_mbps: 0, bytes: 100_000, sent: 3 },
+    TransferCase { name: "high capacity", link_mbps: 200, bytes: 100_000, sent: 16 },
+    TransferCase { name: "a small configuration", link_mbps: 10, bytes: 4_000, sent: 20 },
 ];
 
-/// One box sent a configuration to all of its data centre at once, each of them too slowly.
+/// A box that sent a configuration to all boxes of its data centre at once served each of them too slowly.
 #[test]
-fn a_large_configuration_goes_to_a_few_at_a_time() {
+fn a_large_configuration_is_sent_to_a_few_peers_at_a_time() {
     let mut random = SmallRng::seed_from_u64(3);
-    for case in ROOM {
+    for case in TRANSFERS {
         let source = ConfigSource::new(case.link_mbps);
         let text: Vec<u8> = (0..case.bytes).map(|_| random.random()).collect();
         source.put(ConfigText { revision: 7, text: text.into() }, Vec::new());
@@ -102,57 +102,57 @@
         source.record_seeder(holder, 7);
         assert_eq!(ask().message().seeders, ["10.0.0.9"], "{}", case.name);
         replies.remove(0);
-        assert!(!ask().message().busy, "{}: one has been sent", case.name);
+        assert!(!ask().message().busy, "{}: a transfer slot is free", case.name);
         assert!(
             ask().message().deltas.len() == 1,
-            "{}: a reply that is dropped makes room",
+            "{}: a dropped reply frees its transfer slot",
             case.name
         );
     }
 }
 
 #[test]
-fn targets_are_told_as_a_difference() {
-    let [stays, leaves] =
+fn targets_are_sent_as_a_delta() {
+    let [kept, removed] =
         ["stays", "leaves"].map(|id| TargetStandin::start(id, "service", Script::Good));
     let store = store();
-    store.put_targets(vec![leaves.entry.clone(), stays.entry.clone()]);
+    store.put_targets(vec![removed.entry.clone(), kept.entry.clone()]);
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     gateway.wait_ready();
     let all = fetch_targets(gateway.host(), 0);
     assert_eq!((all.base, unpacked(&all).len()), (0, 2));
-    let digest = all.version.expect("it knows some").digest;
-    store.put_targets(vec![stays.entry.clone()]);
-    let mut news = TargetsReply::default();
-    eventually("one is gone", || {
-        news = fetch_targets(gateway.host(), digest);
-        news.version.is_some_and(|mark| mark.digest != digest)
+    let digest = all.version.expect("the box has a listing").digest;
+    store.put_targets(vec![kept.entry.clone()]);
+    let mut delta = TargetsReply::default();
+    eventually("the removal arrives", || {
+        delta = fetch_targets(gateway.host(), digest);
+        delta.version.is_some_and(|version| version.digest != digest)
     });
-    assert_eq!((news.base, unpacked(&news).len()), (digest, 0));
-    assert_eq!(news.removed, ["leaves"]);
-    assert_eq!(fetch_targets(gateway.host(), 77).base, 0, "an unknown listing");
+    assert_eq!((delta.base, unpacked(&delta).len()), (digest, 0));
+    assert_eq!(delta.removed, ["leaves"]);
+    assert_eq!(fetch_targets(gateway.host(), 77).base, 0, "an unknown base gets the full listing");
 }
 
 #[test]
-fn a_question_of_no_kind_ends_its_connection_alone() {
+fn a_request_without_a_kind_ends_only_its_connection() {
     let gateway = BoxUnderTest::start(store().port(true), &[]);
     gateway.wait_ready();
     assert!(exchange_on::<TargetsReply>(&connect_exchange(gateway.host()), None).is_err());
     assert!(fetch_targets(gateway.host(), 0).version.is_some());
 }
 
-/// In a data centre with links of 10 and 200 Mbit/s a box with 10 read for all, and a large
-/// configuration or listing took a second before anybody had it.
+/// In a data centre with links of 10 and 200 Mbit/s, a box with 10 Mbit/s read the store for all, and a
+/// large configuration or listing took a second until any box had it.
 #[test]
-fn boxes_with_more_room_on_their_links_read_first() {
-    let (wide, narrow) = (store(), store());
-    let reader = BoxUnderTest::start_with(wide.port(true), &[], |settings| {
+fn boxes_with_more_link_capacity_read_first() {
+    let (fast, slow) = (store(), store());
+    let reader = BoxUnderTest::start_with(fast.port(true), &[], |settings| {
         settings.link_mbps = 200;
     });
     reader.wait_ready();
     let others: Vec<BoxUnderTest> = (0..4)
         .map(|_| {
-            BoxUnderTest::start_with(narrow.port(true), &[reader.host()], |settings| {
+            BoxUnderTest::start_with(slow.port(true), &[reader.host()], |settings| {
                 settings.link_mbps = 10;
             })
         })
@@ -160,30 +160,30 @@
     for other in &others {
         other.wait_ready();
     }
-    // Once they know each other, the box with more room reads for all.
-    eventually("the others don't read", || {
-        let before = (wide.reads(), narrow.reads());
+    // Once the boxes have found each other, the one with the fast link reads for all.
+    eventually("the boxes with slow links don't read", || {
+        let before = (fast.reads(), slow.reads());
         thread::sleep(Duration::from_millis(1500));
-        wide.reads() > before.0 && narrow.reads() == before.1
+        fast.reads() > before.0 && slow.reads() == before.1
     });
 }
 
-/// A box that hears of a newer configuration for longer than a change may take and can't get
-/// it works by one that it knows to be old: callers are sent to others.
+/// A box that has learned of a newer configuration and can't fetch it within the time of a change serves
+/// an outdated one. It reports that it is not ready, so that callers are sent to other boxes.
 #[test]
-fn a_box_that_knows_that_it_is_behind_is_not_ready() {
+fn a_box_with_a_stale_configuration_is_not_ready() {
     let gateway = BoxUnderTest::start(store().port(true), &[]);
     gateway.wait_ready();
     let peer = PeerStandin::start(own_host());
-    let mark = ViewVersion { config_revision: 9, ..ViewVersion::default() };
-    eventually("it leaves the balancer", || {
-        peer.tell(&gateway, mark);
+    let version = ViewVersion { config_revision: 9, ..ViewVersion::default() };
+    eventually("the box is not ready", || {
+        peer.send_heartbeat(&gateway, version);
         !gateway.is_ready()
     });
-    assert_ne!(gateway.request("GET", "/r/x").status, 404, "what still comes is served");
+    assert_ne!(gateway.request("GET", "/r/x").status, 404, "requests that still arrive are served");
 }
 
-/// A peer that tells what a test wants and answers each question with the next reply of a list.
+/// A peer that sends heartbeats and replies as a test defines them.
 struct PeerStandin {
     host: IpAddr,
     socket: UdpSocket,
@@ -195,14 +195,14 @@
         PeerStandin { host, socket }
     }
 
-    /// Tells a box what this peer holds.
-    fn tell(&self, gateway: &BoxUnderTest, mark: ViewVersion) {
+    /// Sends a heartbeat with the version of this peer's view to a box.
+    fn send_heartbeat(&self, gateway: &BoxUnderTest, version: ViewVersion) {
         let datagram = Datagram {
             box_id: "peer".into(),
             data_centre: "centre".into(),
             incarnation: 1,
             body: Some(DatagramBody::Heartbeat(Heartbeat {
-                view_version: Some(mark),
+                view_version: Some(version),
                 ..Heartbeat::default()
             })),
             link_mbps: 0,
@@ -211,7 +211,7 @@
         self.socket.send_to(&datagram.encode_to_vec(), address).expect("loopback");
     }
 
-    /// Answers all questions by `reply`, which is told each of them.
+    /// Answers each request with the result of `reply`.
     fn answer<M: Message + Default>(
         &self,
         mut reply: impl FnMut(ExchangeQuestion) -> M + Send + 'static,
@@ -220,9 +220,9 @@
         let listener = task::block_on(TcpListener::bind(address)).expect("an address of its own");
         task::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let asked: Result<ExchangeRequest, WireError> = receive_message(&stream).await;
-                if let Ok(ExchangeRequest { question: Some(question) }) = asked {
-                    // A box that has gone needs no answer.
+                let received: Result<ExchangeRequest, WireError> = receive_message(&stream).await;
+                if let Ok(ExchangeRequest { question: Some(question) }) = received {
+                    // The box may have closed the connection; it needs no reply then.
                     let _ = send_message(&stream, &reply(question)).await;
                 }
             }
@@ -230,22 +230,23 @@
     }
 }
 
-/// A difference that does not make the listing that was told is not taken: all of it is asked for.
+/// A delta that does not result in the listing of the reported digest is not applied, and the full listing
+/// is requested instead.
 #[test]
-fn a_difference_that_makes_something_else_is_not_taken() {
-    let [known, strange] =
+fn a_delta_with_the_wrong_result_is_not_applied() {
+    let [listed, unlisted] =
         ["known", "strange"].map(|id| TargetStandin::start(id, "service", Script::Good));
     let store = store();
-    store.put_targets(vec![known.entry.clone()]);
+    store.put_targets(vec![listed.entry.clone()]);
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     gateway.wait_ready();
     let peer = PeerStandin::start(own_host());
-    let mark = ViewVersion { revision: u64::MAX, digest: 77, ..ViewVersion::default() };
-    let whole_asked = Arc::new(AtomicBool::new(false));
-    let asked = Arc::clone(&whole_asked);
+    let version = ViewVersion { revision: u64::MAX, digest: 77, ..ViewVersion::default() };
+    let full_requested = Arc::new(AtomicBool::new(false));
+    let requested = Arc::clone(&full_requested);
     let record = TargetRecord {
         id: "strange".into(),
-        address: strange.entry.address.to_string(),
+        address: unlisted.entry.address.to_string(),
         service: "service".into(),
         data_centre: "centre".into(),
         slots: 1,
@@ -256,29 +257,29 @@
             ExchangeQuestion::Targets(request) => request.digest,
             ExchangeQuestion::Config(_) => 0,
         };
-        asked.fetch_or(digest == 0, Ordering::Relaxed);
-        // Without a mark the whole listing is none: the box keeps what it has.
-        let told = (digest != 0).then_some(mark);
+        requested.fetch_or(digest == 0, Ordering::Relaxed);
+        // A full listing without a version is ignored: the box keeps its own.
+        let sent_version = (digest != 0).then_some(version);
         TargetsReply {
-            version: told,
+            version: sent_version,
             base: digest,
             parts: packed(vec![record.clone()]),
             ..TargetsReply::default()
         }
     });
-    eventually("all of it is asked for", || {
-        peer.tell(&gateway, mark);
-        whole_asked.load(Ordering::Relaxed)
+    eventually("the full listing is requested", || {
+        peer.send_heartbeat(&gateway, version);
+        full_requested.load(Ordering::Relaxed)
     });
     for _ in 0..20 {
         assert_eq!(gateway.request("GET", "/r/x").status, 200);
     }
-    assert_eq!(strange.requests().len(), 0);
+    assert_eq!(unlisted.requests().len(), 0);
 }
 
-/// Steps that lead elsewhere, or that don't follow, change nothing.
+/// Deltas with the wrong result, or with the wrong base, are not applied.
 #[test]
-fn steps_that_make_something_else_are_not_taken() {
+fn configuration_deltas_with_the_wrong_base_or_result_are_not_applied() {
     let gateway = BoxUnderTest::start(store().port(true), &[]);
     gateway.wait_ready();
     let peer = PeerStandin::start(own_host());
@@ -286,19 +287,23 @@
     let count = Arc::clone(&answered);
     peer.answer(move |_| {
         let number = count.fetch_add(1, Ordering::Relaxed);
-        let step = |from, hash| ConfigDelta { from, to: 9, hash, patch: make_patch(b"", b"9") };
-        let steps = match number % 3 {
-            0 => vec![step(0, 1)],
-            1 => vec![step(5, 1)],
-            _ => vec![step(0, 1), step(3, 1)],
+        let delta = |from, hash| ConfigDelta { from, to: 9, hash, patch: make_patch(b"", b"9") };
+        let deltas = match number % 3 {
+            0 => vec![delta(0, 1)],
+            1 => vec![delta(5, 1)],
+            _ => vec![delta(0, 1), delta(3, 1)],
         };
-        ConfigReply { revision: 9, deltas: steps, ..ConfigReply::default() }
+        ConfigReply { revision: 9, deltas, ..ConfigReply::default() }
     });
-    let mark = ViewVersion { config_revision: 9, ..ViewVersion::default() };
-    eventually("each was sent", || {
-        peer.tell(&gateway, mark);
+    let version = ViewVersion { config_revision: 9, ..ViewVersion::default() };
+    eventually("all three replies were sent", || {
+        peer.send_heartbeat(&gateway, version);
         answered.load(Ordering::Relaxed) >= 3
     });
-    assert_ne!(gateway.request("GET", "/r/x").status, 404, "the configuration before is in force");
-    assert_eq!(ask_config(gateway.host(), 0).revision, 1);
+    assert_ne!(
+        gateway.request("GET", "/r/x").status,
+        404,
+        "the previous configuration stays in force"
+    );
+    assert_eq!(fetch_config(gateway.host(), 0).revision, 1);
 }
--- a/crates/gateway/tests/first_view.rs
+++ b/crates/gateway/tests/first_view.rs
@@ -1,4 +1,4 @@
-//! A box that has just started: what it must know before it takes callers.
+//! A box that has just started: the configuration and the targets must have arrived before it is ready.
 
 mod harness;
 
@@ -23,44 +23,44 @@
 use wingbridge_wire::{receive_message, send_message};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The configuration as the stand-in writes it.
+/// The configuration as the store stand-in writes it.
 const TEXT: &[u8] = b"1\n";
-/// The peer's view of the store.
-const MARK: ViewVersion =
+/// The version of the peer's view of the store.
+const VERSION: ViewVersion =
     ViewVersion { revision: 2, age_ms: 0, digest: 99, config_revision: 1, config_age_ms: 0 };
 
-/// A peer that hands its configuration over at once, and its targets once `lists` is set.
+/// A peer that sends its configuration at once, and its targets only after `sends_targets` is set.
 struct SlowPeer {
     host: IpAddr,
     socket: UdpSocket,
-    lists: Arc<AtomicBool>,
+    sends_targets: Arc<AtomicBool>,
 }
 
 impl SlowPeer {
     fn start(target: TargetRecord) -> SlowPeer {
         let host = own_host();
         let listener = TcpListener::bind((host, EXCHANGE)).expect("its own address");
-        let lists = Arc::new(AtomicBool::new(false));
-        let listing = Arc::clone(&lists);
+        let sends_targets = Arc::new(AtomicBool::new(false));
+        let for_connections = Arc::clone(&sends_targets);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (stream, target) = (TcpStream::from(stream), target.clone());
-                let listing = Arc::clone(&listing);
-                thread::spawn(move || task::block_on(serve(&stream, target, &listing)));
+                let sends_targets = Arc::clone(&for_connections);
+                thread::spawn(move || task::block_on(serve(&stream, target, &sends_targets)));
             }
         });
         let socket = UdpSocket::bind((host, GOSSIP)).expect("its own address");
-        SlowPeer { host, socket, lists }
+        SlowPeer { host, socket, sends_targets }
     }
 
-    /// Tells a box how new what it has is.
-    fn tell(&self, to: IpAddr) {
-        let beacon = Heartbeat { view_version: Some(MARK), ..Heartbeat::default() };
+    /// Sends a heartbeat with the version of this peer's view to a box.
+    fn send_heartbeat(&self, to: IpAddr) {
+        let heartbeat = Heartbeat { view_version: Some(VERSION), ..Heartbeat::default() };
         let datagram = Datagram {
             box_id: format!("peer-{}", self.host),
             data_centre: "centre".into(),
             incarnation: 7,
-            body: Some(DatagramBody::Heartbeat(beacon)),
+            body: Some(DatagramBody::Heartbeat(heartbeat)),
             link_mbps: 0,
         };
         let to = SocketAddr::new(to, GOSSIP);
@@ -68,22 +68,22 @@
     }
 }
 
-async fn serve(stream: &TcpStream, target: TargetRecord, lists: &AtomicBool) {
-    // A box that gave up has closed, which ends it here as well.
+async fn serve(stream: &TcpStream, target: TargetRecord, sends_targets: &AtomicBool) {
+    // A box that timed out has closed the connection.
     let Ok(ExchangeRequest { question: Some(question) }) = receive_message(stream).await else {
         return;
     };
     let sent = match question {
         ExchangeQuestion::Config(_) => {
             let patch = make_patch(b"", TEXT);
-            let step = ConfigDelta { from: 0, to: 1, hash: xxh3_64(TEXT), patch };
-            let reply = ConfigReply { revision: 1, deltas: vec![step], ..ConfigReply::default() };
+            let delta = ConfigDelta { from: 0, to: 1, hash: xxh3_64(TEXT), patch };
+            let reply = ConfigReply { revision: 1, deltas: vec![delta], ..ConfigReply::default() };
             send_message(stream, &reply).await
         }
-        ExchangeQuestion::Targets(_) if lists.load(Ordering::Acquire) => {
+        ExchangeQuestion::Targets(_) if sends_targets.load(Ordering::Acquire) => {
             let targets = vec![target];
             let reply = TargetsReply {
-                version: Some(MARK),
+                version: Some(VERSION),
                 parts: packed(targets),
                 ..TargetsReply::default()
             };
@@ -94,10 +94,10 @@
     let _ = sent;
 }
 
-/// Boxes that all start at once have the configuration from a peer before its targets: on a day
-/// on which all were killed twice 729 requests were told that no target takes them.
+/// Boxes that all start at once get the configuration from a peer before the targets. When all boxes were
+/// killed twice in a day, 729 requests were refused because no target was listed.
 #[test]
-fn a_box_that_lacks_the_targets_takes_no_callers() {
+fn a_box_without_targets_is_not_ready() {
     let target = TargetStandin::start("t", "service", Script::Good);
     let store = StoreStandin::default();
     store.put_config(config(1, vec![route("r", "service", RouteKind::Repeatable)]));
@@ -112,15 +112,15 @@
     };
     let peer = SlowPeer::start(record);
     let gateway = BoxUnderTest::start(store.port(true), &[]);
-    eventually("it misses the store", || store.reads() > 0);
+    eventually("a reading of the store has failed", || store.reads() > 0);
     eventually("the configuration is in force", || {
-        peer.tell(gateway.host());
+        peer.send_heartbeat(gateway.host());
         gateway.request("GET", "/none/x").status == 404
     });
-    assert!(!gateway.is_ready(), "it would turn each caller away");
-    peer.lists.store(true, Ordering::Release);
-    eventually("it has the targets", || {
-        peer.tell(gateway.host());
+    assert!(!gateway.is_ready(), "without targets it would refuse each request");
+    peer.sends_targets.store(true, Ordering::Release);
+    eventually("the box is ready with the targets", || {
+        peer.send_heartbeat(gateway.host());
         gateway.is_ready()
     });
     assert_eq!(gateway.request("GET", "/r/x").status, 200);
--- a/crates/gateway/tests/long_listings.rs
+++ b/crates/gateway/tests/long_listings.rs
@@ -1,8 +1,10 @@
-//! Listings of thousands of targets: read as news, handed on whole in parts and else as differences.
+//! Listings of thousands of targets: the store is polled for their changes, and peers are sent deltas, or
+//! all targets in parts.
 //!
-//! At 987 boxes before 10,001 targets each reading took 51 calls to the store, and a box that heard too late of
-//! its peers read for itself: 1,070 calls a second, boxes of 160 MB with 430 MB, 29 of them ended. The
-//! cause: what a box read, held and told grew with the targets, and not with what had changed.
+//! With 987 boxes and 10,001 targets, each reading took 51 calls to the store, and a box that was notified
+//! too late by its peers read the store itself: 1,070 calls a second. Boxes of 160 MB grew to 430 MB, and
+//! 29 of them ended. The work and memory of a reading, of the held listing and of a reply to a peer were
+//! proportional to the number of targets instead of the number of changes.
 
 mod harness;
 
@@ -19,95 +21,96 @@
 use wingbridge_wire::gossip::{ExchangeQuestion, ExchangeRequest, TargetsRequest};
 use wingbridge_wire::send_message;
 
-/// More than are listed whole each time, and than go into two parts.
+/// More targets than are listed in full each time, and more than fit into two parts.
 const TARGETS: usize = 1_200;
-/// Requests that show where a box sends.
-const ASKED: usize = 20;
+/// Requests that show whether a box uses the target.
+const REQUESTS: usize = 20;
 
-/// Targets of a service that nobody asks for.
-fn many() -> Vec<TargetEntry> {
+/// Returns targets of a service that gets no requests.
+fn unused_targets() -> Vec<TargetEntry> {
     let address = |number: usize| format!("10.0.{}.{}:80", number / 200, number % 200 + 1);
     (0..TARGETS).map(|number| entry(&format!("n{number:05}"), "other", &address(number))).collect()
 }
 
-fn world() -> (StoreStandin, TargetStandin) {
+fn start_store_and_target() -> (StoreStandin, TargetStandin) {
     let store = StoreStandin::default();
     let target = TargetStandin::start("t", "service", Script::Good);
     store.put_config(config(1, vec![route("r", "service", RouteKind::AtMostOnce)]));
-    let mut targets = many();
+    let mut targets = unused_targets();
     targets.push(target.entry.clone());
     store.put_targets(targets);
     (store, target)
 }
 
-fn served(gateway: &BoxUnderTest) -> usize {
-    (0..ASKED).filter(|_| gateway.request("POST", "/r/x").status == 200).count()
+fn count_served(gateway: &BoxUnderTest) -> usize {
+    (0..REQUESTS).filter(|_| gateway.request("POST", "/r/x").status == 200).count()
 }
 
 #[test]
-fn changes_of_a_long_listing_are_read_as_news() {
-    let (store, target) = world();
+fn a_long_listing_is_polled_for_changes() {
+    let (store, target) = start_store_and_target();
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     gateway.wait_ready();
-    assert_eq!(served(&gateway), ASKED);
-    eventually("news is asked for", || store.change_requests() > 0);
-    store.put_targets(many());
-    eventually("the target gets nothing more", || served(&gateway) == 0);
-    let mut targets = many();
+    assert_eq!(count_served(&gateway), REQUESTS);
+    eventually("the store is polled for changes", || store.change_requests() > 0);
+    store.put_targets(unused_targets());
+    eventually("the removed target gets no more requests", || count_served(&gateway) == 0);
+    let mut targets = unused_targets();
     targets.push(target.entry.clone());
     store.put_targets(targets.clone());
-    eventually("it is used again", || served(&gateway) == ASKED);
-    // A store that forgets sends it back to a listing.
+    eventually("the target is used again", || count_served(&gateway) == REQUESTS);
+    // A store that has discarded its history makes the box list the targets again.
     store.set_history_lost(true);
     targets.pop();
     store.put_targets(targets);
-    eventually("the listing is read", || served(&gateway) == 0);
+    eventually("the full listing is read", || count_served(&gateway) == 0);
 }
 
 #[test]
-fn a_box_that_can_t_reach_the_store_has_a_long_listing_from_its_peers() {
-    let (store, target) = world();
+fn a_box_without_the_store_gets_a_long_listing_from_peers() {
+    let (store, target) = start_store_and_target();
     let reader = BoxUnderTest::start(store.port(true), &[]);
     reader.wait_ready();
     let cut_off = BoxUnderTest::start(store.port(false), &[reader.host()]);
     cut_off.wait_ready();
-    eventually("it serves", || served(&cut_off) == ASKED);
-    store.put_targets(many());
-    eventually("it hears of the change", || served(&cut_off) == 0);
+    eventually("the box serves requests", || count_served(&cut_off) == REQUESTS);
+    store.put_targets(unused_targets());
+    eventually("the change arrives from the peer", || count_served(&cut_off) == 0);
     assert!(target.requests().len() >= 2);
 }
 
-/// A connection on which all targets were asked for.
-fn question(host: IpAddr) -> TcpStream {
+/// Opens a connection and sends a request for all targets on it.
+fn request_all_targets(host: IpAddr) -> TcpStream {
     let stream = connect_exchange(host);
     let question = ExchangeQuestion::Targets(TargetsRequest { digest: 0 });
     let request = ExchangeRequest { question: Some(question) };
-    task::block_on(send_message(&stream, &request)).expect("it reads");
+    task::block_on(send_message(&stream, &request)).expect("the box reads requests");
     stream
 }
 
 #[test]
-fn a_long_listing_goes_in_parts_of_a_few_bytes_a_target() {
-    let (store, _target) = world();
+fn a_long_listing_is_sent_in_compressed_parts() {
+    let (store, _target) = start_store_and_target();
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     gateway.wait_ready();
     let reply = fetch_targets(gateway.host(), 0);
     assert_eq!((reply.parts.len(), unpacked(&reply).len()), (TARGETS / 500 + 1, TARGETS + 1));
     let bytes: usize = reply.parts.iter().map(Vec::len).sum();
-    assert!(bytes < TARGETS * 40, "{bytes}");
+    assert!(bytes < TARGETS * 40, "{bytes} bytes for {TARGETS} targets");
 }
 
-/// Two hundred boxes that all fetch the same long change at once had it from a few, one after the other, in time.
+/// If two hundred boxes fetch the same long change at once, all replies in parallel exceed the capacity of the
+/// link. Sent by each box to a few peers at a time, the change reaches all of them in time.
 #[test]
-fn a_long_reply_goes_to_a_few_at_a_time_and_the_others_are_told_so() {
-    let (store, _target) = world();
+fn a_long_reply_is_sent_to_a_few_peers_at_a_time_and_others_get_busy() {
+    let (store, _target) = start_store_and_target();
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     gateway.wait_ready();
-    // Callers that ask and don't read hold the places.
-    let holds: Vec<TcpStream> = (0..40).map(|_| question(gateway.host())).collect();
+    // Peers that send a request and don't read the reply occupy the transfer slots.
+    let unread: Vec<TcpStream> = (0..40).map(|_| request_all_targets(gateway.host())).collect();
     let reply = fetch_targets(gateway.host(), 0);
-    let is_whole = unpacked(&reply).len() == TARGETS + 1;
-    assert!(reply.busy != is_whole, "it is either told to come back or has all of it");
-    drop(holds);
-    eventually("there is room again", || !fetch_targets(gateway.host(), 0).busy);
+    let is_complete = unpacked(&reply).len() == TARGETS + 1;
+    assert!(reply.busy != is_complete, "the reply is either busy or has all targets");
+    drop(unread);
+    eventually("a transfer slot is free again", || !fetch_targets(gateway.host(), 0).busy);
 }
--- a/crates/gateway/tests/news.rs
+++ b/crates/gateway/tests/view_deltas.rs
@@ -1,5 +1,5 @@
-//! What boxes tell each other of targets and configurations: the delta, and never
-//! anything but what the other one holds.
+//! Deltas of listings and configurations between boxes, and the revisions from which the store is polled.
+//! A delta must reproduce exactly what the sender holds.
 
 mod harness;
 
@@ -14,12 +14,12 @@
 use wingbridge_gateway::text_patch::{PatchError, apply_patch, make_patch};
 use wingbridge_gateway::view::{CachedView, ConfigText, PeerListingDelta, StoreView, TargetEntry};
 
-/// Routes of a large configuration, some 170 bytes each.
+/// Number of routes of a large configuration, about 170 bytes each.
 const ROUTES: usize = 4200;
 
 fn routes(numbers: impl Iterator<Item = usize>, weight: usize) -> Vec<u8> {
     let route = |number: usize| {
-        // Names are in no order, so that new ones come in between.
+        // The names are in random order, so that new routes are inserted between the others.
         let name = number.wrapping_mul(0x9E37_79B9_7F4A_7C15) % 100_000_007;
         format!(
             r#""r-{name:x}":{{"host":"h{name}.example","path_prefix":"/p{name:o}/","kind":"idempotent","timeout":"3000ms","goal":"1200ms","backends":[{{"service":"s","weight":{weight}}}],"attempts":2}}"#
@@ -34,40 +34,45 @@
     name: &'static str,
     old: Vec<u8>,
     new: Vec<u8>,
-    /// Bytes that the patch may have at most.
-    most: usize,
+    /// Maximum size of the patch in bytes.
+    max_bytes: usize,
 }
 
-/// The figures are those that the product plans its times by: 10 Mbit/s carry 125 KB in a
-/// tenth of a second.
+/// The sizes are those that the time budget of a change allows for: a link with 10 Mbit/s carries 125 KB in
+/// a tenth of a second.
 #[test]
-fn a_patch_has_little_more_than_what_is_new() {
+fn a_patch_is_little_larger_than_the_change() {
     let base = || routes(0..ROUTES, 10);
     let mut one_weight = base();
     let at = one_weight.len() / 2;
     let digit = one_weight[at..].iter().position(|byte| *byte == b'9').expect("a number");
     one_weight[at + digit] = b'8';
     let cases = [
-        PatchCase { name: "nothing", old: base(), new: base(), most: 32 },
-        PatchCase { name: "one figure", old: base(), new: one_weight, most: 512 },
+        PatchCase { name: "no change", old: base(), new: base(), max_bytes: 32 },
+        PatchCase { name: "one changed digit", old: base(), new: one_weight, max_bytes: 512 },
         PatchCase {
-            name: "a third more",
+            name: "a third more routes",
             old: base(),
             new: routes(0..ROUTES / 3 * 4, 10),
-            most: 120_000,
+            max_bytes: 120_000,
+        },
+        PatchCase { name: "all routes removed", old: base(), new: b"{}".to_vec(), max_bytes: 64 },
+        PatchCase {
+            name: "the first configuration",
+            old: Vec::new(),
+            new: base(),
+            max_bytes: 320_000,
         },
-        PatchCase { name: "all gone", old: base(), new: b"{}".to_vec(), most: 64 },
-        PatchCase { name: "the first", old: Vec::new(), new: base(), most: 320_000 },
     ];
     for case in cases {
         let patch = make_patch(&case.old, &case.new);
-        assert!(patch.len() <= case.most, "{}: {} bytes", case.name, patch.len());
+        assert!(patch.len() <= case.max_bytes, "{}: {} bytes", case.name, patch.len());
         assert_eq!(apply_patch(&case.old, &patch), Ok(case.new), "{}", case.name);
     }
 }
 
 #[test]
-fn a_patch_that_makes_too_much_is_refused_before_it_does() {
+fn a_patch_with_too_large_a_result_is_refused_before_it_is_applied() {
     let mut patch = make_patch(b"", b"text");
     patch[..4].copy_from_slice(&u32::MAX.to_le_bytes());
     assert_eq!(apply_patch(b"", &patch), Err(PatchError::TooLong));
@@ -87,23 +92,23 @@
 
 proptest! {
     #[test]
-    fn a_patch_makes_the_new_text_of_the_old_one(old in text(), new in text()) {
+    fn a_patch_turns_the_old_text_into_the_new_one(old in text(), new in text()) {
         prop_assert_eq!(apply_patch(&old, &make_patch(&old, &new)), Ok(new));
     }
 
     #[test]
-    fn a_patch_that_was_spoiled_harms_nobody(old in text(), new in text(), at: usize, byte: u8) {
+    fn a_corrupted_patch_does_not_panic(old in text(), new in text(), at: usize, byte: u8) {
         let mut patch = make_patch(&old, &new);
         let at = at % patch.len();
         patch[at] = byte;
-        // What comes of it is told apart by the hash that goes with it.
+        // A wrong result is detected by the hash that is sent with the patch.
         let _ = apply_patch(&old, &patch[..at]);
         let _ = apply_patch(&old, &patch);
     }
 
-    /// A peer that holds any of the last listings makes the newest one of the delta.
+    /// A peer that holds any of the last listings gets the newest one by applying the delta.
     #[test]
-    fn a_difference_makes_the_listing_of_an_earlier_one(
+    fn a_delta_turns_an_earlier_listing_into_the_newest_one(
         listings in proptest::collection::vec(
             proptest::collection::btree_map(0u8..12, (any::<bool>(), 0u8..3), 0..12),
             2..12,
@@ -111,7 +116,7 @@
         from: usize,
     ) {
         let start = Instant::now();
-        let mut known = CachedView::default();
+        let mut cached = CachedView::default();
         let mut held: Vec<(u64, Vec<TargetEntry>)> = Vec::new();
         for (number, listing) in listings.iter().enumerate() {
             let target = |(id, (draining, port)): (&u8, &(bool, u8))| TargetEntry {
@@ -120,38 +125,38 @@
             };
             let targets: Vec<TargetEntry> = listing.iter().map(target).collect();
             let listing = TargetListing { revision: number as u64 + 1, targets: targets.clone(), evacuated: Vec::new() };
-            known.apply_listing(listing, start + Duration::from_millis(700 * number as u64));
-            held.push((known.digest(), targets));
+            cached.apply_listing(listing, start + Duration::from_millis(700 * number as u64));
+            held.push((cached.digest(), targets));
         }
         let (digest, old) = &held[from % held.len()];
         let (newest_digest, newest) = &held[held.len() - 1];
-        // The newest one itself may not be in the record: it has led nowhere yet.
-        let Some(delta) = known.delta_from(*digest) else {
+        // The newest listing itself may not be in the history: no change has started from it yet.
+        let Some(delta) = cached.delta_from(*digest) else {
             prop_assert_eq!(digest, newest_digest);
             return Ok(());
         };
         let listing = TargetListing { revision: 1, targets: old.clone(), evacuated: Vec::new() };
         let mut peer = CachedView::default();
         peer.apply_listing(listing, start);
-        let revision = known.revision();
-        let told = PeerListingDelta { revision, digest: *newest_digest, delta, ..Default::default() };
-        let other = PeerListingDelta { digest: newest_digest ^ 1, ..told.clone() };
-        prop_assert!(peer.merge_delta(other, start).is_none(), "it makes another listing");
-        prop_assert!(peer.merge_delta(told, start).is_some());
+        let revision = cached.revision();
+        let received = PeerListingDelta { revision, digest: *newest_digest, delta, ..Default::default() };
+        let other = PeerListingDelta { digest: newest_digest ^ 1, ..received.clone() };
+        prop_assert!(peer.merge_delta(other, start).is_none(), "the digest is of another listing");
+        prop_assert!(peer.merge_delta(received, start).is_some());
         prop_assert_eq!(&peer.listed().cloned().collect::<Vec<_>>(), newest);
         prop_assert_eq!(peer.digest(), *newest_digest);
     }
 
-    /// What is handed on of each change, one after the other, is what takes work in the end.
+    /// The updates of all changes, applied in order, result in the targets that take requests.
     #[test]
-    fn updates_lead_to_what_takes_work(
+    fn updates_result_in_the_usable_targets(
         listings in proptest::collection::vec(
             proptest::collection::btree_map(0u8..8, (any::<bool>(), 0u64..3), 0..8),
             1..12,
         ),
     ) {
         let start = Instant::now();
-        let mut known = CachedView::default();
+        let mut cached = CachedView::default();
         let mut used: BTreeMap<TargetKey, TargetEntry> = BTreeMap::new();
         for (number, listing) in listings.iter().enumerate() {
             let target = |(id, (draining, born_ms)): (&u8, &(bool, u64))| TargetEntry {
@@ -160,16 +165,16 @@
                 ..entry(&format!("{id:02}"), "s", "10.0.0.1:80")
             };
             let targets = listing.iter().map(target).collect();
-            // Each third one comes after an outage, and lets what is missing lapse.
+            // Each third listing is read after an outage, after which missing targets lapse.
             let at = start + Duration::from_secs(number as u64 + number as u64 / 3 * 5);
             let listing = TargetListing { revision: number as u64 + 1, targets, evacuated: Vec::new() };
-            known.apply_listing(listing, at);
-            known.drop_lapsed(at);
-            let update = known.take_update();
+            cached.apply_listing(listing, at);
+            cached.drop_lapsed(at);
+            let update = cached.take_update();
             update.removed.iter().for_each(|key| drop(used.remove(key)));
             used.extend(update.updated.into_iter().map(|target| (key_of(&target), target)));
             let all: BTreeMap<TargetKey, TargetEntry> =
-                known.usable(at).into_iter().map(|target| (key_of(target), target.clone())).collect();
+                cached.usable(at).into_iter().map(|target| (key_of(target), target.clone())).collect();
             prop_assert_eq!(&used, &all);
         }
     }
@@ -179,13 +184,13 @@
     TargetKey::of_incarnation(&target.id, target.born_ms)
 }
 
-/// A listing and a configuration grow old apart, each by what was heard of it.
+/// The ages of the listing and of the configuration are independent.
 #[test]
-fn targets_and_configuration_have_an_age_each() {
+fn targets_and_configuration_have_separate_ages() {
     let port = StoreStandin::default();
     port.put_config(config(1, vec![route("r", "s", RouteKind::Repeatable)]));
     let port = port.port(true);
-    let (mut known, start) = (CachedView::default(), Instant::now());
+    let (mut cached, start) = (CachedView::default(), Instant::now());
     let config = Some(ConfigText { revision: 5, text: b"1".as_slice().into() });
     let view = StoreView {
         revision: 9,
@@ -194,90 +199,103 @@
         targets: Vec::new(),
         ..StoreView::default()
     };
-    known.apply(view, start, &*port);
-    assert_eq!(known.oldest(), Some(start));
+    cached.apply(view, start, &*port);
+    assert_eq!(cached.oldest(), Some(start));
     let later = start + Duration::from_millis(700);
-    known.apply_listing(
+    cached.apply_listing(
         TargetListing { revision: 12, targets: Vec::new(), evacuated: Vec::new() },
         later,
     );
-    assert_eq!((known.as_of(), known.config_as_of()), (Some(later), Some(start)));
-    known.confirm_config(4, later);
-    assert_eq!(known.oldest(), Some(start), "an older configuration says nothing of this one");
-    known.confirm_config(5, later);
-    assert_eq!(known.oldest(), Some(later));
-    known.confirm_config(5, start);
-    assert_eq!(known.oldest(), Some(later), "a late word makes nothing older");
+    assert_eq!((cached.as_of(), cached.config_as_of()), (Some(later), Some(start)));
+    cached.confirm_config(4, later);
+    assert_eq!(
+        cached.oldest(),
+        Some(start),
+        "a confirmation of an older configuration does not count"
+    );
+    cached.confirm_config(5, later);
+    assert_eq!(cached.oldest(), Some(later));
+    cached.confirm_config(5, start);
+    assert_eq!(cached.oldest(), Some(later), "a late confirmation does not increase the age");
 }
 
-/// A configuration that is confirmed more often than the targets are read left nothing to ask from: each reading
-/// of a long listing was of all its pages.
+/// If the configuration was confirmed more often than the targets were read, the history had no revision to poll
+/// from, and each reading of a long listing took all its pages.
 #[test]
-fn news_of_targets_is_asked_for_though_the_configuration_is_known_to_be_newer() {
+fn targets_are_polled_if_the_configuration_was_confirmed_later() {
     let store = StoreStandin::default();
     store.put_config(config(1, vec![route("r", "s", RouteKind::Repeatable)]));
     let port = store.port(true);
-    let (mut known, start) = (CachedView::default(), Instant::now());
+    let (mut cached, start) = (CachedView::default(), Instant::now());
     let at = |millis| start + Duration::from_millis(millis);
     let config = Some(ConfigText { revision: 50, text: b"1".as_slice().into() });
-    known.apply(
+    cached.apply(
         StoreView { revision: 50, config_revision: 50, config, ..Default::default() },
         start,
         &*port,
     );
     for (millis, revision) in [(1_400, 60), (2_800, 70), (4_200, 80)] {
         let listing = TargetListing { revision, ..TargetListing::default() };
-        known.apply_listing(listing, at(millis));
-        known.confirm_config(50, at(millis + 1_300));
+        cached.apply_listing(listing, at(millis));
+        cached.confirm_config(50, at(millis + 1_300));
     }
-    // It is known since 2.8 s, 1.4 s before the last reading; that of 1.4 s is the newest that is safe.
-    assert_eq!(known.target_poll_revision(), Some(50));
+    // The revision that was recorded at 2.8 s is only 1.4 s older than the last reading. The newest one that is old
+    // enough was recorded at 1.4 s.
+    assert_eq!(cached.target_poll_revision(), Some(50));
 }
 
-struct NewsCase {
+struct PollCase {
     name: &'static str,
-    /// Milliseconds from the first reading, and its revision.
+    /// Listings after the first reading: the milliseconds since then, and the revision.
     listings: &'static [(u64, u64)],
-    /// When it was last known that the configuration is the newest.
+    /// Milliseconds since the first reading at which the configuration was last confirmed.
     confirmed: u64,
+    /// Revision from which the store is polled.
     from: u64,
 }
 
-/// News is asked for from what was known a while before the configuration was last confirmed,
-/// since a store may hide the last second before it forgets its history; but never from before
-/// the configuration that is held, which had it sent two or three times.
-const NEWS: &[NewsCase] = &[
-    NewsCase { name: "at once", listings: &[], confirmed: 0, from: 50 },
-    NewsCase { name: "soon", listings: &[(700, 60), (1400, 70)], confirmed: 1500, from: 50 },
-    NewsCase {
-        name: "later",
+/// The store is polled from a revision that was held some time before the configuration was last confirmed,
+/// because it may omit the changes of the last second before it discards its history. The revision is never older
+/// than the configuration that is held, as polling from an older one transferred the configuration two or three times.
+const POLLS: &[PollCase] = &[
+    PollCase { name: "without listings", listings: &[], confirmed: 0, from: 50 },
+    PollCase {
+        name: "confirmed after a short time",
+        listings: &[(700, 60), (1400, 70)],
+        confirmed: 1500,
+        from: 50,
+    },
+    PollCase {
+        name: "confirmed later",
         listings: &[(700, 60), (1400, 70), (2800, 80)],
         confirmed: 2900,
         from: 60,
     },
-    NewsCase { name: "much later", listings: &[(700, 60), (1400, 70)], confirmed: 9000, from: 60 },
-    NewsCase {
-        name: "targets alone were heard of",
+    PollCase {
+        name: "confirmed much later",
+        listings: &[(700, 60), (1400, 70)],
+        confirmed: 9000,
+        from: 60,
+    },
+    PollCase {
+        name: "only targets were received",
         listings: &[(700, 60), (1400, 70), (2800, 80), (9000, 90)],
         confirmed: 0,
         from: 50,
     },
 ];
 
-/// Symptom: none was seen; it was read in the code, and is shown by the last case above.
-/// Sequence: a box hears of targets by a listing that is newer than a change of the
-/// configuration, reads the configuration late, asks for news since that listing, and is told
-/// of none.
-/// Cause: what was heard of targets counted as known of the configuration.
-/// What settled it: with that planted the last case asks from 70 in place of 50.
+/// A box that receives a listing newer than a change of the configuration, and polls for the configuration
+/// from the revision of that listing, gets no change and keeps an outdated configuration. Revisions of
+/// listings must not count for the configuration: if they do, the last case above polls from 70 instead of 50.
 #[test]
-fn news_is_asked_for_from_a_revision_that_is_safe() {
+fn the_configuration_is_polled_from_a_safe_revision() {
     let store = StoreStandin::default();
     store.put_config(config(1, vec![route("r", "s", RouteKind::Repeatable)]));
     let port = store.port(true);
-    for case in NEWS {
-        let (mut known, start) = (CachedView::default(), Instant::now());
-        assert_eq!(known.config_poll_revision(), None, "{}", case.name);
+    for case in POLLS {
+        let (mut cached, start) = (CachedView::default(), Instant::now());
+        assert_eq!(cached.config_poll_revision(), None, "{}", case.name);
         let config = Some(ConfigText { revision: 50, text: b"1".as_slice().into() });
         let view = StoreView {
             revision: 50,
@@ -286,14 +304,14 @@
             targets: Vec::new(),
             ..StoreView::default()
         };
-        known.apply(view, start, &*port);
+        cached.apply(view, start, &*port);
         let at = |millis| start + Duration::from_millis(millis);
         for (millis, revision) in case.listings {
             let listing =
                 TargetListing { revision: *revision, targets: Vec::new(), evacuated: Vec::new() };
-            known.apply_listing(listing, at(*millis));
+            cached.apply_listing(listing, at(*millis));
         }
-        known.confirm_config(50, at(case.confirmed));
-        assert_eq!(known.config_poll_revision(), Some(case.from), "{}", case.name);
+        cached.confirm_config(50, at(case.confirmed));
+        assert_eq!(cached.config_poll_revision(), Some(case.from), "{}", case.name);
     }
 }
--- a/crates/gateway/tests/views.rs
+++ b/crates/gateway/tests/views.rs
@@ -1,4 +1,4 @@
-//! Views of the store: what a box takes, keeps and drops.
+//! The box's view of the store: which readings are applied, and which targets stay in use or are dropped.
 
 mod harness;
 
@@ -8,7 +8,7 @@
 use wingbridge_gateway::routes::RouteKind;
 use wingbridge_gateway::view::{CachedView, ConfigText, StoreView, TargetEntry};
 
-/// A gap after which the store counts as having been away.
+/// Gap between two readings that counts as an outage of the store.
 const OUTAGE: Duration = Duration::from_secs(5);
 
 fn view(revision: u64, targets: &[TargetEntry]) -> StoreView {
@@ -21,9 +21,9 @@
     }
 }
 
-fn ids(known: &CachedView, now: Instant) -> Vec<String> {
+fn ids(cached: &CachedView, now: Instant) -> Vec<String> {
     let mut ids: Vec<String> =
-        known.usable(now).iter().map(|target| target.id.to_string()).collect();
+        cached.usable(now).iter().map(|target| target.id.to_string()).collect();
     ids.sort();
     ids
 }
@@ -33,68 +33,68 @@
 }
 
 #[test]
-fn a_target_that_is_gone_or_leaves_gets_nothing() {
+fn removed_and_draining_targets_are_not_used() {
     let port = StoreStandin::default().port(true);
-    let (mut known, start) = (CachedView::default(), Instant::now());
-    known.apply(view(1, &[named("a"), named("b"), named("c")]), start, &*port);
-    let mut leaving = named("b");
-    leaving.draining = true;
+    let (mut cached, start) = (CachedView::default(), Instant::now());
+    cached.apply(view(1, &[named("a"), named("b"), named("c")]), start, &*port);
+    let mut draining_b = named("b");
+    draining_b.draining = true;
     let soon = start + Duration::from_millis(500);
-    let change = known.apply(view(2, &[named("a"), leaving]), soon, &*port);
-    assert_eq!(ids(&known, soon), ["a"]);
+    let change = cached.apply(view(2, &[named("a"), draining_b]), soon, &*port);
+    assert_eq!(ids(&cached, soon), ["a"]);
     assert_eq!(change.departed.len(), 2);
-    // An older reading that arrives late brings nothing back.
-    known.apply(view(1, &[named("a"), named("b"), named("c")]), soon, &*port);
-    assert_eq!(ids(&known, soon), ["a"]);
-    // Nor does a leaving target come back under its name.
-    known.apply(view(3, &[named("a"), named("b")]), soon, &*port);
-    assert_eq!(ids(&known, soon), ["a"]);
-    // One that was cut from the store does.
-    known.apply(view(4, &[named("a"), named("c")]), soon, &*port);
-    assert_eq!(ids(&known, soon), ["a", "c"]);
+    // An older reading that arrives late does not restore them.
+    cached.apply(view(1, &[named("a"), named("b"), named("c")]), soon, &*port);
+    assert_eq!(ids(&cached, soon), ["a"]);
+    // A drained incarnation does not return, even if it is listed again.
+    cached.apply(view(3, &[named("a"), named("b")]), soon, &*port);
+    assert_eq!(ids(&cached, soon), ["a"]);
+    // A target that was cut off from the store returns when it is listed again.
+    cached.apply(view(4, &[named("a"), named("c")]), soon, &*port);
+    assert_eq!(ids(&cached, soon), ["a", "c"]);
 }
 
 #[test]
-fn entries_that_an_outage_took_have_two_seconds_to_return() {
+fn targets_missing_after_an_outage_have_two_seconds_to_return() {
     let port = StoreStandin::default().port(true);
-    let (mut known, start) = (CachedView::default(), Instant::now());
-    known.apply(view(1, &[named("a"), named("b"), named("c")]), start, &*port);
+    let (mut cached, start) = (CachedView::default(), Instant::now());
+    cached.apply(view(1, &[named("a"), named("b"), named("c")]), start, &*port);
     let back = start + OUTAGE;
-    known.apply(view(2, &[named("a")]), back, &*port);
-    assert_eq!(ids(&known, back), ["a", "b", "c"], "lapsed ones are used on");
+    cached.apply(view(2, &[named("a")]), back, &*port);
+    assert_eq!(ids(&cached, back), ["a", "b", "c"], "lapsed targets stay in use");
     let later = back + Duration::from_millis(1500);
-    known.apply(view(3, &[named("a"), named("b")]), later, &*port);
-    assert_eq!(ids(&known, later), ["a", "b", "c"]);
+    cached.apply(view(3, &[named("a"), named("b")]), later, &*port);
+    assert_eq!(ids(&cached, later), ["a", "b", "c"]);
     let over = back + Duration::from_millis(2100);
-    assert_eq!(ids(&known, over), ["a", "b"], "one that did not return is gone");
-    assert!(known.drop_lapsed(over));
-    assert!(!known.drop_lapsed(over));
+    assert_eq!(ids(&cached, over), ["a", "b"], "a target that did not return is dropped");
+    assert!(cached.drop_lapsed(over));
+    assert!(!cached.drop_lapsed(over));
 }
 
 #[test]
-fn a_target_that_left_before_an_outage_stays_away() {
+fn a_target_that_drained_before_an_outage_is_not_used_after_it() {
     let port = StoreStandin::default().port(true);
-    let (mut known, start) = (CachedView::default(), Instant::now());
-    let mut leaving = named("b");
-    leaving.draining = true;
-    known.apply(view(1, &[named("a"), leaving]), start, &*port);
+    let (mut cached, start) = (CachedView::default(), Instant::now());
+    let mut draining_b = named("b");
+    draining_b.draining = true;
+    cached.apply(view(1, &[named("a"), draining_b]), start, &*port);
     let back = start + OUTAGE;
-    known.apply(view(2, &[named("a")]), back, &*port);
-    assert_eq!(ids(&known, back), ["a"]);
+    cached.apply(view(2, &[named("a")]), back, &*port);
+    assert_eq!(ids(&cached, back), ["a"]);
 }
 
 #[test]
-fn an_age_never_grows_younger_by_an_old_reading() {
+fn an_older_reading_does_not_change_the_age() {
     let port = StoreStandin::default().port(true);
-    let (mut known, start) = (CachedView::default(), Instant::now());
+    let (mut cached, start) = (CachedView::default(), Instant::now());
     let late = start + Duration::from_secs(1);
-    known.apply(view(5, &[named("a")]), late, &*port);
-    known.confirm(5, start);
-    assert_eq!(known.as_of(), Some(late));
-    known.confirm(4, late + Duration::from_secs(1));
-    assert_eq!(known.as_of(), Some(late), "a peer that is behind confirms nothing");
-    known.confirm(6, late + Duration::from_secs(2));
-    assert_eq!((known.revision(), known.as_of()), (6, Some(late + Duration::from_secs(2))));
+    cached.apply(view(5, &[named("a")]), late, &*port);
+    cached.confirm(5, start);
+    assert_eq!(cached.as_of(), Some(late));
+    cached.confirm(4, late + Duration::from_secs(1));
+    assert_eq!(cached.as_of(), Some(late), "a peer with an older listing confirms nothing");
+    cached.confirm(6, late + Duration::from_secs(2));
+    assert_eq!((cached.revision(), cached.as_of()), (6, Some(late + Duration::from_secs(2))));
 }
 
 struct ConfigCase {
@@ -105,24 +105,29 @@
 }
 
 const CONFIGS: &[ConfigCase] = &[
-    ConfigCase { name: "the first", version: 3, decodes: true, in_force: 3 },
-    ConfigCase { name: "a newer one", version: 5, decodes: true, in_force: 5 },
-    ConfigCase { name: "one that can't be read", version: 6, decodes: false, in_force: 5 },
-    ConfigCase { name: "an older one", version: 4, decodes: true, in_force: 5 },
-    ConfigCase { name: "a good one again", version: 7, decodes: true, in_force: 7 },
+    ConfigCase { name: "the first version", version: 3, decodes: true, in_force: 3 },
+    ConfigCase { name: "a newer version", version: 5, decodes: true, in_force: 5 },
+    ConfigCase { name: "a version that can't be decoded", version: 6, decodes: false, in_force: 5 },
+    ConfigCase { name: "an older version", version: 4, decodes: true, in_force: 5 },
+    ConfigCase {
+        name: "a valid version after the refused ones",
+        version: 7,
+        decodes: true,
+        in_force: 7,
+    },
 ];
 
 #[test]
-fn configurations_never_go_back_and_bad_ones_change_nothing() {
+fn older_and_malformed_configurations_are_refused() {
     let store = StoreStandin::default();
     let port = store.port(true);
-    let mut known = CachedView::default();
+    let mut cached = CachedView::default();
     for (number, case) in CONFIGS.iter().enumerate() {
         store.put_config(config(case.version, vec![route("r", "s", RouteKind::Repeatable)]));
         let text = if case.decodes { case.version.to_string() } else { "cut".into() };
         let revision = number as u64 + 1;
         let config = Some(ConfigText { revision, text: text.into_bytes().into() });
-        let change = known.apply(
+        let change = cached.apply(
             StoreView {
                 revision,
                 config_revision: revision,
@@ -133,14 +138,14 @@
             Instant::now(),
             &*port,
         );
-        let version = known.config().map(|config| config.version);
+        let version = cached.config().map(|config| config.version);
         assert_eq!(version, Some(case.in_force), "{}", case.name);
         assert_eq!(change.refused.is_some(), case.in_force != case.version, "{}", case.name);
     }
 }
 
 #[test]
-fn digests_tell_views_apart() {
+fn digests_of_different_listings_differ() {
     let base = view(1, &[named("a"), named("b")]);
     let mut other = base.clone();
     other.targets[1].draining = true;
@@ -150,102 +155,110 @@
     assert_eq!(
         base.digest(),
         view(9, &[named("a"), named("b")]).digest(),
-        "the revision alone is no delta"
+        "the revision is not part of the digest"
     );
 }
 
-/// A target in its life that began at `born_ms`.
-fn born(id: &str, born_ms: u64) -> TargetEntry {
+/// Returns the entry of the incarnation of a target that started at `born_ms`.
+fn incarnation(id: &str, born_ms: u64) -> TargetEntry {
     TargetEntry { born_ms, ..named(id) }
 }
 
-fn leaving(target: TargetEntry) -> TargetEntry {
+fn draining(target: TargetEntry) -> TargetEntry {
     TargetEntry { draining: true, ..target }
 }
 
-struct LifeCase {
+struct IncarnationCase {
     name: &'static str,
-    /// What is listed, one reading after the other.
+    /// Entries in successive readings, each with its incarnation and whether it is draining.
     listed: &'static [&'static [(u64, bool)]],
-    /// The life that is used in the end, if one is.
+    /// The incarnation that is in use after the last reading, if any.
     used: Option<u64>,
 }
 
-const LIVES: &[LifeCase] = &[
-    LifeCase {
-        name: "it starts again",
+const INCARNATIONS: &[IncarnationCase] = &[
+    IncarnationCase {
+        name: "it restarts",
         listed: &[&[(100, false)], &[(200, false)]],
         used: Some(200),
     },
-    LifeCase {
-        name: "it left, and starts again",
+    IncarnationCase {
+        name: "it drained and restarts",
         listed: &[&[(100, true)], &[(200, false)]],
         used: Some(200),
     },
-    LifeCase {
-        name: "the life that left is listed again",
+    IncarnationCase {
+        name: "the drained incarnation is listed again",
         listed: &[&[(100, true)], &[(100, false)]],
         used: None,
     },
-    LifeCase {
-        name: "an older life's word comes late",
+    IncarnationCase {
+        name: "a delayed write of an older incarnation",
         listed: &[&[(100, false)], &[(200, false)], &[(100, false)]],
         used: Some(200),
     },
-    LifeCase {
-        name: "an older life leaves late",
+    IncarnationCase {
+        name: "a delayed write of an older incarnation that drains",
         listed: &[&[(200, false)], &[(100, true)]],
         used: Some(200),
     },
-    LifeCase {
-        name: "the younger one leaves after the older one's late word",
+    IncarnationCase {
+        name: "the newer incarnation drains after a delayed write of the older one",
         listed: &[&[(200, false)], &[(100, false)], &[(200, true)]],
         used: None,
     },
-    LifeCase {
-        name: "the older life's word comes after the younger one is gone",
+    IncarnationCase {
+        name: "a delayed write of the older incarnation after the newer one was removed",
         listed: &[&[(100, false)], &[(200, false)], &[], &[(100, false)]],
         used: None,
     },
-    LifeCase {
-        name: "a third life after that",
+    IncarnationCase {
+        name: "a third incarnation after that",
         listed: &[&[(100, false)], &[(200, false)], &[], &[(100, false)], &[(300, false)]],
         used: Some(300),
     },
-    LifeCase {
-        name: "one that tells no life comes back as the same",
+    IncarnationCase {
+        name: "a target without a reported start returns as the same incarnation",
         listed: &[&[(0, false)], &[], &[(0, false)]],
         used: Some(0),
     },
 ];
 
 #[test]
-fn the_youngest_life_of_a_target_is_the_one_that_counts() {
+fn only_the_newest_incarnation_of_a_target_is_used() {
     let port = StoreStandin::default().port(true);
-    for case in LIVES {
-        let (mut known, start) = (CachedView::default(), Instant::now());
+    for case in INCARNATIONS {
+        let (mut cached, start) = (CachedView::default(), Instant::now());
         for (number, listed) in case.listed.iter().enumerate() {
-            let entry = |(life, leaves): &(u64, bool)| {
-                if *leaves { leaving(born("a", *life)) } else { born("a", *life) }
+            let entry = |(born_ms, is_draining): &(u64, bool)| {
+                if *is_draining {
+                    draining(incarnation("a", *born_ms))
+                } else {
+                    incarnation("a", *born_ms)
+                }
             };
             let listed: Vec<TargetEntry> = listed.iter().map(entry).collect();
             let at = start + Duration::from_millis(300 * number as u64);
-            known.apply(view(number as u64 + 1, &listed), at, &*port);
+            cached.apply(view(number as u64 + 1, &listed), at, &*port);
         }
-        let lives: Vec<u64> = known.usable(start).iter().map(|target| target.born_ms).collect();
-        assert_eq!(lives, case.used.into_iter().collect::<Vec<_>>(), "{}", case.name);
+        let used: Vec<u64> = cached.usable(start).iter().map(|target| target.born_ms).collect();
+        assert_eq!(used, case.used.into_iter().collect::<Vec<_>>(), "{}", case.name);
     }
 }
 
 #[test]
-fn a_new_life_is_news_for_peers_and_for_the_log() {
+fn a_restart_changes_the_digest_and_is_reported() {
     let port = StoreStandin::default().port(true);
-    let (mut known, start) = (CachedView::default(), Instant::now());
-    known.apply(view(1, &[born("a", 100)]), start, &*port);
-    let before = known.digest();
-    let change = known.apply(view(2, &[born("a", 200)]), start, &*port);
-    assert_ne!(known.digest(), before, "a peer that holds the older life asks for the listing");
+    let (mut cached, start) = (CachedView::default(), Instant::now());
+    cached.apply(view(1, &[incarnation("a", 100)]), start, &*port);
+    let before = cached.digest();
+    let change = cached.apply(view(2, &[incarnation("a", 200)]), start, &*port);
+    assert_ne!(
+        cached.digest(),
+        before,
+        "a peer that holds the older incarnation requests the listing"
+    );
     assert_eq!((change.targets_changed, change.restarted.len()), (true, 1));
-    let delta = known.delta_from(before).expect("it is remembered");
+    let delta = cached.delta_from(before).expect("the change is in the history");
     assert_eq!(delta.changed[0].born_ms, 200);
 }
