--- a/crates/gateway/src/listing_source.rs
+++ b/crates/gateway/src/listing_source.rs
@@ -21,8 +21,8 @@
 /// Maximum size, in bytes, of a reply that is sent without a transfer slot: 40 such replies take a
 /// link with 10 Mbit/s half a second.
 const MAX_SMALL_REPLY_BYTES: usize = 16 * 1024;
-/// Maximum number of packed replies that are kept: peers lack the last listing, one of a few before
-/// it, or all targets.
+/// Maximum number of packed replies that are kept: peers hold the previous listing, one of a few before
+/// it, or none.
 const MAX_PACKED_REPLIES: usize = 4;
 /// Maximum unpacked size of a part in bytes. A part that declares more is refused.
 const MAX_UNPACKED_BYTES: usize = 4 << 20;
--- a/crates/gateway/src/store_sync.rs
+++ b/crates/gateway/src/store_sync.rs
@@ -121,8 +121,8 @@
 
     async fn read(&mut self) {
         let began = Instant::now();
-        let mark = self.context.clock_sample();
-        match self.read_once(began, mark).await {
+        let sample = self.context.clock_sample();
+        match self.read_once(began, sample).await {
             Ok(()) => {
                 let revision = self.context.view().revision();
                 if self.backoff.failures() > 0 {
@@ -146,9 +146,9 @@
 
     /// Polls for changes of a long listing. Otherwise reads all in one call or, if the configuration is
     /// large, lists the targets and refreshes the configuration concurrently.
-    async fn read_once(&mut self, began: Instant, mark: ClockSample) -> Result<(), StoreError> {
+    async fn read_once(&mut self, began: Instant, sample: ClockSample) -> Result<(), StoreError> {
         if let Some(after) = self.poll_revision()
-            && self.poll_changes(after, began, &mark).await?
+            && self.poll_changes(after, began, &sample).await?
         {
             return Ok(());
         }
@@ -160,7 +160,7 @@
                 revision = view.revision, with_config = true, taken_ms = millis(began.elapsed());
                 "view-read"
             );
-            self.context.apply_view(view, self.context.corrected_time(&mark), "store");
+            self.context.apply_view(view, self.context.corrected_time(&sample), "store");
             return Ok(());
         }
         let reader = Arc::clone(&self.config);
@@ -173,7 +173,7 @@
         // Targets don't wait for a configuration that takes long: they are in force from here on, and
         // peers are notified at once. With the wait, requests reached targets as late as 3 s after
         // these had reported that they drain.
-        self.context.apply_listing(listing, self.context.corrected_time(&mark), "store");
+        self.context.apply_listing(listing, self.context.corrected_time(&sample), "store");
         // A refresh that takes longer continues in its task, which notifies peers when it is done.
         let _ = timeout(CONFIG_WAIT, reading).await;
         Ok(())
@@ -203,18 +203,18 @@
         &self,
         after: u64,
         began: Instant,
-        mark: &ClockSample,
+        sample: &ClockSample,
     ) -> Result<bool, StoreError> {
         let StorePoll::Changed(changes) = self.context.port.poll_changes(after).await? else {
             log::info!(after; "history-forgotten");
             return Ok(false);
         };
         log::info!(
-            revision = changes.revision, after, written = changes.written.len(), gone = changes.removed.len(),
-            taken_ms = millis(began.elapsed());
+            revision = changes.revision, after, written = changes.written.len(),
+            gone = changes.removed.len(), taken_ms = millis(began.elapsed());
             "news-read"
         );
-        self.context.apply_changes(*changes, self.context.corrected_time(mark));
+        self.context.apply_changes(*changes, self.context.corrected_time(sample));
         Ok(true)
     }
 
--- a/crates/gateway/src/target_table.rs
+++ b/crates/gateway/src/target_table.rs
@@ -291,8 +291,8 @@
     }
 
     fn intern(&mut self, name: &Name) -> Name {
-        if let Some(known) = self.interned.get(name) {
-            return known.clone();
+        if let Some(interned) = self.interned.get(name) {
+            return interned.clone();
         }
         self.interned.insert(name.clone());
         name.clone()
--- a/crates/gateway/tests/exchange.rs
+++ b/crates/gateway/tests/exchange.rs
@@ -35,7 +35,7 @@
 
 fn fetch_config(host: IpAddr, revision: u64) -> ConfigReply {
     let question = ExchangeQuestion::Config(ConfigRequest { revision });
-    exchange_on(&connect_exchange(host), Some(question)).expect("it answers")
+    exchange_on(&connect_exchange(host), Some(question)).expect("the box replies")
 }
 
 #[test]
@@ -88,8 +88,8 @@
         let source = ConfigSource::new(case.link_mbps);
         let text: Vec<u8> = (0..case.bytes).map(|_| random.random()).collect();
         source.put(ConfigText { revision: 7, text: text.into() }, Vec::new());
-        let ask = || source.reply(ConfigRequest { revision: 0 }, 0);
-        let mut replies: Vec<_> = (0..20).map(|_| ask()).collect();
+        let request = || source.reply(ConfigRequest { revision: 0 }, 0);
+        let mut replies: Vec<_> = (0..20).map(|_| request()).collect();
         let busy = replies.iter().filter(|reply| reply.message().busy).count();
         assert_eq!(20 - busy, case.sent, "{}", case.name);
         assert!(
@@ -98,13 +98,13 @@
         if busy == 0 {
             continue;
         }
-        let holder: IpAddr = "10.0.0.9".parse().expect("an address");
-        source.record_seeder(holder, 7);
-        assert_eq!(ask().message().seeders, ["10.0.0.9"], "{}", case.name);
+        let seeder: IpAddr = "10.0.0.9".parse().expect("an address");
+        source.record_seeder(seeder, 7);
+        assert_eq!(request().message().seeders, ["10.0.0.9"], "{}", case.name);
         replies.remove(0);
-        assert!(!ask().message().busy, "{}: a transfer slot is free", case.name);
+        assert!(!request().message().busy, "{}: a transfer slot is free", case.name);
         assert!(
-            ask().message().deltas.len() == 1,
+            request().message().deltas.len() == 1,
             "{}: a dropped reply frees its transfer slot",
             case.name
         );
@@ -191,7 +191,7 @@
 
 impl PeerStandin {
     fn start(host: IpAddr) -> PeerStandin {
-        let socket = UdpSocket::bind(SocketAddr::new(host, GOSSIP)).expect("an address of its own");
+        let socket = UdpSocket::bind(SocketAddr::new(host, GOSSIP)).expect("the address is free");
         PeerStandin { host, socket }
     }
 
@@ -217,7 +217,7 @@
         mut reply: impl FnMut(ExchangeQuestion) -> M + Send + 'static,
     ) {
         let address = SocketAddr::new(self.host, EXCHANGE);
-        let listener = task::block_on(TcpListener::bind(address)).expect("an address of its own");
+        let listener = task::block_on(TcpListener::bind(address)).expect("the address is free");
         task::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let received: Result<ExchangeRequest, WireError> = receive_message(&stream).await;
--- a/crates/gateway/tests/first_view.rs
+++ b/crates/gateway/tests/first_view.rs
@@ -39,7 +39,7 @@
 impl SlowPeer {
     fn start(target: TargetRecord) -> SlowPeer {
         let host = own_host();
-        let listener = TcpListener::bind((host, EXCHANGE)).expect("its own address");
+        let listener = TcpListener::bind((host, EXCHANGE)).expect("the address is free");
         let sends_targets = Arc::new(AtomicBool::new(false));
         let for_connections = Arc::clone(&sends_targets);
         thread::spawn(move || {
@@ -49,7 +49,7 @@
                 thread::spawn(move || task::block_on(serve(&stream, target, &sends_targets)));
             }
         });
-        let socket = UdpSocket::bind((host, GOSSIP)).expect("its own address");
+        let socket = UdpSocket::bind((host, GOSSIP)).expect("the address is free");
         SlowPeer { host, socket, sends_targets }
     }
 
