--- a/crates/gateway/src/view_exchange.rs
+++ b/crates/gateway/src/view_exchange.rs
@@ -105,6 +105,7 @@
 }
 
 enum FetchedTargets {
+    /// The reply was applied, or the peer has no listing yet.
     Applied,
     /// All transfer slots of the peer are taken.
     Busy,
