--- a/crates/gateway/src/caller_connections.rs
+++ b/crates/gateway/src/caller_connections.rs
@@ -479,7 +479,7 @@
     /// Reserves memory up to a total of `bytes` for this request, without waiting.
     fn grow_to(&mut self, bytes: usize) {
         let more = bytes.saturating_sub(self.reserved_bytes);
-        self.context.held_bodies.fetch_add(more, Ordering::AcqRel);
+        self.context.held_body_bytes.fetch_add(more, Ordering::AcqRel);
         self.reserved_bytes += more;
     }
 
@@ -490,7 +490,7 @@
         self.grow_to(bytes);
         let max_bytes = self.context.settings.max_held_body_bytes;
         loop {
-            let total = self.context.held_bodies.load(Ordering::Acquire);
+            let total = self.context.held_body_bytes.load(Ordering::Acquire);
             if total <= max_bytes || total == self.reserved_bytes {
                 return Ok(());
             }
@@ -504,6 +504,6 @@
 
 impl Drop for BufferReservation<'_> {
     fn drop(&mut self) {
-        self.context.held_bodies.fetch_sub(self.reserved_bytes, Ordering::AcqRel);
+        self.context.held_body_bytes.fetch_sub(self.reserved_bytes, Ordering::AcqRel);
     }
 }
--- a/crates/gateway/src/config_sync.rs
+++ b/crates/gateway/src/config_sync.rs
@@ -53,7 +53,7 @@
     }
 
     /// Reads a newer configuration from the store, if there is one, and applies it. Does nothing
-    /// while another read is in progress. Returns whether the store answered.
+    /// while another read is in progress. Returns false if the read failed.
     pub(crate) async fn refresh(&self) -> bool {
         if self.reading.swap(true, Ordering::Relaxed) {
             return true;
@@ -85,8 +85,8 @@
     async fn read(&self, sample: &ClockSample) -> Result<Option<ConfigText>, StoreError> {
         let port = &self.context.port;
         let (held, after) = {
-            let known = self.context.view();
-            (known.config_revision(), known.config_poll_revision())
+            let cached = self.context.view();
+            (cached.config_revision(), cached.config_poll_revision())
         };
         let Some(after) = after else {
             return port.read_config().await;
@@ -191,12 +191,12 @@
     /// small configurations are read with the targets.
     fn until_read(&mut self) -> Option<Duration> {
         let (age, bytes) = {
-            let known = self.context.view();
-            let config = known.config_text();
+            let cached = self.context.view();
+            let config = cached.config_text();
             if !is_large(config) {
                 return None;
             }
-            (known.config_as_of()?.elapsed(), config.map_or(0, |config| config.text.len()))
+            (cached.config_as_of()?.elapsed(), config.map_or(0, |config| config.text.len()))
         };
         let budget = self.context.budget;
         let transfer = transfer_time(bytes, self.context.settings.link_mbps);
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -75,7 +75,7 @@
     pub(crate) listing_source: ListingSource,
     newer_config: Mutex<NewerConfig>,
     /// Bytes of request bodies that are in memory now.
-    pub(crate) held_bodies: AtomicUsize,
+    pub(crate) held_body_bytes: AtomicUsize,
     started: Instant,
     suspension: SuspensionWatch,
     view: Mutex<CachedView>,
@@ -125,7 +125,7 @@
             crashes: CrashTracker::new(),
             view_changed: handles.view_changed,
             config_changed: handles.config_changed,
-            held_bodies: AtomicUsize::new(0),
+            held_body_bytes: AtomicUsize::new(0),
             started: Instant::now(),
             suspension,
             view: Mutex::default(),
@@ -227,7 +227,7 @@
         let revision = view.revision;
         // Applied before the box opens to callers, whose first request may be a poison request.
         self.crashes.apply_notes(std::mem::take(&mut view.crash_notes));
-        let change = self.change_view(|known| known.apply(view, as_of, &*self.port));
+        let change = self.change_view(|cached| cached.apply(view, as_of, &*self.port));
         let learned_at = self.publish_config(Vec::new());
         self.on_change_applied(&change, &ChangeOrigin { revision, as_of, source, learned_at });
     }
@@ -235,7 +235,7 @@
     /// Applies a complete listing of targets.
     pub(crate) fn apply_listing(&self, listing: TargetListing, as_of: Instant, source: &str) {
         let revision = listing.revision;
-        let change = self.change_view(|known| known.apply_listing(listing, as_of));
+        let change = self.change_view(|cached| cached.apply_listing(listing, as_of));
         self.on_change_applied(
             &change,
             &ChangeOrigin { revision, as_of, source, learned_at: None },
@@ -245,7 +245,7 @@
     /// Merges the delta of a listing that a peer sent. Returns whether the delta fits the listing that is held.
     pub(crate) fn merge_delta(&self, delta: PeerListingDelta, as_of: Instant) -> bool {
         let revision = delta.revision;
-        let Some(change) = self.change_view(|known| known.merge_delta(delta, as_of)) else {
+        let Some(change) = self.change_view(|cached| cached.merge_delta(delta, as_of)) else {
             return false;
         };
         let source = "peer";
@@ -259,7 +259,7 @@
     /// Applies the changes written to the store since the revision that this box knew.
     pub(crate) fn apply_changes(&self, changes: StoreChanges, as_of: Instant) {
         let revision = changes.revision;
-        let change = self.change_view(|known| known.apply_changes(changes, as_of, &*self.port));
+        let change = self.change_view(|cached| cached.apply_changes(changes, as_of, &*self.port));
         let learned_at = self.publish_config(Vec::new());
         self.on_change_applied(
             &change,
@@ -277,9 +277,9 @@
         source: &str,
     ) {
         let revision = config.revision;
-        let change = self.change_view(|known| {
-            let change = known.apply_config(config, &*self.port);
-            known.confirm_config(revision, as_of);
+        let change = self.change_view(|cached| {
+            let change = cached.apply_config(config, &*self.port);
+            cached.confirm_config(revision, as_of);
             change
         });
         let learned_at = self.publish_config(deltas);
@@ -301,8 +301,8 @@
     }
 
     fn on_change_applied(&self, change: &ViewChange, from: &ChangeOrigin<'_>) {
-        let knows_all = self.config().is_some() && self.view_age().is_some();
-        if knows_all && self.first_view.open() {
+        let has_all = self.config().is_some() && self.view_age().is_some();
+        if has_all && self.first_view.open() {
             let age_ms = millis(from.as_of.elapsed());
             log::info!(source = from.source, revision = from.revision, age_ms; "ready");
         }
@@ -342,26 +342,26 @@
     /// Changes what is known of the store, and passes the resulting changes of the eligible targets to the
     /// core. The view stays locked meanwhile, so that an older one can't overtake it.
     pub(crate) fn change_view<T>(&self, change: impl FnOnce(&mut CachedView) -> T) -> T {
-        let mut known = self.view();
-        let changed = change(&mut known);
-        self.publish_targets(&mut known);
+        let mut cached = self.view();
+        let changed = change(&mut cached);
+        self.publish_targets(&mut cached);
         changed
     }
 
-    fn publish_targets(&self, known: &mut CachedView) {
-        let TargetUpdate { removed, updated } = known.take_update();
+    fn publish_targets(&self, cached: &mut CachedView) {
+        let TargetUpdate { removed, updated } = cached.take_update();
         if removed.is_empty() && updated.is_empty() {
             return;
         }
-        let (now, config) = (self.now(), known.config());
+        let (now, config) = (self.now(), cached.config());
         let cold_rate = |target: &TargetEntry| {
             let rates = config.map(|config| &config.cold_rates);
             rates.filter(|_| target.is_cold)?.get(&target.service).copied()
         };
         let steered = |target: TargetEntry| SteerTarget {
-            cold_until: now + known.cold_time(&target.id, Instant::now()),
+            cold_until: now + cached.cold_time(&target.id, Instant::now()),
             region: self.settings.region_of(&target.data_centre),
-            evacuated: known.evacuated().contains(&target.data_centre),
+            evacuated: cached.evacuated().contains(&target.data_centre),
             cold_rate: cold_rate(&target),
             id: target.id,
             born_ms: target.born_ms,
--- a/crates/gateway/tests/harness/gateway.rs
+++ b/crates/gateway/tests/harness/gateway.rs
@@ -72,10 +72,9 @@
         let Ok(mut stream) = TcpStream::connect(address) else {
             return false;
         };
-        let asked =
-            stream.write_all(b"GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
+        let sent = stream.write_all(b"GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
         let mut answer = String::new();
-        asked.and_then(|()| stream.read_to_string(&mut answer)).is_ok()
+        sent.and_then(|()| stream.read_to_string(&mut answer)).is_ok()
             && answer.starts_with("HTTP/1.1 200")
     }
 
@@ -87,8 +86,9 @@
 
     /// Opens a caller's connection.
     pub fn connect(&self) -> CallerStandin {
-        let stream = TcpStream::connect(SocketAddr::new(self.host, CALLERS)).expect("it listens");
-        stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a valid time");
+        let stream =
+            TcpStream::connect(SocketAddr::new(self.host, CALLERS)).expect("the box listens");
+        stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a valid time-out");
         CallerStandin { stream }
     }
 
@@ -112,8 +112,8 @@
     /// Begins a planned stop, if that has not been done, and waits until the box has ended.
     pub fn wait_end(mut self) -> Outcome {
         self.stop.stop();
-        let thread = self.thread.take().expect("it runs");
-        thread.join().expect("no invariant is broken")
+        let thread = self.thread.take().expect("the box is running");
+        thread.join().expect("the box does not panic")
     }
 }
 
--- a/crates/gateway/tests/harness/peer.rs
+++ b/crates/gateway/tests/harness/peer.rs
@@ -14,7 +14,7 @@
 
 /// Opens a connection on which a box answers the requests of its peers.
 pub fn connect_exchange(host: IpAddr) -> TcpStream {
-    task::block_on(TcpStream::connect(SocketAddr::new(host, EXCHANGE))).expect("it listens")
+    task::block_on(TcpStream::connect(SocketAddr::new(host, EXCHANGE))).expect("the box listens")
 }
 
 /// Sends a request on a connection and returns the reply.
@@ -31,7 +31,7 @@
 /// Fetches the changes since the listing with the hash `digest`, or all targets if it is 0.
 pub fn fetch_targets(host: IpAddr, digest: u64) -> TargetsReply {
     let question = ExchangeQuestion::Targets(TargetsRequest { digest });
-    exchange_on(&connect_exchange(host), Some(question)).expect("it answers")
+    exchange_on(&connect_exchange(host), Some(question)).expect("the box answers")
 }
 
 /// Encodes targets as boxes send them to each other.
@@ -42,8 +42,9 @@
 /// Decodes the targets of a reply.
 pub fn unpacked(reply: &TargetsReply) -> Vec<TargetRecord> {
     let unpack = |part: &Vec<u8>| {
-        let bytes = lz4_flex::block::decompress_size_prepended(part).expect("it was packed");
-        TargetRecords::decode(&bytes[..]).expect("it holds targets").targets
+        let bytes =
+            lz4_flex::block::decompress_size_prepended(part).expect("compressed target records");
+        TargetRecords::decode(&bytes[..]).expect("encoded target records").targets
     };
     reply.parts.iter().flat_map(unpack).collect()
 }
--- a/crates/gateway/tests/lifecycle.rs
+++ b/crates/gateway/tests/lifecycle.rs
@@ -268,8 +268,8 @@
     store.put_config(config(2, vec![route("r", "service", RouteKind::AtMostOnce)]));
     let first = BoxUnderTest::start(store.port(true), &[]);
     first.wait_ready();
-    // It can't read the store, so it is ready only after contact with the first box, which then knows it:
-    // a box sends reports only to boxes that it knows.
+    // It can't read the store, so it is ready only after contact with the first box, which then has it in its
+    // table of peers: a box sends reports only to those.
     let second = BoxUnderTest::start(store.port(false), &[first.host()]);
     second.wait_ready();
     let used_by = |gateway: &BoxUnderTest| {
--- a/crates/gateway/tests/suspended.rs
+++ b/crates/gateway/tests/suspended.rs
@@ -39,9 +39,9 @@
         link_mbps: 0,
     };
     let address = SocketAddr::new(gateway.host(), GOSSIP);
-    peer.send_to(&datagram.encode_to_vec(), address).expect("loopback");
+    peer.send_to(&datagram.encode_to_vec(), address).expect("a loopback socket");
     let mut buffer = [0; 4096];
-    let length = peer.recv(&mut buffer).expect("it answers");
+    let length = peer.recv(&mut buffer).expect("the box answers");
     let answer = Datagram::decode(&buffer[..length]).expect("a datagram");
     let Some(DatagramBody::Heartbeat(Heartbeat { view_version: Some(version), .. })) = answer.body
     else {
