--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -177,13 +177,13 @@
         let name = &service.setup.name;
         for earlier in &services[..index] {
             if earlier.setup.name == *name {
-                return Err(ConfigError(format!("service '{name}' stands twice")));
+                return Err(ConfigError(format!("service '{name}' is defined twice")));
             }
             if let Some(route) = service.routes.iter().find(|route| earlier.routes.contains(route))
             {
                 let other = &earlier.setup.name;
                 return Err(ConfigError(format!(
-                    "service '{name}': routes = {route}: service '{other}' has it already"
+                    "service '{name}': routes = {route}: service '{other}' has the same route"
                 )));
             }
         }
