--- a/crates/gateway/src/request_log.rs
+++ b/crates/gateway/src/request_log.rs
@@ -50,7 +50,8 @@
 }
 
 impl RequestTrace {
-    /// Creates the trace of a request that goes to no service.
+    /// Creates a trace with the name of the route. Without [`Self::with_service`] it is that of a request that goes
+    /// to no service.
     pub(crate) fn with_route(route: &str) -> RequestTrace {
         RequestTrace { route: route.to_string(), ..RequestTrace::default() }
     }
--- a/crates/gateway/src/routes.rs
+++ b/crates/gateway/src/routes.rs
@@ -231,9 +231,9 @@
 
     /// Returns whether the configuration has closed routes but no customer who could use them.
     pub fn has_unusable_closed_routes(&self) -> bool {
-        let closed = |route: &Arc<Route>| route.access == RouteAccess::Closed;
+        let is_closed = |route: &Arc<Route>| route.access == RouteAccess::Closed;
         let has_customers = self.customers.as_ref().is_some_and(|customers| !customers.is_empty());
-        !has_customers && self.routes.values().flatten().any(closed)
+        !has_customers && self.routes.values().flatten().any(is_closed)
     }
 
     /// Returns the route with the longest matching prefix for a request.
