--- a/crates/gateway/src/gossip/heartbeats.rs
+++ b/crates/gateway/src/gossip/heartbeats.rs
@@ -119,6 +119,7 @@
         self.request_heartbeats(&hosts).await;
     }
 
+    /// Removes unresponsive peers, and sends the heartbeats of a round.
     async fn send_heartbeats(&self, round: u32) {
         let now = Instant::now();
         let (local, remote, listed, removed) = {
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -313,8 +313,8 @@
     }
 }
 
-/// Returns the time without a sign of life after which a box in the data centre `own` removes a box of
-/// `data_centre`.
+/// Returns the time since it was last seen after which a box of `data_centre` is removed by a box of the data centre
+/// `own`.
 fn max_silence(own: &str, data_centre: &str) -> Duration {
     if data_centre == own { MAX_LOCAL_SILENCE } else { MAX_REMOTE_SILENCE }
 }
--- a/crates/gateway/src/permit_manager.rs
+++ b/crates/gateway/src/permit_manager.rs
@@ -81,7 +81,7 @@
 #[derive(Debug, Default)]
 struct ManagerState {
     coordinator: PermitCoordinator,
-    /// Number of the last permit request.
+    /// Number of the last permit request of this box.
     last_number: u64,
     /// Callers' requests that wait for a reply, by the number of the permit request.
     waiting: HashMap<u64, Sender<PeerReply>>,
@@ -122,7 +122,7 @@
         let coordinated = match self.coordinator_of(context, pick) {
             Some(CoordinatorSeat::Own) => Some(self.answer_as_coordinator(context, pick.key, rate)),
             Some(CoordinatorSeat::Peer(host)) if *wait == CoordinatorWait::Allowed => {
-                self.ask_peers(context, host, pick.key, wait).await
+                self.query_coordinator(context, host, pick.key, wait).await
             }
             _ => None,
         };
@@ -184,7 +184,7 @@
 
     /// Returns the coordinator's answer, `None` if it does not arrive in time or no asked box considers itself the
     /// coordinator.
-    async fn ask_peers(
+    async fn query_coordinator(
         &self,
         context: &BoxContext,
         first: IpAddr,
@@ -338,7 +338,7 @@
 }
 
 impl PermitSource {
-    /// Returns the name of the source in logs.
+    /// Returns the name of the source in logs and metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             PermitSource::Coordinator => "keeper",
--- a/crates/gateway/src/quota_manager.rs
+++ b/crates/gateway/src/quota_manager.rs
@@ -52,8 +52,8 @@
     wake: Sender<()>,
 }
 
-/// The result of a look for a token.
-enum TokenResult {
+/// The result of an attempt to admit a request.
+enum AdmitResult {
     Admitted,
     Refused(Duration),
     /// The request has to wait. This channel yields when tokens of its customer arrive.
@@ -101,11 +101,11 @@
             // If the channel is full, a wakeup is already pending.
             let _ = self.wake.try_send(());
             let tokens = match result {
-                TokenResult::Admitted => return Ok(()),
-                TokenResult::Refused(retry_after) => {
+                AdmitResult::Admitted => return Ok(()),
+                AdmitResult::Refused(retry_after) => {
                     return Err(self.beyond_quota(name, retry_after));
                 }
-                TokenResult::Waits(tokens) => tokens,
+                AdmitResult::Waits(tokens) => tokens,
             };
             let remaining = until.saturating_duration_since(Instant::now());
             if remaining.is_zero() {
@@ -124,7 +124,7 @@
         name: &Name,
         limit: QuotaLimit,
         is_new: bool,
-    ) -> TokenResult {
+    ) -> AdmitResult {
         let mut state = lock(&self.state);
         let ManagerState { accounts, waiting, .. } = &mut *state;
         let now = context.now();
@@ -134,18 +134,18 @@
             accounts.admit_waiting(now, name, limit)
         };
         match admission {
-            Admission::Admitted => return TokenResult::Admitted,
-            Admission::Refused(retry_after) => return TokenResult::Refused(retry_after),
+            Admission::Admitted => return AdmitResult::Admitted,
+            Admission::Refused(retry_after) => return AdmitResult::Refused(retry_after),
             Admission::Wait => {}
         }
         let waiting = waiting.entry(name.clone()).or_default();
         waiting.retain(|waiting| !waiting.is_closed());
         if waiting.len() >= MAX_WAITING {
-            return TokenResult::Refused(MIN_RETRY_AFTER);
+            return AdmitResult::Refused(MIN_RETRY_AFTER);
         }
         let (wake, tokens) = async_channel::bounded(1);
         waiting.push(wake);
-        TokenResult::Waits(tokens)
+        AdmitResult::Waits(tokens)
     }
 
     /// Refunds the token of an admitted request that no target executed.
@@ -170,7 +170,7 @@
             let manager = &context.quotas;
             let due = manager.due_requests(&context);
             let own = quota_requester(&context.settings.box_id, gossip.incarnation());
-            for (host, message) in manager.sort_requests(&context, own, due) {
+            for (host, message) in manager.group_by_coordinator(&context, own, due) {
                 gossip.send_tokens(host, message).await;
             }
             let next = lock(&manager.state).accounts.next_due(context.now());
@@ -217,7 +217,7 @@
     }
 
     /// Groups token requests by the host of their coordinator. Requests to this box itself are answered at once.
-    fn sort_requests(
+    fn group_by_coordinator(
         &self,
         context: &BoxContext,
         own: QuotaRequester,
--- a/crates/gateway/tests/notices.rs
+++ b/crates/gateway/tests/notices.rs
@@ -341,7 +341,7 @@
 #[test]
 fn boxes_report_draining_targets_to_each_other() {
     let pair = Pair::start(Script::Good, DRAINING, RouteKind::AtMostOnce);
-    let start_beside = |data_centre: &str| {
+    let start_other = |data_centre: &str| {
         BoxUnderTest::start_at(
             own_host(),
             pair.store.port(true),
@@ -349,14 +349,14 @@
             |settings| settings.data_centre = data_centre.into(),
         )
     };
-    let beside = [start_beside("centre"), start_beside("elsewhere")];
-    beside.iter().for_each(|gateway| {
+    let others = [start_other("centre"), start_other("elsewhere")];
+    others.iter().for_each(|gateway| {
         gateway.wait_ready();
     });
     thread::sleep(PROPAGATION_TIME);
     pair.receive_notice();
     thread::sleep(PROPAGATION_TIME);
-    for gateway in &beside {
+    for gateway in &others {
         for _ in 0..REQUESTS {
             ask(gateway);
         }
@@ -369,11 +369,11 @@
 #[test]
 fn backoff_holds_only_for_the_box_that_received_it() {
     let pair = Pair::start(Script::Sheds, LONG_BACKOFF, RouteKind::AtMostOnce);
-    let beside = BoxUnderTest::start(pair.store.port(true), &[pair.gateway.host()]);
-    beside.wait_ready();
+    let other = BoxUnderTest::start(pair.store.port(true), &[pair.gateway.host()]);
+    other.wait_ready();
     pair.receive_notice();
     eventually("the other box asks the target", || {
-        ask(&beside);
+        ask(&other);
         pair.received() == 2
     });
 }
