--- a/crates/gateway/tests/harness/load.rs
+++ b/crates/gateway/tests/harness/load.rs
@@ -23,15 +23,15 @@
                 }
             });
         }
-        let _ends = OnEnd(&is_over);
+        let _stop = StopOnDrop(&is_over);
         meanwhile()
     })
 }
 
 /// Stops the load when dropped, also if the test panics.
-struct OnEnd<'a>(&'a AtomicBool);
+struct StopOnDrop<'a>(&'a AtomicBool);
 
-impl Drop for OnEnd<'_> {
+impl Drop for StopOnDrop<'_> {
     fn drop(&mut self) {
         self.0.store(true, Ordering::Release);
     }
@@ -39,8 +39,12 @@
 
 /// Returns the largest number of arrivals after `from` within any period of length `window`.
 pub fn max_within(arrivals: &[Instant], from: Instant, window: Duration) -> usize {
-    let mut late: Vec<Instant> = arrivals.iter().copied().filter(|at| *at >= from).collect();
-    late.sort_unstable();
+    let mut considered: Vec<Instant> = arrivals.iter().copied().filter(|at| *at >= from).collect();
+    considered.sort_unstable();
     let within = |first: Instant| move |at: &&Instant| **at >= first && **at < first + window;
-    late.iter().map(|first| late.iter().filter(within(*first)).count()).max().unwrap_or(0)
+    considered
+        .iter()
+        .map(|first| considered.iter().filter(within(*first)).count())
+        .max()
+        .unwrap_or(0)
 }
--- a/crates/gateway/tests/harness/store.rs
+++ b/crates/gateway/tests/harness/store.rs
@@ -43,15 +43,15 @@
     crash_notes: BTreeMap<String, Vec<u8>>,
     reads: usize,
     config_reads: usize,
-    config_change_requests: usize,
+    config_polls: usize,
     /// Total time for which the machines of the boxes were suspended.
     suspended: Duration,
     /// Whether the store has discarded its history.
     history_lost: bool,
     /// Changes of targets with the revisions at which they were written; `None` for removed ones.
-    written: Vec<(u64, Name, Option<TargetEntry>)>,
+    target_changes: Vec<(u64, Name, Option<TargetEntry>)>,
     /// Number of polls for changes.
-    change_requests: usize,
+    change_polls: usize,
     /// Number of blanks that are added to the next configurations.
     padding: usize,
     /// Number of random bytes that are added to the next configurations, the same ones in all of them.
@@ -78,9 +78,9 @@
         let revision = state.view.revision;
         let before = std::mem::replace(&mut state.view.targets, targets.clone());
         let removed = before.into_iter().map(|target| (revision, target.id, None));
-        state.written.extend(removed);
+        state.target_changes.extend(removed);
         let now = targets.into_iter().map(|target| (revision, target.id.clone(), Some(target)));
-        state.written.extend(now);
+        state.target_changes.extend(now);
     }
 
     /// Evacuates these data centres, and no others.
@@ -117,13 +117,13 @@
     }
 
     /// Returns the number of polls for a newer configuration so far.
-    pub fn config_change_requests(&self) -> usize {
-        lock(&self.state).config_change_requests
+    pub fn config_polls(&self) -> usize {
+        lock(&self.state).config_polls
     }
 
     /// Returns the number of polls for changes so far.
-    pub fn change_requests(&self) -> usize {
-        lock(&self.state).change_requests
+    pub fn change_polls(&self) -> usize {
+        lock(&self.state).change_polls
     }
 
     /// Returns the number of reads of the complete configuration so far.
@@ -196,13 +196,13 @@
     }
 
     fn poll_changes(&self, after: u64) -> BoxFuture<'_, Result<StorePoll, StoreError>> {
-        lock(&self.store.state).change_requests += 1;
+        lock(&self.store.state).change_polls += 1;
         let poll = self.access(|state| {
             if state.history_lost {
                 return StorePoll::HistoryDiscarded;
             }
             let mut last = BTreeMap::new();
-            for (revision, id, entry) in &state.written {
+            for (revision, id, entry) in &state.target_changes {
                 if *revision > after {
                     last.insert(id.clone(), entry.clone());
                 }
@@ -236,7 +236,7 @@
 
     fn poll_config(&self, after: u64) -> BoxFuture<'_, Result<ConfigPoll, StoreError>> {
         let poll = self.access(|state| {
-            state.config_change_requests += 1;
+            state.config_polls += 1;
             match &state.view.config {
                 _ if state.history_lost => ConfigPoll::HistoryDiscarded,
                 Some(config) if config.revision > after => ConfigPoll::Changed(config.clone()),
--- a/crates/gateway/tests/harness/target.rs
+++ b/crates/gateway/tests/harness/target.rs
@@ -102,8 +102,8 @@
 impl TargetStandin {
     /// Starts a target of `service` that follows `script`.
     pub fn start(id: &str, service: &str, script: Script) -> TargetStandin {
-        let listener = TcpListener::bind((own_host(), 0)).expect("a loopback socket");
-        let address = listener.local_addr().expect("a bound listener").to_string();
+        let listener = TcpListener::bind((own_host(), 0)).expect("loopback");
+        let address = listener.local_addr().expect("bound").to_string();
         let script = Arc::new(Mutex::new(script));
         let (received, hang_ups) = (Arc::new(Mutex::new(Vec::new())), Arc::new(Mutex::new(0)));
         let headers = Arc::new(Mutex::new(String::new()));
--- a/crates/gateway/tests/lifecycle.rs
+++ b/crates/gateway/tests/lifecycle.rs
@@ -308,7 +308,7 @@
     gateway.wait_ready();
     store.set_padding(200_000);
     store.put_config(config(2, vec![route("r", "service", RouteKind::Repeatable)]));
-    eventually("the box polls for a newer configuration", || store.config_change_requests() > 0);
+    eventually("the box polls for a newer configuration", || store.config_polls() > 0);
     store.set_history_lost(true);
     store.put_config(config(3, vec![route("later", "service", RouteKind::Repeatable)]));
     eventually("the change is in force", || gateway.request("GET", "/later/x").status == 200);
--- a/crates/gateway/tests/long_listings.rs
+++ b/crates/gateway/tests/long_listings.rs
@@ -52,7 +52,7 @@
     let gateway = BoxUnderTest::start(store.port(true), &[]);
     gateway.wait_ready();
     assert_eq!(count_served(&gateway), REQUESTS);
-    eventually("the store is polled for changes", || store.change_requests() > 0);
+    eventually("the store is polled for changes", || store.change_polls() > 0);
     store.put_targets(unused_targets());
     eventually("the removed target gets no more requests", || count_served(&gateway) == 0);
     let mut targets = unused_targets();
--- a/crates/gateway/tests/suspended.rs
+++ b/crates/gateway/tests/suspended.rs
@@ -39,7 +39,7 @@
         link_mbps: 0,
     };
     let address = SocketAddr::new(gateway.host(), GOSSIP);
-    peer.send_to(&datagram.encode_to_vec(), address).expect("a loopback socket");
+    peer.send_to(&datagram.encode_to_vec(), address).expect("loopback");
     let mut buffer = [0; 4096];
     let length = peer.recv(&mut buffer).expect("the box answers");
     let answer = Datagram::decode(&buffer[..length]).expect("a datagram");
