--- a/crates/bench/src/box_size.rs
+++ b/crates/bench/src/box_size.rs
@@ -12,7 +12,7 @@
 use wingbridge_demo::{SmallSystem, SystemSetup};
 use wingbridge_store::value::ValueVersion;
 use wingbridge_store::{BoxRecord, StoredValue};
-use wingctl::fleet::{BoxAnswer, KeyView};
+use wingctl::fleet::{BoxReply, KeyView};
 
 use crate::memory::{processor_time, resident_bytes};
 
@@ -89,8 +89,8 @@
     let fleet = system.fleet();
     let Ok(boxes) = task::block_on(fleet.boxes()) else { return 0 };
     let own: Vec<_> = boxes.into_iter().filter(|one| one.box_id == "box-1").collect();
-    let answers: Vec<BoxAnswer<Vec<KeyView>>> = task::block_on(fleet.ask_all(&own, "/v1/keys"));
-    let views = answers.into_iter().filter_map(|answer| answer.answer.ok()).flatten();
+    let answers: Vec<BoxReply<Vec<KeyView>>> = task::block_on(fleet.query_all(&own, "/v1/keys"));
+    let views = answers.into_iter().filter_map(|answer| answer.result.ok()).flatten();
     views.filter(|view| view.in_force).count()
 }
 
--- a/crates/bench/src/spread/real.rs
+++ b/crates/bench/src/spread/real.rs
@@ -12,7 +12,7 @@
 use wingbridge_store::{ChangeOutcome, ChangeRequest, StoreClient, submit_change};
 use wingbridge_trace::TraceEvent;
 use wingbridge_trace::clock::wall_millis;
-use wingctl::fleet::{BoxAnswer, KeyView};
+use wingctl::fleet::{BoxReply, KeyView};
 
 use crate::memory::{processor_time, resident_bytes};
 use crate::spread::{LOSSES, SpreadBench, SpreadRow, at_quantile};
@@ -77,7 +77,7 @@
     }
     let changing = Meters::read(system).since(&changing);
     thread::sleep(EVENTS_PERIOD);
-    let events = task::block_on(wingctl::timeline::gather(&system.fleet()))?.0;
+    let events = task::block_on(wingctl::event_trace::collect_events(&system.fleet()))?.0;
     let mut delays = delays_of(&accepted, &events);
     delays.sort_by(f64::total_cmp);
     let boxes = bench.boxes as f64;
@@ -166,14 +166,14 @@
 fn wait_until(
     system: &SmallSystem,
     key: &str,
-    enough: impl Fn(&[BoxAnswer<Vec<KeyView>>]) -> bool,
+    enough: impl Fn(&[BoxReply<Vec<KeyView>>]) -> bool,
 ) -> eyre::Result<()> {
     let fleet = system.fleet();
     let boxes = task::block_on(fleet.boxes())?;
     let path = format!("/v1/keys?prefix={key}");
     let started = Instant::now();
     loop {
-        let answers = task::block_on(fleet.ask_all(&boxes, &path));
+        let answers = task::block_on(fleet.query_all(&boxes, &path));
         if enough(&answers) {
             return Ok(());
         }
@@ -185,7 +185,7 @@
 fn wait_in_force(system: &SmallSystem, key: &str) -> eyre::Result<()> {
     wait_until(system, key, |answers| {
         answers.iter().all(|answer| {
-            answer.answer.as_ref().is_ok_and(|views| views.iter().any(|view| view.in_force))
+            answer.result.as_ref().is_ok_and(|views| views.iter().any(|view| view.in_force))
         })
     })
 }
@@ -194,9 +194,9 @@
     wait_until(system, key, |answers| {
         let holding = answers
             .iter()
-            .filter(|answer| answer.answer.as_ref().is_ok_and(|views| !views.is_empty()));
+            .filter(|answer| answer.result.as_ref().is_ok_and(|views| !views.is_empty()));
         let centres: std::collections::BTreeSet<&str> =
-            holding.map(|answer| answer.asked.data_centre.as_str()).collect();
+            holding.map(|answer| answer.queried.data_centre.as_str()).collect();
         centres.len() >= 2
     })
 }
--- a/crates/ctl/src/boxes.rs
+++ b/crates/ctl/src/boxes.rs
@@ -1,59 +1,61 @@
-//! What the boxes say: status and targets.
+//! The commands `boxes`, `status` and `targets`, which query the agents of all boxes.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use wingbridge_process::Outcome;
 
-use crate::fleet::{BoxAnswer, BoxView, FleetClient};
-use crate::output::{print, span, table};
+use crate::fleet::{BoxReply, BoxView, FleetClient};
+use crate::output::{format_duration, print, table};
 
-/// A target, as one box holds it.
+/// The state of a target in one box, as listed under `/v1/targets`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TargetView {
-    /// The service.
+    /// Service that the target belongs to.
     pub service: String,
-    /// The target's address.
+    /// Address of the target.
     pub target: String,
-    /// Its state.
+    /// Health state of the target.
     pub state: String,
-    /// Milliseconds in that state.
+    /// Time that the target has been in this state, in milliseconds.
     pub for_ms: u64,
-    /// Why.
-    pub why: String,
-    /// For whom.
+    /// Reason for this state.
+    #[serde(rename = "why")]
+    pub reason: String,
+    /// Scope of the state: the path from this box, the data centre or the target itself.
     pub scope: String,
-    /// Whether the box sends it nothing.
-    pub kept_out: bool,
-    /// Whether the floor kept it in service.
+    /// Whether the box excludes the target from requests.
+    #[serde(rename = "kept_out")]
+    pub excluded: bool,
+    /// Whether the target stays in service only because of the service's floor.
     pub kept_by_floor: bool,
 }
 
-/// `wingctl boxes`.
+/// Runs `wingctl boxes`: lists the boxes of the fleet.
 ///
 /// # Errors
-/// No agent answers.
+/// Fails if no agent answers.
 pub async fn show_boxes(fleet: &FleetClient, json: bool) -> eyre::Result<Outcome> {
     let boxes = fleet.boxes().await?;
     print(json, &boxes, || {
-        let row = |one: &BoxView| {
-            let state = if one.leaving { "leaving" } else { "live" };
-            vec![one.box_id.clone(), one.data_centre.clone(), one.admin.clone(), state.into()]
+        let row = |view: &BoxView| {
+            let state = if view.leaving { "leaving" } else { "live" };
+            vec![view.box_id.clone(), view.data_centre.clone(), view.admin.clone(), state.into()]
         };
         table(&["box", "data centre", "admin", "state"], &boxes.iter().map(row).collect::<Vec<_>>())
     });
     Ok(Outcome::Done)
 }
 
-/// `wingctl status`.
+/// Runs `wingctl status`: prints the status of each box. The outcome is partial if an agent does not answer.
 ///
 /// # Errors
-/// No agent answers.
+/// Fails if no agent answers the request for the list of boxes.
 pub async fn show_status(fleet: &FleetClient, json: bool) -> eyre::Result<Outcome> {
     let boxes = fleet.boxes().await?;
-    let answers: Vec<BoxAnswer<Value>> = fleet.ask_all(&boxes, "/v1/status").await;
-    let silent = answers.iter().any(|answer| answer.answer.is_err());
-    let shown: Vec<Value> = answers.iter().map(as_value).collect();
-    print(json, &shown, || {
+    let replies: Vec<BoxReply<Value>> = fleet.query_all(&boxes, "/v1/status").await;
+    let unresponsive = replies.iter().any(|reply| reply.result.is_err());
+    let statuses: Vec<Value> = replies.iter().map(status_json).collect();
+    print(json, &statuses, || {
         let headings = [
             "box",
             "data centre",
@@ -65,77 +67,79 @@
             "root",
             "not in force",
         ];
-        table(&headings, &answers.iter().map(status_row).collect::<Vec<_>>())
+        table(&headings, &replies.iter().map(status_row).collect::<Vec<_>>())
     });
-    Ok(if silent { Outcome::Partial } else { Outcome::Done })
+    Ok(if unresponsive { Outcome::Partial } else { Outcome::Done })
 }
 
-/// `wingctl targets`.
+/// Runs `wingctl targets`: prints the targets that are not healthy in some box. The outcome is partial if an
+/// agent does not answer.
 ///
 /// # Errors
-/// No agent answers.
+/// Fails if no agent answers the request for the list of boxes.
 pub async fn show_targets(fleet: &FleetClient, json: bool) -> eyre::Result<Outcome> {
     let boxes = fleet.boxes().await?;
-    let answers: Vec<BoxAnswer<Vec<TargetView>>> = fleet.ask_all(&boxes, "/v1/targets").await;
-    let silent = answers.iter().any(|answer| answer.answer.is_err());
-    let mut found: Vec<(String, TargetView)> = Vec::new();
-    for BoxAnswer { asked, answer } in answers {
-        let targets = answer.unwrap_or_default();
-        found.extend(targets.into_iter().map(|target| (asked.box_id.clone(), target)));
+    let replies: Vec<BoxReply<Vec<TargetView>>> = fleet.query_all(&boxes, "/v1/targets").await;
+    let unresponsive = replies.iter().any(|reply| reply.result.is_err());
+    let mut rows: Vec<(String, TargetView)> = Vec::new();
+    for BoxReply { queried, result } in replies {
+        let targets = result.unwrap_or_default();
+        rows.extend(targets.into_iter().map(|target| (queried.box_id.clone(), target)));
     }
-    found.sort_by(|(_, one), (_, other)| {
-        (&one.service, &one.target).cmp(&(&other.service, &other.target))
+    rows.sort_by(|(_, left), (_, right)| {
+        (&left.service, &left.target).cmp(&(&right.service, &right.target))
     });
-    print(json, &found, || {
-        if found.is_empty() {
+    print(json, &rows, || {
+        if rows.is_empty() {
             return "all targets are healthy in all boxes that answered".into();
         }
         let headings = ["service", "target", "box", "state", "for", "scope", "out", "floor", "why"];
-        table(&headings, &found.iter().map(target_row).collect::<Vec<_>>())
+        table(&headings, &rows.iter().map(target_row).collect::<Vec<_>>())
     });
-    Ok(if silent { Outcome::Partial } else { Outcome::Done })
+    Ok(if unresponsive { Outcome::Partial } else { Outcome::Done })
 }
 
-fn as_value(answer: &BoxAnswer<Value>) -> Value {
-    match &answer.answer {
+fn status_json(reply: &BoxReply<Value>) -> Value {
+    match &reply.result {
         Ok(status) => status.clone(),
-        Err(why) => serde_json::json!({ "box_id": answer.asked.box_id, "silent": why }),
+        Err(reason) => serde_json::json!({ "box_id": reply.queried.box_id, "silent": reason }),
     }
 }
 
-fn status_row(answer: &BoxAnswer<Value>) -> Vec<String> {
-    let asked = &answer.asked;
-    let Ok(status) = &answer.answer else {
-        return vec![asked.box_id.clone(), asked.data_centre.clone(), "does not answer".into()];
+fn status_row(reply: &BoxReply<Value>) -> Vec<String> {
+    let queried = &reply.queried;
+    let Ok(status) = &reply.result else {
+        return vec![queried.box_id.clone(), queried.data_centre.clone(), "does not answer".into()];
     };
-    let yes = |name: &str| if status[name] == Value::Bool(true) { "yes" } else { "NO" }.to_string();
+    let yes_or_no =
+        |name: &str| if status[name] == Value::Bool(true) { "yes" } else { "NO" }.to_string();
     let number = |name: &str| status[name].as_u64().unwrap_or(0).to_string();
     let root = status["root"].as_str().unwrap_or_default();
-    let lacking = status["not_in_force"].as_array().map_or(0, Vec::len);
+    let not_in_force = status["not_in_force"].as_array().map_or(0, Vec::len);
     vec![
-        asked.box_id.clone(),
-        asked.data_centre.clone(),
-        yes("proxy_ready"),
-        yes("whole"),
-        yes("store_reachable"),
+        queried.box_id.clone(),
+        queried.data_centre.clone(),
+        yes_or_no("proxy_ready"),
+        yes_or_no("whole"),
+        yes_or_no("store_reachable"),
         number("peers_connected"),
         number("requests_held"),
         root.get(..8).unwrap_or(root).to_string(),
-        lacking.to_string(),
+        not_in_force.to_string(),
     ]
 }
 
 fn target_row((box_id, target): &(String, TargetView)) -> Vec<String> {
-    let yes = |flag: bool| if flag { "yes" } else { "" }.to_string();
+    let yes_or_blank = |flag: bool| if flag { "yes" } else { "" }.to_string();
     vec![
         target.service.clone(),
         target.target.clone(),
         box_id.clone(),
         target.state.clone(),
-        span(target.for_ms),
+        format_duration(target.for_ms),
         target.scope.clone(),
-        yes(target.kept_out),
+        yes_or_blank(target.excluded),
         if target.kept_by_floor { "kept in".into() } else { String::new() },
-        target.why.clone(),
+        target.reason.clone(),
     ]
 }
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands on policies and services.
+//! The subcommands of `policy` and `config`, which check, read and change policies and services.
 
 use std::io::Read;
 
@@ -11,26 +11,26 @@
 use wingbridge_process::Outcome;
 use wingbridge_store::{StoreClient, StoredValue};
 
-use crate::changes::{ChangeReport, Changer, read_value};
+use crate::changes::{ChangeClient, ChangeReport, read_value};
 use crate::output::{print, table};
 
-/// `wingctl policy check`.
+/// Runs `wingctl policy check`: compiles a policy from a file.
 ///
 /// # Errors
-/// The file can't be read, or the policy is faulty.
+/// Fails if the file can't be read or the policy does not compile.
 pub fn check_policy(matches: &ArgMatches) -> eyre::Result<Outcome> {
     let (file, text) = read_file(matches)?;
     compile(&file, &text)?;
-    println!("{file}: a sound policy");
+    println!("{file}: the policy is valid");
     Ok(Outcome::Done)
 }
 
-/// `wingctl policy put`.
+/// Runs `wingctl policy put`: writes a policy to the store and waits until it is in force.
 ///
 /// # Errors
-/// The policy is faulty, or it was not accepted.
+/// Fails if the file can't be read, the policy does not compile, or the store does not accept the change.
 pub async fn put_policy(
-    changer: &Changer,
+    client: &ChangeClient,
     matches: &ArgMatches,
     json: bool,
 ) -> eyre::Result<Outcome> {
@@ -38,45 +38,46 @@
     compile(&file, &text)?;
     let key = format!("{POLICY_PREFIX}{}", checked_name(matches)?);
     let expected = matches.get_one("expect").copied();
-    let report = changer.change(&key, Some(text), expected).await?;
+    let report = client.change(&key, Some(text), expected).await?;
     Ok(show_reports(&[report], json))
 }
 
-/// `wingctl config check`.
+/// Runs `wingctl config check`: checks the services in a file.
 ///
 /// # Errors
-/// The file can't be read, or a service is faulty.
+/// Fails if the file can't be read or a service is invalid.
 pub fn check_config(matches: &ArgMatches) -> eyre::Result<Outcome> {
     let (file, text) = read_file(matches)?;
-    let services = services_of(&file, &text)?;
+    let services = parse_service_file(&file, &text)?;
     let targets: usize = services.iter().map(|service| service.setup.targets.len()).sum();
-    println!("{file}: {} sound services with {targets} targets", services.len());
+    println!("{file}: {} valid services with {targets} targets", services.len());
     Ok(Outcome::Done)
 }
 
-/// `wingctl config put`: each service is a change of its own.
+/// Runs `wingctl config put`: writes each service of a file as a separate change.
 ///
 /// # Errors
-/// A service is faulty, or the first that was not accepted.
+/// Fails if the file can't be read, a service is invalid, or the store does not accept a change. The
+/// remaining services are not written then; the error says how many were accepted before.
 pub async fn put_config(
-    changer: &Changer,
+    client: &ChangeClient,
     matches: &ArgMatches,
     json: bool,
 ) -> eyre::Result<Outcome> {
     let (file, text) = read_file(matches)?;
     let mut reports = Vec::new();
-    for service in services_of(&file, &text)? {
+    for service in parse_service_file(&file, &text)? {
         let key = format!("{SERVICE_PREFIX}{}", service.setup.name);
-        let report = changer.change(&key, Some(service.text), None).await;
-        reports.push(report.wrap_err_with(|| done_before(&reports))?);
+        let report = client.change(&key, Some(service.text), None).await;
+        reports.push(report.wrap_err_with(|| accepted_so_far(&reports))?);
     }
     Ok(show_reports(&reports, json))
 }
 
-/// `get`.
+/// Runs `get`: prints the current value of the named key under `prefix`.
 ///
 /// # Errors
-/// There is no such key, or the store does not answer.
+/// Fails if there is no such key, it was deleted, or the store does not answer.
 pub async fn get(
     store: &StoreClient,
     prefix: &str,
@@ -88,31 +89,31 @@
     if value.current.deleted {
         bail!("{key} was deleted by {}", value.current.author);
     }
-    let shown = serde_json::json!({ "revision": revision, "value": value.current });
-    print(json, &shown, || value.current.text.clone());
+    let versioned = serde_json::json!({ "revision": revision, "value": value.current });
+    print(json, &versioned, || value.current.text.clone());
     Ok(Outcome::Done)
 }
 
-/// `delete`.
+/// Runs `delete`: deletes the named key under `prefix` and waits until this is in force.
 ///
 /// # Errors
-/// There is no such key, or the change was not accepted.
+/// Fails if there is no such key or the store does not accept the change.
 pub async fn delete(
-    changer: &Changer,
+    client: &ChangeClient,
     prefix: &str,
     matches: &ArgMatches,
     json: bool,
 ) -> eyre::Result<Outcome> {
     let key = format!("{prefix}{}", checked_name(matches)?);
-    read_value(&changer.store, &key).await?;
-    let report = changer.change(&key, None, matches.get_one("expect").copied()).await?;
+    read_value(&client.store, &key).await?;
+    let report = client.change(&key, None, matches.get_one("expect").copied()).await?;
     Ok(show_reports(&[report], json))
 }
 
-/// `list`.
+/// Runs `list`: prints the names under `prefix` that are not deleted.
 ///
 /// # Errors
-/// The store does not answer.
+/// Fails if the store does not answer, or has a value that can't be decoded.
 pub async fn list(store: &StoreClient, prefix: &str, json: bool) -> eyre::Result<Outcome> {
     let listing = store.list(0, std::time::Duration::ZERO).await?;
     let mut rows = Vec::new();
@@ -130,10 +131,10 @@
     Ok(Outcome::Done)
 }
 
-/// `history`.
+/// Runs `history`: prints the current and the earlier versions of the named key under `prefix`.
 ///
 /// # Errors
-/// There is no such key, or the store does not answer.
+/// Fails if there is no such key or the store does not answer.
 pub async fn history(
     store: &StoreClient,
     prefix: &str,
@@ -145,13 +146,13 @@
     let versions: Vec<_> = std::iter::once(&value.current).chain(&value.history).collect();
     print(json, &versions, || {
         let row = |version: &&wingbridge_store::value::ValueVersion| {
-            let what = if version.deleted { "deleted" } else { "changed" };
+            let action = if version.deleted { "deleted" } else { "changed" };
             let lines = version.text.lines().count();
             vec![
                 version.generation.to_string(),
                 version.changed_at.to_string(),
                 version.author.clone(),
-                what.to_string(),
+                action.to_string(),
                 lines.to_string(),
                 version.change.clone(),
             ]
@@ -162,16 +163,16 @@
     Ok(Outcome::Done)
 }
 
-/// `wingctl policy diff`: exit code 1 if they differ.
+/// Runs `wingctl policy diff`: compares a file with the stored policy. The exit code is 1 if they differ.
 ///
 /// # Errors
-/// The file can't be read, there is no such policy, or the store does not answer.
+/// Fails if the file can't be read, there is no such policy, or the store does not answer.
 pub async fn diff_policy(store: &StoreClient, matches: &ArgMatches) -> eyre::Result<Outcome> {
     let (file, text) = read_file(matches)?;
     let key = format!("{POLICY_PREFIX}{}", checked_name(matches)?);
     let (_, value) = read_value(store, &key).await?;
     if value.current.text == text {
-        println!("{file} and {key} are the same");
+        println!("{file} and {key} are identical");
         return Ok(Outcome::Done);
     }
     let diff = TextDiff::from_lines(value.current.text.as_str(), text.as_str());
@@ -179,34 +180,35 @@
     Ok(Outcome::CheckFailed)
 }
 
-/// Prints how changes went, and says how the command ends.
+/// Prints the reports of changes. Returns [`Outcome::Partial`] if one of them is not accepted or not in force
+/// in all boxes.
 pub fn show_reports(reports: &[ChangeReport], json: bool) -> Outcome {
     #[derive(Serialize)]
-    struct Shown<'a> {
+    struct ReportList<'a> {
         changes: &'a [ChangeReport],
     }
-    print(json, &Shown { changes: reports }, || {
+    print(json, &ReportList { changes: reports }, || {
         reports.iter().map(ChangeReport::as_text).collect::<Vec<_>>().join("\n")
     });
-    let whole = reports.iter().all(|report| report.outcome() == Outcome::Done);
-    if whole { Outcome::Done } else { Outcome::Partial }
+    let all_done = reports.iter().all(|report| report.outcome() == Outcome::Done);
+    if all_done { Outcome::Done } else { Outcome::Partial }
 }
 
-fn done_before(reports: &[ChangeReport]) -> String {
+fn accepted_so_far(reports: &[ChangeReport]) -> String {
     match reports.len() {
         0 => "nothing was changed".into(),
-        count => format!("{count} services before it were accepted"),
+        count => format!("{count} services were accepted before this one"),
     }
 }
 
 fn compile(file: &str, text: &str) -> eyre::Result<PolicyProgram> {
-    PolicyProgram::compile(text).map_err(|fault| eyre!("{file}: {fault}"))
+    PolicyProgram::compile(text).map_err(|error| eyre!("{file}: {error}"))
 }
 
-fn services_of(file: &str, text: &str) -> eyre::Result<Vec<ServiceConfig>> {
+fn parse_service_file(file: &str, text: &str) -> eyre::Result<Vec<ServiceConfig>> {
     let services = parse_services(text).map_err(|error| eyre!("{file}: {error}"))?;
     if services.is_empty() {
-        bail!("{file}: it has no [[service]]");
+        bail!("{file}: no [[service]] section found");
     }
     Ok(services)
 }
@@ -217,15 +219,15 @@
     if file == "-" {
         std::io::stdin().read_to_string(&mut text)?;
     } else {
-        text = std::fs::read_to_string(&file).wrap_err_with(|| format!("reading {file}"))?;
+        text = std::fs::read_to_string(&file).wrap_err_with(|| format!("can't read {file}"))?;
     }
     Ok((file, text))
 }
 
 fn checked_name(matches: &ArgMatches) -> eyre::Result<String> {
     let name: String = matches.get_one::<String>("name").cloned().unwrap_or_default();
-    let known = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
-    if (1..=63).contains(&name.len()) && name.bytes().all(known) {
+    let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
+    if (1..=63).contains(&name.len()) && name.bytes().all(is_allowed) {
         return Ok(name);
     }
     let allowed = "1 to 63 lower-case letters, digits and '-'";
--- a/crates/ctl/src/explain/mod.rs
+++ b/crates/ctl/src/explain/mod.rs
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// A file can't be read, or no line of a request is in any of them.
-pub fn show(matches: &ArgMatches, json: bool) -> eyre::Result<Outcome> {
+pub fn run_explain(matches: &ArgMatches, json: bool) -> eyre::Result<Outcome> {
     let names = matches.get_many::<String>("files").into_iter().flatten();
     let mut readers: Vec<(String, Box<dyn BufRead>)> = Vec::new();
     for name in names {
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The program.
+//! The `wingctl` executable.
 
 use std::process::ExitCode;
 
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,8 +1,8 @@
-//! Text for people, JSON for programs.
+//! Output on standard output: tables for operators, or JSON for programs.
 
 use serde::Serialize;
 
-/// Prints `value` as JSON or by `as_text`.
+/// Prints `value` as indented JSON if `json` is set, otherwise the text that `as_text` returns.
 pub fn print(json: bool, value: &impl Serialize, as_text: impl FnOnce() -> String) {
     let text = if json {
         serde_json::to_string_pretty(value).unwrap_or_else(|error| error.to_string())
@@ -12,7 +12,7 @@
     println!("{}", text.trim_end());
 }
 
-/// Rows under headings, in columns as wide as they need.
+/// Formats `rows` under `headings` as a text table. Each column is as wide as its widest cell.
 pub fn table(headings: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = headings.iter().map(|heading| heading.len()).collect();
     for row in rows {
@@ -29,8 +29,8 @@
     lines.join("\n")
 }
 
-/// Milliseconds in the unit that reads best.
-pub fn span(millis: u64) -> String {
+/// Formats a duration in milliseconds, seconds, minutes or hours, depending on its length.
+pub fn format_duration(millis: u64) -> String {
     match millis {
         0..1_000 => format!("{millis} ms"),
         1_000..120_000 => format!("{:.1} s", millis as f64 / 1000.0),
--- a/crates/ctl/src/overrides.rs
+++ b/crates/ctl/src/overrides.rs
@@ -1,33 +1,37 @@
-//! Manual overrides: configuration like any other, one key for each service.
+//! Manual overrides of target states. They are part of the configuration, under one key per service.
 
 use wingbridge_config::{OVERRIDES_PREFIX, overrides_text, parse_overrides};
 use wingbridge_decide::{ManualOverride, OverrideKind};
 use wingbridge_store::StoredValue;
 
-use crate::changes::{ChangeReport, Changer};
+use crate::changes::{ChangeClient, ChangeReport};
 
-/// Sets the override of one target or, with `None`, removes it.
+/// Sets the manual override of one target, or removes it if `kind` is `None`.
+///
+/// The overrides of a service share one value, so the change is written only if the store still has the
+/// revision that was read.
 ///
 /// # Errors
-/// The store does not answer, or another change of the overrides came first.
+/// Fails if the store does not answer, the stored overrides can't be read, or another change was written
+/// first.
 pub async fn set_override(
-    changer: &Changer,
+    client: &ChangeClient,
     service: &str,
     target: &str,
     kind: Option<OverrideKind>,
 ) -> eyre::Result<ChangeReport> {
     let key = format!("{OVERRIDES_PREFIX}{service}");
-    let record = changer.store.read_key(&key).await?;
+    let record = client.store.read_key(&key).await?;
     let revision = record.as_ref().map_or(0, |record| record.revision);
     let value = record.map(|record| StoredValue::from_json(&record.value)).transpose()?;
-    let held = value.filter(|value| !value.current.deleted);
-    let mut overrides = match held {
+    let current = value.filter(|value| !value.current.deleted);
+    let mut overrides = match current {
         Some(value) => parse_overrides(&value.current.text)?,
         None => Vec::new(),
     };
-    overrides.retain(|known| *known.target != *target);
+    overrides.retain(|existing| *existing.target != *target);
     if let Some(kind) = kind {
         overrides.push(ManualOverride { target: target.into(), kind });
     }
-    changer.change(&key, Some(overrides_text(&overrides)), Some(revision)).await
+    client.change(&key, Some(overrides_text(&overrides)), Some(revision)).await
 }
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -1,4 +1,4 @@
-//! From the parsed command line to the command.
+//! Dispatch of the parsed command line to the commands.
 
 use async_std::task;
 use clap::ArgMatches;
@@ -9,21 +9,22 @@
 use wingbridge_store::StoreClient;
 
 use crate::boxes::{show_boxes, show_status, show_targets};
-use crate::changes::Changer;
+use crate::changes::ChangeClient;
 use crate::commands::{
     check_config, check_policy, delete, diff_policy, get, history, list, put_config, put_policy,
     show_reports,
 };
+use crate::event_trace;
 use crate::explain;
 use crate::fleet::FleetClient;
 use crate::overrides;
 use crate::settings::{CtlSettings, ctl_command, resolve};
-use crate::timeline;
 
 /// Runs the command that `matches` names.
 ///
 /// # Errors
-/// It could not be done; the message says why and what stands now.
+/// Fails if a setting is invalid or the command fails. The message gives the reason and, after a change that
+/// was not accepted, the value that the store has now.
 pub fn run(matches: &ArgMatches) -> eyre::Result<Outcome> {
     let settings = resolve(matches)?;
     task::block_on(run_command(&settings, matches))
@@ -46,9 +47,9 @@
         "restore" => change_override(settings, fleet, matches, None).await,
         "timeline" => {
             let html = matches.get_one::<String>("html").map(String::as_str);
-            timeline::show(&fleet, json, html).await
+            event_trace::show_events(&fleet, json, html).await
         }
-        "explain" => explain::show(matches, json),
+        "explain" => explain::run_explain(matches, json),
         "completions" => print_completions(matches),
         "man" => print_manual(),
         other => Err(eyre!("unknown command {other}")),
@@ -63,10 +64,10 @@
     match matches.subcommand() {
         Some(("check", matches)) => check_policy(matches),
         Some(("put", matches)) => {
-            put_policy(&changer(settings, fleet)?, matches, settings.json).await
+            put_policy(&change_client(settings, fleet)?, matches, settings.json).await
         }
-        Some(("diff", matches)) => diff_policy(&store(settings)?, matches).await,
-        _ => run_on_keys(settings, fleet, POLICY_PREFIX, matches).await,
+        Some(("diff", matches)) => diff_policy(&store_client(settings)?, matches).await,
+        _ => run_key_command(settings, fleet, POLICY_PREFIX, matches).await,
     }
 }
 
@@ -78,14 +79,14 @@
     match matches.subcommand() {
         Some(("check", matches)) => check_config(matches),
         Some(("put", matches)) => {
-            put_config(&changer(settings, fleet)?, matches, settings.json).await
+            put_config(&change_client(settings, fleet)?, matches, settings.json).await
         }
-        _ => run_on_keys(settings, fleet, SERVICE_PREFIX, matches).await,
+        _ => run_key_command(settings, fleet, SERVICE_PREFIX, matches).await,
     }
 }
 
-/// What policies and services have in common.
-async fn run_on_keys(
+/// Runs the subcommands that `policy` and `config` share, on the keys under `prefix`.
+async fn run_key_command(
     settings: &CtlSettings,
     fleet: FleetClient,
     prefix: &str,
@@ -93,12 +94,14 @@
 ) -> eyre::Result<Outcome> {
     let json = settings.json;
     match matches.subcommand() {
-        Some(("get", matches)) => get(&store(settings)?, prefix, matches, json).await,
+        Some(("get", matches)) => get(&store_client(settings)?, prefix, matches, json).await,
         Some(("delete", matches)) => {
-            delete(&changer(settings, fleet)?, prefix, matches, json).await
+            delete(&change_client(settings, fleet)?, prefix, matches, json).await
+        }
+        Some(("list", _)) => list(&store_client(settings)?, prefix, json).await,
+        Some(("history", matches)) => {
+            history(&store_client(settings)?, prefix, matches, json).await
         }
-        Some(("list", _)) => list(&store(settings)?, prefix, json).await,
-        Some(("history", matches)) => history(&store(settings)?, prefix, matches, json).await,
         _ => Err(eyre!("no command was given")),
     }
 }
@@ -109,9 +112,10 @@
     matches: &ArgMatches,
     kind: Option<OverrideKind>,
 ) -> eyre::Result<Outcome> {
-    let text = |name: &str| matches.get_one::<String>(name).cloned().unwrap_or_default();
-    let changer = changer(settings, fleet)?;
-    let report = overrides::set_override(&changer, &text("service"), &text("target"), kind).await?;
+    let argument = |name: &str| matches.get_one::<String>(name).cloned().unwrap_or_default();
+    let client = change_client(settings, fleet)?;
+    let report =
+        overrides::set_override(&client, &argument("service"), &argument("target"), kind).await?;
     Ok(show_reports(&[report], settings.json))
 }
 
@@ -127,13 +131,13 @@
     Ok(Outcome::Done)
 }
 
-fn store(settings: &CtlSettings) -> Result<StoreClient, SettingError> {
+fn store_client(settings: &CtlSettings) -> Result<StoreClient, SettingError> {
     let missing = || SettingError::new("store", "", "an IP number and a port");
     let address = settings.store.ok_or_else(missing)?;
     Ok(StoreClient::new(&address.to_string()))
 }
 
-fn changer(settings: &CtlSettings, fleet: FleetClient) -> Result<Changer, SettingError> {
+fn change_client(settings: &CtlSettings, fleet: FleetClient) -> Result<ChangeClient, SettingError> {
     let author = settings.author.clone();
-    Ok(Changer { store: store(settings)?, fleet, author, wait: settings.wait })
+    Ok(ChangeClient { store: store_client(settings)?, fleet, author, wait: settings.wait })
 }
--- a/crates/demo/src/bin/wingbridge-demo.rs
+++ b/crates/demo/src/bin/wingbridge-demo.rs
@@ -51,7 +51,7 @@
     let mut last = 0;
     while !stop.is_stopped() {
         // An agent that does not answer now is asked again in a second.
-        if let Ok((events, _)) = wingctl::timeline::gather(&fleet).await {
+        if let Ok((events, _)) = wingctl::event_trace::collect_events(&fleet).await {
             let news: Vec<_> = events.into_iter().filter(|event| event.stamp > last).collect();
             last = news.last().map_or(last, |event| event.stamp);
             print!("{}", render_text(&news));
--- a/crates/demo/src/experiment.rs
+++ b/crates/demo/src/experiment.rs
@@ -309,7 +309,7 @@
 }
 
 fn events_of(system: &SmallSystem) -> eyre::Result<Vec<TraceEvent>> {
-    let (events, silent) = task::block_on(wingctl::timeline::gather(&system.fleet()))?;
+    let (events, silent) = task::block_on(wingctl::event_trace::collect_events(&system.fleet()))?;
     if silent {
         return Err(eyre!("an agent did not answer"));
     }
--- a/crates/demo/src/system.rs
+++ b/crates/demo/src/system.rs
@@ -16,7 +16,7 @@
 use wingbridge_proxy::{ProxyAddresses, ProxySettings};
 use wingbridge_standin::{StoreHandle, TargetHandle, TargetSettings, serve_store, serve_target};
 use wingbridge_store::{BoxRecord, StoreClient};
-use wingctl::{ChangeReport, Changer, FleetClient};
+use wingctl::{ChangeClient, ChangeReport, FleetClient};
 
 /// The secret of demonstration fleets.
 pub const DEMO_KEY: &str = "a demonstration key, not for use";
@@ -200,8 +200,8 @@
     }
 
     /// The operators' client of this system.
-    pub fn changer(&self) -> Changer {
-        Changer {
+    pub fn changer(&self) -> ChangeClient {
+        ChangeClient {
             store: StoreClient::new(&self.store_address.to_string()),
             fleet: self.fleet(),
             author: "demo".into(),
--- a/crates/demo/tests/small/mod.rs
+++ b/crates/demo/tests/small/mod.rs
@@ -13,7 +13,7 @@
 use wingbridge_demo::settings::demo_setup;
 use wingbridge_demo::{CallerLedger, LoadCaller, SmallSystem, SystemSetup, Tally};
 use wingctl::boxes::TargetView;
-use wingctl::fleet::BoxAnswer;
+use wingctl::fleet::BoxReply;
 
 pub const CALL_TIME: Duration = Duration::from_secs(30);
 /// Nothing here takes this long; what does never comes.
@@ -38,15 +38,15 @@
 pub fn targets_of_all(system: &SmallSystem) -> Vec<Vec<TargetView>> {
     let fleet = system.fleet();
     let boxes = task::block_on(fleet.boxes()).expect("an agent answers");
-    let answers: Vec<BoxAnswer<Vec<TargetView>>> =
-        task::block_on(fleet.ask_all(&boxes, "/v1/targets"));
-    answers.into_iter().map(|answer| answer.answer.unwrap_or_default()).collect()
+    let answers: Vec<BoxReply<Vec<TargetView>>> =
+        task::block_on(fleet.query_all(&boxes, "/v1/targets"));
+    answers.into_iter().map(|answer| answer.result.unwrap_or_default()).collect()
 }
 
 /// Whether all boxes send a target nothing.
 pub fn kept_out_everywhere(system: &SmallSystem, target: &str) -> bool {
     let out =
-        |views: &Vec<TargetView>| views.iter().any(|view| view.target == target && view.kept_out);
+        |views: &Vec<TargetView>| views.iter().any(|view| view.target == target && view.excluded);
     targets_of_all(system).iter().all(out)
 }
 
