--- a/crates/ctl/src/boxes.rs
+++ b/crates/ctl/src/boxes.rs
@@ -21,7 +21,7 @@
     /// Reason for this state.
     #[serde(rename = "why")]
     pub reason: String,
-    /// Scope of the state: the path from this box, the data centre or the target itself.
+    /// Paths that the state applies to: the one from this box, those from one data centre, or all.
     pub scope: String,
     /// Whether the box excludes the target from requests.
     #[serde(rename = "kept_out")]
