--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -21,15 +21,15 @@
 use crate::settings::GatewaySettings;
 
 /// Time without a heartbeat after which a box of the own data centre is removed: three heartbeats.
-const MAX_LOCAL_SILENCE: Duration = Duration::from_millis(3500);
+const LOCAL_PEER_TIMEOUT: Duration = Duration::from_millis(3500);
 /// Time without a heartbeat after which a box of the own data centre may be unreachable: more than one heartbeat
 /// period.
 const LOCAL_SUSPICION_TIME: Duration = Duration::from_millis(1600);
 /// Time for which an unresponsive box is remembered as lost. Network partitions last about 12 s.
 const LOST_PEER_RETENTION: Duration = Duration::from_secs(30);
-/// Time after which a box of another data centre is removed. It is longer since this box learns of such boxes only
-/// from the random samples that third boxes send.
-const MAX_REMOTE_SILENCE: Duration = Duration::from_secs(25);
+/// Time since a box of another data centre was last seen after which it is removed. It is longer since this box
+/// learns of such boxes only from the random samples that third boxes send.
+const REMOTE_PEER_TIMEOUT: Duration = Duration::from_secs(25);
 
 /// A known box.
 #[derive(Debug, Clone)]
@@ -130,7 +130,7 @@
     pub(crate) fn merge_record(&mut self, now: Instant, record: &PeerRecord) -> Option<IpAddr> {
         let host = record.host.parse::<IpAddr>().ok()?;
         let age = Duration::from_millis(u64::from(record.age_ms));
-        if age >= max_silence(&self.own_centre, &record.data_centre) {
+        if age >= peer_timeout(&self.own_centre, &record.data_centre) {
             return None;
         }
         let last_seen = now.checked_sub(age)?;
@@ -154,7 +154,7 @@
     pub(crate) fn remove_unresponsive(&mut self, now: Instant) -> Vec<String> {
         let own = self.own_centre.as_str();
         let is_unresponsive = |peer: &PeerEntry| {
-            now.saturating_duration_since(peer.last_seen) >= max_silence(own, &peer.data_centre)
+            now.saturating_duration_since(peer.last_seen) >= peer_timeout(own, &peer.data_centre)
         };
         let removed = self.peers.extract_if(|_, peer| is_unresponsive(peer)).map(|(_, peer)| peer);
         let removed: Vec<PeerEntry> = removed.collect();
@@ -315,6 +315,6 @@
 
 /// Returns the time since it was last seen after which a box of `data_centre` is removed by a box of the data centre
 /// `own`.
-fn max_silence(own: &str, data_centre: &str) -> Duration {
-    if data_centre == own { MAX_LOCAL_SILENCE } else { MAX_REMOTE_SILENCE }
+fn peer_timeout(own: &str, data_centre: &str) -> Duration {
+    if data_centre == own { LOCAL_PEER_TIMEOUT } else { REMOTE_PEER_TIMEOUT }
 }
