--- a/crates/ctl/src/explain/calibration.rs
+++ b/crates/ctl/src/explain/calibration.rs
@@ -1,30 +1,33 @@
-//! Whether attempts failed as often as they were taken to.
+//! Calibration: whether attempts failed as often as the boxes predicted.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-use super::request_line::{LineEnd, RequestLine};
+use super::log_line::{RequestEnd, RequestLine};
 
-/// Upper bounds of the rows: close together where most attempts are.
-const BOUNDS: [f64; 9] = [0.02, 0.03, 0.05, 0.08, 0.13, 0.2, 0.3, 0.5, 1.01];
+/// Upper bounds of the predicted failure probability of the rows. They are close together where most attempts
+/// are.
+const UPPER_BOUNDS: [f64; 9] = [0.02, 0.03, 0.05, 0.08, 0.13, 0.2, 0.3, 0.5, 1.01];
 
-/// Attempts of one service that were taken to fail about equally likely.
+/// The attempts of one service with about the same predicted failure probability.
 #[derive(Debug, Clone, Serialize)]
 pub struct CalibrationRow {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Whether they were trials of a target that had got nothing for a while.
+    /// Whether the attempts were trials, which probe a target that received no requests for some time.
     pub trial: bool,
-    /// How many.
+    /// Number of requests with such an attempt.
     pub requests: usize,
-    /// The mean of what was believed.
-    pub believed: f64,
-    /// The share that failed.
+    /// Mean predicted failure probability, 0 to 1.
+    #[serde(rename = "believed")]
+    pub predicted: f64,
+    /// Share of the requests that failed, 0 to 1.
     pub failed: f64,
 }
 
-/// Requests with one attempt, whose end speaks of the attempt that was believed in.
+/// Accumulates the requests with exactly one attempt. Only their outcome is the outcome of the attempt that
+/// the logged prediction is for.
 #[derive(Debug, Default)]
 pub(super) struct Calibration {
     rows: BTreeMap<(String, bool, usize), RowSum>,
@@ -33,18 +36,19 @@
 #[derive(Debug, Default)]
 struct RowSum {
     requests: usize,
-    believed: f64,
+    predicted: f64,
     failed: usize,
 }
 
 impl Calibration {
-    pub(super) fn note(&mut self, line: &RequestLine) {
+    pub(super) fn record(&mut self, line: &RequestLine) {
         let Some(risk) = line.risk.filter(|_| line.attempts == 1) else { return };
-        let row = BOUNDS.iter().position(|bound| risk < *bound).unwrap_or(BOUNDS.len() - 1);
+        let row =
+            UPPER_BOUNDS.iter().position(|bound| risk < *bound).unwrap_or(UPPER_BOUNDS.len() - 1);
         let sum = self.rows.entry((line.service.clone(), line.trial, row)).or_default();
         sum.requests += 1;
-        sum.believed += risk;
-        sum.failed += usize::from(line.end == LineEnd::Failed);
+        sum.predicted += risk;
+        sum.failed += usize::from(line.end == RequestEnd::Failed);
     }
 
     pub(super) fn rows(self) -> Vec<CalibrationRow> {
@@ -52,7 +56,7 @@
             service,
             trial,
             requests: sum.requests,
-            believed: sum.believed / sum.requests as f64,
+            predicted: sum.predicted / sum.requests as f64,
             failed: sum.failed as f64 / sum.requests as f64,
         };
         self.rows.into_iter().map(row).collect()
--- a/crates/ctl/src/explain/episodes.rs
+++ b/crates/ctl/src/explain/episodes.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use super::request_line::{LineEnd, RequestLine};
+use super::log_line::{RequestEnd, RequestLine};
 
 /// Maximum time between losses at one target that belong to the same episode, in milliseconds. It is
 /// shorter than the time after which the target is tried again and fails again.
@@ -14,20 +14,23 @@
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct EpisodeReport {
     /// Number of episodes, of one loss or more.
-    pub spells: usize,
+    #[serde(rename = "spells")]
+    pub episodes: usize,
     /// Number of first losses of an episode.
     pub first: usize,
-    /// Number of requests that were sent before the first loss had ended, so that it was not known yet.
-    pub on_the_way: usize,
+    /// Number of requests that were sent before the first loss had ended, when the box could not
+    /// consider it yet.
+    #[serde(rename = "on_the_way")]
+    pub in_flight: usize,
     /// Number of requests that were sent later, by an ordinary choice.
     pub later: usize,
     /// Number of requests that were sent later, as a trial.
     pub trials: usize,
 }
 
-/// The lost requests of each target.
+/// Collects the lost requests of each target.
 #[derive(Debug, Default)]
-pub(super) struct EpisodeCount {
+pub(super) struct EpisodeLosses {
     losses: BTreeMap<String, Vec<Loss>>,
 }
 
@@ -38,9 +41,9 @@
     trial: bool,
 }
 
-impl EpisodeCount {
-    pub(super) fn note(&mut self, line: &RequestLine) {
-        if line.end != LineEnd::Failed || line.target.is_empty() {
+impl EpisodeLosses {
+    pub(super) fn record(&mut self, line: &RequestLine) {
+        if line.end != RequestEnd::Failed || line.target.is_empty() {
             return;
         }
         let RequestLine { started_ms, ended_ms, trial, .. } = *line;
@@ -59,16 +62,16 @@
 }
 
 fn add_target(report: &mut EpisodeReport, losses: &[Loss]) {
-    let mut known_ms = i64::MAX;
+    let mut first_ended_ms = i64::MAX;
     let mut last_ms = None;
     for loss in losses {
         if last_ms.is_none_or(|last| loss.started_ms - last > EPISODE_GAP_MS) {
-            report.spells += 1;
+            report.episodes += 1;
             report.first += 1;
-            known_ms = loss.ended_ms;
-        } else if loss.started_ms < known_ms {
-            report.on_the_way += 1;
-            known_ms = known_ms.min(loss.ended_ms);
+            first_ended_ms = loss.ended_ms;
+        } else if loss.started_ms < first_ended_ms {
+            report.in_flight += 1;
+            first_ended_ms = first_ended_ms.min(loss.ended_ms);
         } else if loss.trial {
             report.trials += 1;
         } else {
--- a/crates/ctl/src/explain/losses.rs
+++ b/crates/ctl/src/explain/losses.rs
@@ -1,48 +1,49 @@
-//! Requests that were not served, by how they ended.
+//! Counts of requests by service, and of requests that were not served by outcome.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-use super::request_line::{LineEnd, RequestLine};
+use super::log_line::{RequestEnd, RequestLine};
 
-/// What became of the requests of one service.
+/// The outcomes of the requests of one service.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ServiceRow {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Requests that went to it.
+    /// Number of requests for the service.
     pub requests: usize,
-    /// Those that were refused before anything ran.
+    /// Number of requests that were refused before a target ran them.
     pub refused: usize,
-    /// Those that failed.
+    /// Number of requests that failed, or of which it is not known whether a target ran them.
     pub failed: usize,
-    /// Those whose last attempt was a trial, and the failed ones of them.
+    /// Number of requests whose last attempt was a trial.
     pub trials: usize,
-    /// Failed trials.
+    /// Number of failed requests whose last attempt was a trial.
     pub failed_trials: usize,
-    /// Those with a second attempt beside an open one, and the served ones of them.
+    /// Number of hedged requests, which had a second attempt while the first one was still open.
     pub hedged: usize,
-    /// Served ones of these.
+    /// Number of hedged requests that were served.
     pub hedged_served: usize,
-    /// Those whose last attempt left the data centre, as far as that is known.
+    /// Number of requests whose last attempt went to another data centre. Requests of boxes whose data
+    /// centre is not in the logs are not counted.
     pub crossed: usize,
 }
 
-/// Requests of one service that ended alike without being served.
+/// Requests of one service that were not served and have the same outcome.
 #[derive(Debug, Clone, Serialize)]
 pub struct LossRow {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The status that callers got.
+    /// Status code that the callers received.
     pub status: u16,
-    /// Targets that were asked.
+    /// Number of attempts that were made.
     pub attempts: u32,
     /// Whether the last attempt was a trial.
     pub trial: bool,
-    /// Whether there was a second attempt beside an open one.
+    /// Whether the requests had a second attempt while the first one was still open.
     pub hedged: bool,
-    /// How many.
+    /// Number of such requests.
     pub requests: usize,
 }
 
@@ -55,29 +56,29 @@
     hedged: bool,
 }
 
-/// The counts so far.
+/// Accumulates the counts of the services and of the losses.
 #[derive(Debug, Default)]
-pub(super) struct LossCount {
+pub(super) struct LossCounts {
     services: BTreeMap<String, ServiceRow>,
     losses: BTreeMap<LossKey, usize>,
 }
 
-impl LossCount {
-    /// Counts a request that a box of `data_centre` served, if that is known.
-    pub(super) fn note(&mut self, line: &RequestLine, data_centre: Option<&str>) {
+impl LossCounts {
+    /// Counts a request that was handled by a box in `data_centre`, which is `None` if the logs don't show it.
+    pub(super) fn record(&mut self, line: &RequestLine, data_centre: Option<&str>) {
         let row = self.services.entry(line.service.clone()).or_default();
-        let served = line.end == LineEnd::Served;
-        let failed = line.end == LineEnd::Failed;
+        let served = line.end == RequestEnd::Served;
+        let failed = line.end == RequestEnd::Failed;
         row.service.clone_from(&line.service);
         row.requests += 1;
-        row.refused += usize::from(line.end == LineEnd::Refused);
+        row.refused += usize::from(line.end == RequestEnd::Refused);
         row.failed += usize::from(failed);
         row.trials += usize::from(line.trial);
         row.failed_trials += usize::from(line.trial && failed);
         row.hedged += usize::from(line.hedged);
         row.hedged_served += usize::from(line.hedged && served);
-        let away = data_centre.is_some_and(|own| own != line.target_centre);
-        row.crossed += usize::from(away && !line.target_centre.is_empty());
+        let is_remote = data_centre.is_some_and(|home| home != line.target_centre);
+        row.crossed += usize::from(is_remote && !line.target_centre.is_empty());
         if !served {
             let key = LossKey {
                 service: line.service.clone(),
@@ -90,7 +91,7 @@
         }
     }
 
-    /// A row for each service, and the losses, the most frequent first.
+    /// Returns a row for each service, and the rows of the losses with the most frequent first.
     pub(super) fn rows(self) -> (Vec<ServiceRow>, Vec<LossRow>) {
         let row = |(key, requests): (LossKey, usize)| LossRow {
             service: key.service,
--- a/crates/ctl/src/explain/mod.rs
+++ b/crates/ctl/src/explain/mod.rs
@@ -1,24 +1,25 @@
-//! `wingctl explain`: where requests were lost, by the log lines of boxes.
+//! `wingctl explain`: where requests were lost, according to the logs of boxes.
 //!
-//! One line of a request tells its own story. Which story is the usual one, and so what
-//! to mend first, shows only in all of them: by service and way of ending, by what was
-//! believed of the target, and by where in a failure episode of a target they fell. Lines of
-//! configurations and targets tell how long a change took through all boxes, and requests how
-//! old what they were decided by was. Requests under which targets ended are named one by one,
-//! and targets that wanted nothing with what kept them out of the choice. What all boxes sent to a target
-//! that had named a limit is held against it.
+//! The log line of a request covers this request alone. The most frequent cause of losses, which should be
+//! corrected first, shows only in the statistics of all lines. The report therefore counts lost requests by
+//! service and outcome, by the predicted failure probability of the target, and by their position in a
+//! failure episode of the target.
+//!
+//! Further tables show how long configurations and removals of targets took to reach all boxes, how many
+//! requests were decided on an outdated view, which requests repeatedly ended targets, which targets were
+//! excluded and for which reason, and how many requests all boxes together sent to targets with a limit.
 
 mod calibration;
-mod deadly;
 mod episodes;
-mod left_alone;
-mod limited;
+mod excluded_targets;
+mod limited_targets;
+mod log_line;
 mod log_objects;
 mod losses;
-mod moments;
+mod poison_requests;
+mod propagation;
 mod report;
-mod request_line;
-mod spread;
+mod seconds;
 mod tables;
 
 use std::fs::File;
@@ -32,13 +33,13 @@
 
 pub use report::{LogReport, explain_lines};
 
-/// The name for standard input.
+/// File name that stands for standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// Reads the named files and prints what they tell.
+/// Runs `wingctl explain`: reads the named log files and prints the report.
 ///
 /// # Errors
-/// A file can't be read, or no line of a request is in any of them.
+/// Fails if a file can't be read, or if none of the files has the log line of a request.
 pub fn run_explain(matches: &ArgMatches, json: bool) -> eyre::Result<Outcome> {
     let names = matches.get_many::<String>("files").into_iter().flatten();
     let mut readers: Vec<(String, Box<dyn BufRead>)> = Vec::new();
@@ -48,7 +49,7 @@
     let report = explain_lines(readers)?;
     if report.requests == 0 {
         return Err(eyre!(
-            "no line of a request was found: a box's log has one line of JSON for each, with \
+            "found no request in the logs: a box logs each request as one line of JSON with \
              \"event\":\"request\""
         ));
     }
@@ -60,6 +61,6 @@
     if name == STANDARD_INPUT {
         return Ok(Box::new(BufReader::new(stdin())));
     }
-    let file = File::open(name).wrap_err_with(|| format!("opening {name}"))?;
+    let file = File::open(name).wrap_err_with(|| format!("can't open {name}"))?;
     Ok(Box::new(BufReader::new(file)))
 }
--- a/crates/ctl/src/explain/spread.rs
+++ b/crates/ctl/src/explain/propagation.rs
@@ -1,91 +1,93 @@
-//! How long configurations and leaving targets took from the first box to the last.
+//! Time that configurations and removals of targets took from the first box to the last one.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-/// One configuration, on its way through the boxes.
+/// The propagation of one version of the configuration through the boxes.
 #[derive(Debug, Clone, Serialize, PartialEq, Eq)]
 pub struct VersionRow {
-    /// Its version.
+    /// Version of the configuration.
     pub version: u64,
-    /// Boxes that have it in force.
+    /// Number of boxes that put the version in force.
     pub boxes: usize,
-    /// Those that have it from the store itself; the others have it from a peer.
+    /// Number of these boxes that read the version from the store; the others received it from a peer.
     pub from_store: usize,
-    /// Milliseconds after the first box until half of them had it.
+    /// Time from the first box to the median box, in milliseconds.
     pub median_ms: i64,
-    /// The same for the last one.
+    /// Time from the first box to the last box, in milliseconds.
     pub last_ms: i64,
-    /// The box that was last.
+    /// Name of the last box.
     pub last_box: String,
-    /// The longest that a box had known of it before it had it, in milliseconds.
-    pub longest_known_ms: i64,
+    /// Maximum time between a box learning of the version from peers and putting it in force, in milliseconds.
+    #[serde(rename = "longest_known_ms")]
+    pub max_pending_ms: i64,
 }
 
-/// All targets that left.
+/// The propagation of the removals of targets from the listing through the boxes.
 #[derive(Debug, Clone, Default, Serialize, PartialEq, Eq)]
-pub struct LeavingReport {
-    /// Targets.
+pub struct UnlistedReport {
+    /// Number of targets that were removed.
     pub targets: usize,
-    /// Milliseconds from the first box that knew until the last one, at the median of targets.
+    /// Time from the first box that applied a removal to the last one, in milliseconds; the median
+    /// of the targets.
     pub median_ms: i64,
-    /// The same of the slowest one.
+    /// Time from the first box to the last one for the slowest target, in milliseconds.
     pub slowest_ms: i64,
-    /// Its name.
+    /// Address of the slowest target.
     pub slowest: String,
 }
 
-/// A version that came into force in a box.
+/// Log line of a version that came into force in a box.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct InForceLine {
     pub(super) version: u64,
     pub(super) at_ms: i64,
-    /// How long the box had known of it by peers.
-    pub(super) known_ms: i64,
+    /// Time since the box learned of the version from peers, in milliseconds.
+    pub(super) pending_ms: i64,
     pub(super) from_store: bool,
 }
 
-/// A target that a box gives no new work any more.
+/// Log line of a target that the listing has dropped, or marks as draining: the box sends it no new requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct LeftLine {
+pub(super) struct UnlistedLine {
     pub(super) target: String,
     pub(super) at_ms: i64,
 }
 
-/// Sums over the lines of all boxes.
+/// Collects the times at which boxes applied versions and removals.
 #[derive(Debug, Default)]
-pub(super) struct SpreadCount {
+pub(super) struct PropagationTimes {
     versions: BTreeMap<u64, Vec<(i64, String, InForceLine)>>,
-    left: BTreeMap<String, Vec<i64>>,
+    unlisted: BTreeMap<String, Vec<i64>>,
 }
 
-impl SpreadCount {
-    pub(super) fn note_in_force(&mut self, box_name: &str, line: InForceLine) {
+impl PropagationTimes {
+    pub(super) fn record_in_force(&mut self, box_name: &str, line: InForceLine) {
         let boxes = self.versions.entry(line.version).or_default();
         boxes.push((line.at_ms, box_name.to_string(), line));
     }
 
-    pub(super) fn note_left(&mut self, line: LeftLine) {
-        self.left.entry(line.target).or_default().push(line.at_ms);
+    pub(super) fn record_unlisted(&mut self, line: UnlistedLine) {
+        self.unlisted.entry(line.target).or_default().push(line.at_ms);
     }
 
     pub(super) fn versions(&self) -> Vec<VersionRow> {
         self.versions.iter().filter_map(|(version, boxes)| version_row(*version, boxes)).collect()
     }
 
-    pub(super) fn leaving(&self) -> LeavingReport {
+    pub(super) fn unlisted(&self) -> UnlistedReport {
         let span = |times: &Vec<i64>| {
             let first = times.iter().min().copied().unwrap_or_default();
             times.iter().max().copied().unwrap_or_default() - first
         };
         let mut spans: Vec<(i64, &String)> =
-            self.left.iter().map(|(target, times)| (span(times), target)).collect();
+            self.unlisted.iter().map(|(target, times)| (span(times), target)).collect();
         spans.sort();
         let Some((slowest_ms, slowest)) = spans.last().copied() else {
-            return LeavingReport::default();
+            return UnlistedReport::default();
         };
-        LeavingReport {
+        UnlistedReport {
             targets: spans.len(),
             median_ms: spans[spans.len() / 2].0,
             slowest_ms,
@@ -105,6 +107,6 @@
         median_ms: times[times.len() / 2] - times[0],
         last_ms: last - times[0],
         last_box: last_box.clone(),
-        longest_known_ms: boxes.iter().map(|(.., line)| line.known_ms).max().unwrap_or_default(),
+        max_pending_ms: boxes.iter().map(|(.., line)| line.pending_ms).max().unwrap_or_default(),
     })
 }
--- a/crates/ctl/src/explain/report.rs
+++ b/crates/ctl/src/explain/report.rs
@@ -1,4 +1,4 @@
-//! The whole report, from the lines of many boxes.
+//! The report, built from the log lines of many boxes.
 
 use std::collections::HashMap;
 use std::io::BufRead;
@@ -7,146 +7,154 @@
 use serde::Serialize;
 
 use super::calibration::{Calibration, CalibrationRow};
-use super::deadly::{DeadlyCount, DeadlyRow};
-use super::episodes::{EpisodeCount, EpisodeReport};
-use super::left_alone::{AloneCause, AloneCount, AloneLine, AloneRow};
-use super::limited::{LimitedCount, LimitedRow};
+use super::episodes::{EpisodeLosses, EpisodeReport};
+use super::excluded_targets::{ExcludedRow, ExclusionCause, ExclusionCounts, ExclusionLine};
+use super::limited_targets::{LimitCounts, LimitedRow};
+use super::log_line::{BoxLine, LogEvent, decode};
 use super::log_objects::{LogObject, log_objects};
-use super::losses::{LossCount, LossRow, ServiceRow};
-use super::moments::{MomentCount, MomentRow};
-use super::request_line::{BoxLine, LogLine, decode};
-use super::spread::{LeavingReport, SpreadCount, VersionRow};
+use super::losses::{LossCounts, LossRow, ServiceRow};
+use super::poison_requests::{PoisonCounts, PoisonRow};
+use super::propagation::{PropagationTimes, UnlistedReport, VersionRow};
+use super::seconds::{SecondCounts, SecondRow};
 
-/// Lines that can't be read and are named; all are counted.
-const UNREAD_NAMED: usize = 8;
-/// A view that is older than this is on the way to be older than a change may take.
+/// Maximum number of unreadable lines that the report lists. All of them are counted.
+const MAX_UNREAD_LINES: usize = 8;
+/// Age of a view above which its requests are counted as decided on an old view. Views that grow much older
+/// exceed the time within which a change has to reach all boxes.
 pub(super) const OLD_VIEW_MS: u64 = 1500;
 
-/// What the lines of requests tell together.
+/// The report on the log lines of all boxes.
 #[derive(Debug, Serialize)]
 pub struct LogReport {
-    /// Requests that went to a service.
+    /// Number of requests for a service.
     pub requests: usize,
-    /// Lines without JSON, which were passed over.
+    /// Number of lines without JSON, which were skipped.
     pub other_lines: usize,
-    /// Objects that can't be read, cut short mostly, which were passed over.
+    /// Number of JSON objects that can't be decoded and were skipped. Most of them are truncated.
     pub unread: usize,
-    /// The first of them.
+    /// The first objects that can't be decoded.
     pub unread_lines: Vec<UnreadLine>,
-    /// What became of them, by service.
+    /// Outcomes of the requests, by service.
     pub services: Vec<ServiceRow>,
-    /// Those that were not served, by how they ended.
+    /// Requests that were not served, by outcome.
     pub losses: Vec<LossRow>,
-    /// Where in failure episodes they were lost.
-    pub spells: EpisodeReport,
-    /// Whether beliefs were right.
+    /// Lost requests by their position in a failure episode.
+    #[serde(rename = "spells")]
+    pub episodes: EpisodeReport,
+    /// Predicted failure probabilities, compared with the shares of requests that failed.
     pub calibration: Vec<CalibrationRow>,
-    /// What each service got in each second.
-    pub moments: Vec<MomentRow>,
-    /// How long each configuration took through the boxes.
+    /// Requests of each service in each second.
+    #[serde(rename = "moments")]
+    pub seconds: Vec<SecondRow>,
+    /// Propagation of each version of the configuration through the boxes.
     pub versions: Vec<VersionRow>,
-    /// The same for targets that left.
-    pub leaving: LeavingReport,
-    /// Requests that were decided by a view older than 1.5 s.
+    /// Propagation of the removals of targets through the boxes.
+    #[serde(rename = "leaving")]
+    pub unlisted: UnlistedReport,
+    /// Number of requests that were decided on a view older than 1.5 s.
     pub old_views: usize,
     /// Requests under which targets ended.
-    pub deadly: Vec<DeadlyRow>,
-    /// Targets that were left alone for some of the time, and why.
-    pub left_alone: Vec<AloneRow>,
-    /// Targets that had a limit for some of the time, and what they got.
-    pub limited: Vec<LimitedRow>,
+    #[serde(rename = "deadly")]
+    pub poison_requests: Vec<PoisonRow>,
+    /// Targets that were excluded for some of the time, with the causes.
+    #[serde(rename = "left_alone")]
+    pub excluded_targets: Vec<ExcludedRow>,
+    /// Targets that had a limit for some of the time, with the requests that they received.
+    #[serde(rename = "limited")]
+    pub limited_targets: Vec<LimitedRow>,
 }
 
-/// A line of a log that can't be read.
+/// A JSON object of a log that can't be decoded.
 #[derive(Debug, Clone, Serialize)]
 pub struct UnreadLine {
-    /// Its file and number.
+    /// File and number of the line.
     pub place: String,
-    /// What is wrong with it.
+    /// Reason why the object can't be decoded.
     pub reason: String,
 }
 
-/// Reads the lines of all `readers`, each with its name.
+/// Builds the report from the lines of all `readers`, each of which has a name.
 ///
 /// # Errors
-/// A reader fails; the error names it and the line. What is in a line is no error: a collector's
-/// log has lines that are cut short, and the others still tell what happened.
+/// Fails if a reader fails; the error has its name and the number of the line. A line that can't be decoded is
+/// not an error: collected logs have truncated lines, and the remaining lines are still useful.
 pub fn explain_lines(readers: Vec<(String, Box<dyn BufRead>)>) -> eyre::Result<LogReport> {
-    let mut sums = ReportSums::default();
+    let mut builder = ReportBuilder::default();
     for (name, reader) in readers {
         for (number, line) in reader.lines().enumerate() {
             let place = || format!("{name}, line {}", number + 1);
             let line = line.wrap_err_with(place)?;
-            sums.take_line(&name, number + 1, &line);
+            builder.add_line(&name, number + 1, &line);
         }
     }
-    Ok(sums.report())
+    Ok(builder.report())
 }
 
+/// Accumulates the log lines of all boxes.
 #[derive(Default)]
-struct ReportSums {
+struct ReportBuilder {
     requests: usize,
     other_lines: usize,
     unread: usize,
     unread_lines: Vec<UnreadLine>,
-    /// The data centre of each box, by where its lines come from.
+    /// Data centre of each box, by the name of the box or, if its lines don't have one, of its log.
     data_centres: HashMap<String, String>,
-    losses: LossCount,
-    episodes: EpisodeCount,
+    losses: LossCounts,
+    episodes: EpisodeLosses,
     calibration: Calibration,
-    moments: MomentCount,
-    spread: SpreadCount,
+    seconds: SecondCounts,
+    propagation: PropagationTimes,
     old_views: usize,
-    deadly: DeadlyCount,
-    left_alone: AloneCount,
-    limited: LimitedCount,
+    poison_requests: PoisonCounts,
+    excluded_targets: ExclusionCounts,
+    limited_targets: LimitCounts,
 }
 
-impl ReportSums {
-    fn take_line(&mut self, name: &str, number: usize, line: &str) {
+impl ReportBuilder {
+    fn add_line(&mut self, name: &str, number: usize, line: &str) {
         let objects = log_objects(line);
         self.other_lines += usize::from(objects.is_empty());
         for object in &objects {
-            let Err(error) = self.take(name, object) else { continue };
+            let Err(error) = self.add_object(name, object) else { continue };
             self.unread += 1;
-            if self.unread_lines.len() < UNREAD_NAMED {
+            if self.unread_lines.len() < MAX_UNREAD_LINES {
                 let place = format!("{name}, line {number}");
                 self.unread_lines.push(UnreadLine { place, reason: format!("{error:#}") });
             }
         }
     }
 
-    fn take(&mut self, name: &str, object: &LogObject<'_>) -> eyre::Result<()> {
-        let BoxLine { box_name, line } = decode(object.text)?;
-        // A line that names its box is that box's, wherever a collector has put it.
-        let told = Some(box_name.as_str()).filter(|told| !told.is_empty());
-        let box_name = told.or(object.named).unwrap_or(name);
-        match line {
-            LogLine::Request(line) if !line.service.is_empty() => {
+    fn add_object(&mut self, name: &str, object: &LogObject<'_>) -> eyre::Result<()> {
+        let BoxLine { box_name, event } = decode(object.text)?;
+        // The box name in the line takes precedence over the collector's prefix and the name of the log.
+        let logged_name = Some(box_name.as_str()).filter(|box_name| !box_name.is_empty());
+        let box_name = logged_name.or(object.prefix).unwrap_or(name);
+        match event {
+            LogEvent::Request(line) if !line.service.is_empty() => {
                 let data_centre = self.data_centres.get(box_name).map(String::as_str);
                 self.requests += 1;
                 self.old_views += usize::from(line.view_age_ms > OLD_VIEW_MS);
-                self.losses.note(&line, data_centre);
-                self.episodes.note(&line);
-                self.calibration.note(&line);
-                self.moments.note(&line);
-                self.deadly.note_request(box_name, &line);
-                self.left_alone.note_request(&line);
+                self.losses.record(&line, data_centre);
+                self.episodes.record(&line);
+                self.calibration.record(&line);
+                self.seconds.record(&line);
+                self.poison_requests.record_request(box_name, &line);
+                self.excluded_targets.record_request(&line);
             }
-            LogLine::Ended(line) => self.deadly.note_ended(line),
-            LogLine::Started(data_centre) => {
+            LogEvent::Ended(line) => self.poison_requests.record_ended(line),
+            LogEvent::Started(data_centre) => {
                 self.data_centres.insert(box_name.to_string(), data_centre);
             }
-            LogLine::InForce(line) => self.spread.note_in_force(box_name, line),
-            LogLine::Left(line) => {
+            LogEvent::InForce(line) => self.propagation.record_in_force(box_name, line),
+            LogEvent::Unlisted(line) => {
                 let (target, at_ms) = (line.target.clone(), line.at_ms);
-                let alone = AloneLine { target, at_ms, cause: AloneCause::Left };
-                self.left_alone.note(box_name, &alone);
-                self.spread.note_left(line);
+                let exclusion = ExclusionLine { target, at_ms, cause: ExclusionCause::Unlisted };
+                self.excluded_targets.record(box_name, &exclusion);
+                self.propagation.record_unlisted(line);
             }
-            LogLine::Alone(line) => self.left_alone.note(box_name, &line),
-            LogLine::Limited(line) => self.limited.note(box_name, &line),
-            LogLine::Request(_) | LogLine::Other => {}
+            LogEvent::Excluded(line) => self.excluded_targets.record(box_name, &line),
+            LogEvent::Limit(line) => self.limited_targets.record(box_name, &line),
+            LogEvent::Request(_) | LogEvent::Other => {}
         }
         Ok(())
     }
@@ -160,15 +168,15 @@
             unread_lines: self.unread_lines,
             services,
             losses,
-            spells: self.episodes.report(),
+            episodes: self.episodes.report(),
             calibration: self.calibration.rows(),
-            moments: self.moments.rows(),
-            versions: self.spread.versions(),
-            leaving: self.spread.leaving(),
+            seconds: self.seconds.rows(),
+            versions: self.propagation.versions(),
+            unlisted: self.propagation.unlisted(),
             old_views: self.old_views,
-            deadly: self.deadly.rows(),
-            left_alone: self.left_alone.rows(),
-            limited: self.limited.rows(),
+            poison_requests: self.poison_requests.rows(),
+            excluded_targets: self.excluded_targets.rows(),
+            limited_targets: self.limited_targets.rows(),
         }
     }
 }
--- a/crates/ctl/src/explain/tables.rs
+++ b/crates/ctl/src/explain/tables.rs
@@ -1,83 +1,85 @@
-//! The report as tables for people.
+//! Formatting of the report as text tables for operators.
 
 use super::calibration::CalibrationRow;
-use super::deadly::DeadlyRow;
-use super::left_alone::AloneRow;
-use super::limited::LimitedRow;
+use super::excluded_targets::ExcludedRow;
+use super::limited_targets::LimitedRow;
 use super::losses::{LossRow, ServiceRow};
-use super::moments::MomentRow;
+use super::poison_requests::PoisonRow;
+use super::propagation::VersionRow;
 use super::report::{LogReport, OLD_VIEW_MS};
-use super::spread::VersionRow;
+use super::seconds::SecondRow;
 use crate::output::table;
 
-/// Rows of losses that are shown to people; JSON has all.
-const LOSSES_SHOWN: usize = 20;
-/// Fewer requests say little of an estimate; such rows are left out for people.
-const CALIBRATION_FROM: usize = 20;
-/// Rows of seconds that are shown to people, those with the most losses; JSON has all.
-const MOMENTS_SHOWN: usize = 12;
-/// Requests under which targets ended that are shown to people; JSON has all.
-const DEADLY_SHOWN: usize = 12;
-/// Targets that were left alone that are shown to people; JSON has all.
-const ALONE_SHOWN: usize = 20;
-/// Targets with a limit that are shown to people; JSON has all.
-const LIMITED_SHOWN: usize = 20;
+/// Maximum number of rows in the table of losses. The JSON report has all rows.
+const MAX_LOSS_ROWS: usize = 20;
+/// Minimum number of requests of a row in the calibration table. Rows with fewer requests say little about the
+/// quality of the prediction; only the JSON report has them.
+const MIN_CALIBRATION_REQUESTS: usize = 20;
+/// Maximum number of rows in the table of seconds, which shows those with the most losses. The JSON report has
+/// all rows.
+const MAX_SECOND_ROWS: usize = 12;
+/// Maximum number of rows in the table of poison requests. The JSON report has all rows.
+const MAX_POISON_ROWS: usize = 12;
+/// Maximum number of rows in the table of excluded targets. The JSON report has all rows.
+const MAX_EXCLUDED_ROWS: usize = 20;
+/// Maximum number of rows in the table of targets with a limit. The JSON report has all rows.
+const MAX_LIMITED_ROWS: usize = 20;
 
 impl LogReport {
-    /// Tables for people.
+    /// Returns the report as text tables for operators.
     pub fn as_text(&self) -> String {
-        let (episodes, leaving) = (&self.spells, &self.leaving);
+        let (episodes, unlisted) = (&self.episodes, &self.unlisted);
         [
             format!("{} requests", self.requests),
             self.unread_text(),
             self.service_table(),
-            "not served, the most frequent first:".to_string(),
+            "requests that were not served, the most frequent first:".to_string(),
             self.loss_table(),
             format!(
-                "losses in {} spells of a target: {} first, {} on their way before that was known, \
-                 {} sent later, {} later as trials",
-                episodes.spells,
+                "losses in {} failure episodes of targets: {} first losses, {} sent before \
+                 the first loss had ended, {} sent later, {} sent later as trials",
+                episodes.episodes,
                 episodes.first,
-                episodes.on_the_way,
+                episodes.in_flight,
                 episodes.later,
                 episodes.trials
             ),
-            format!("beliefs, rows of {CALIBRATION_FROM} requests or more:"),
+            format!("failure probabilities, rows with {MIN_CALIBRATION_REQUESTS} or more requests:"),
             self.calibration_table(),
             "seconds with the most losses:".to_string(),
-            self.moment_table(),
-            "configurations, from the first box that had one in force:".to_string(),
+            self.second_table(),
+            "configurations, with times after the first box that had one in force:".to_string(),
             self.version_table(),
             format!(
-                "{} targets left: from the first box that knew to the last {} ms at the median, \
+                "{} targets removed from the listing: from the first box to the last {} ms at the median, \
                  {} ms for {}",
-                leaving.targets, leaving.median_ms, leaving.slowest_ms, leaving.slowest
+                unlisted.targets, unlisted.median_ms, unlisted.slowest_ms, unlisted.slowest
             ),
-            format!("{} requests on a view older than {OLD_VIEW_MS} ms", self.old_views),
-            "requests under which targets ended, again and again:".to_string(),
-            self.deadly_table(),
-            "targets that were left alone, and the boxes that knew why:".to_string(),
-            self.alone_table(),
-            "targets that named a limit, and what all boxes sent them in 4 s:".to_string(),
+            format!("{} requests decided on a view older than {OLD_VIEW_MS} ms", self.old_views),
+            "requests under which targets ended repeatedly:".to_string(),
+            self.poison_table(),
+            "targets that were left alone, with the number of boxes by cause:".to_string(),
+            self.excluded_table(),
+            "targets that named a limit, with the requests of all boxes in 4 s:".to_string(),
             self.limited_table(),
         ]
         .join("\n\n")
     }
 
     fn unread_text(&self) -> String {
-        let named = self.unread_lines.iter();
-        let named = named.map(|line| format!("\n  {}: {}", line.place, line.reason));
+        let listed = self.unread_lines.iter();
+        let listed = listed.map(|line| format!("\n  {}: {}", line.place, line.reason));
         format!(
-            "{} lines or parts of lines can't be read{}",
+            "{} lines or parts of lines can't be decoded{}",
             self.unread,
-            named.collect::<String>()
+            listed.collect::<String>()
         )
     }
 
-    fn moment_table(&self) -> String {
-        let mut worst: Vec<&MomentRow> = self.moments.iter().filter(|row| row.lost > 0).collect();
+    fn second_table(&self) -> String {
+        let mut worst: Vec<&SecondRow> = self.seconds.iter().filter(|row| row.lost > 0).collect();
         worst.sort_by_key(|row| std::cmp::Reverse(row.lost));
-        let row = |row: &&MomentRow| {
+        let row = |row: &&SecondRow| {
             vec![
                 row.second.to_string(),
                 row.service.clone(),
@@ -88,9 +90,9 @@
                 row.targets.to_string(),
             ]
         };
-        let rows: Vec<Vec<String>> = worst.iter().take(MOMENTS_SHOWN).map(row).collect();
+        let rows: Vec<Vec<String>> = worst.iter().take(MAX_SECOND_ROWS).map(row).collect();
         let headings =
-            ["second", "service", "requests", "lost", "trials", "lost trials", "targets asked"];
+            ["second", "service", "requests", "lost", "trials", "lost trials", "distinct targets"];
         table(&headings, &rows)
     }
 
@@ -117,8 +119,8 @@
             "trials",
             "of failed",
             "second attempts",
-            "then served",
-            "left the data centre",
+            "of these served",
+            "to other data centres",
         ];
         table(&headings, &rows)
     }
@@ -129,17 +131,17 @@
                 row.service.clone(),
                 row.status.to_string(),
                 row.attempts.to_string(),
-                mark(row.trial, "trial"),
-                mark(row.hedged, "second attempt"),
+                text_if(row.trial, "trial"),
+                text_if(row.hedged, "second attempt"),
                 row.requests.to_string(),
             ]
         };
-        let rows: Vec<Vec<String>> = self.losses.iter().take(LOSSES_SHOWN).map(row).collect();
+        let rows: Vec<Vec<String>> = self.losses.iter().take(MAX_LOSS_ROWS).map(row).collect();
         table(&["service", "status", "attempts", "", "", "requests"], &rows)
     }
 
-    fn deadly_table(&self) -> String {
-        let row = |row: &DeadlyRow| {
+    fn poison_table(&self) -> String {
+        let row = |row: &PoisonRow| {
             vec![
                 row.fingerprint.clone(),
                 row.path.clone(),
@@ -150,35 +152,37 @@
                 row.boxes.to_string(),
             ]
         };
-        let rows: Vec<Vec<String>> = self.deadly.iter().take(DEADLY_SHOWN).map(row).collect();
+        let rows: Vec<Vec<String>> =
+            self.poison_requests.iter().take(MAX_POISON_ROWS).map(row).collect();
         let headings =
             ["fingerprint", "path", "customer", "targets ended", "tries", "refused", "boxes"];
         table(&headings, &rows)
     }
 
-    fn alone_table(&self) -> String {
-        let row = |row: &AloneRow| {
+    fn excluded_table(&self) -> String {
+        let row = |row: &ExcludedRow| {
             let counts = [
                 row.requests,
-                row.leaves_at,
-                row.rests,
-                row.rests_at,
-                row.replaced_at,
-                row.left_at,
+                row.draining_boxes,
+                row.backoffs,
+                row.backoff_boxes,
+                row.replaced_boxes,
+                row.unlisted_boxes,
                 row.withheld,
             ];
             let counts = counts.iter().map(usize::to_string);
             std::iter::once(row.target.clone()).chain(counts).collect()
         };
-        let rows: Vec<Vec<String>> = self.left_alone.iter().take(ALONE_SHOWN).map(row).collect();
+        let rows: Vec<Vec<String>> =
+            self.excluded_targets.iter().take(MAX_EXCLUDED_ROWS).map(row).collect();
         let headings = [
             "target",
             "requests",
-            "leaves, by",
+            "draining, boxes",
             "rests",
             "by",
-            "replaced, by",
-            "left the list, by",
+            "replaced, boxes",
+            "unlisted, boxes",
             "withheld",
         ];
         table(&headings, &rows)
@@ -189,24 +193,25 @@
             vec![
                 row.target.clone(),
                 row.per_second.to_string(),
-                row.least_per_second.to_string(),
+                row.min_per_second.to_string(),
                 row.boxes.to_string(),
                 row.sends.to_string(),
-                row.most.to_string(),
+                row.max_sends.to_string(),
                 format!("{:.1}", row.allowed),
-                row.most_at_ms.to_string(),
+                row.max_at_ms.to_string(),
             ]
         };
-        let rows: Vec<Vec<String>> = self.limited.iter().take(LIMITED_SHOWN).map(row).collect();
+        let rows: Vec<Vec<String>> =
+            self.limited_targets.iter().take(MAX_LIMITED_ROWS).map(row).collect();
         let headings = [
             "target",
-            "a second",
+            "per second",
             "least",
-            "boxes that knew",
+            "boxes informed",
             "sends",
-            "most in 4 s",
+            "max in 4 s",
             "allowed",
-            "until ms",
+            "window end ms",
         ];
         table(&headings, &rows)
     }
@@ -220,12 +225,19 @@
                 row.median_ms.to_string(),
                 row.last_ms.to_string(),
                 row.last_box.clone(),
-                row.longest_known_ms.to_string(),
+                row.max_pending_ms.to_string(),
             ]
         };
         let rows: Vec<Vec<String>> = self.versions.iter().map(row).collect();
-        let headings =
-            ["version", "boxes", "by the store", "half ms", "last ms", "last box", "known of ms"];
+        let headings = [
+            "version",
+            "boxes",
+            "from store",
+            "median ms",
+            "last ms",
+            "last box",
+            "max pending ms",
+        ];
         table(&headings, &rows)
     }
 
@@ -233,22 +245,22 @@
         let row = |row: &CalibrationRow| {
             vec![
                 row.service.clone(),
-                mark(row.trial, "trial"),
+                text_if(row.trial, "trial"),
                 row.requests.to_string(),
-                format!("{:.3}", row.believed),
+                format!("{:.3}", row.predicted),
                 format!("{:.3}", row.failed),
             ]
         };
-        let shown = self.calibration.iter().filter(|row| row.requests >= CALIBRATION_FROM);
+        let shown = self.calibration.iter().filter(|row| row.requests >= MIN_CALIBRATION_REQUESTS);
         let rows: Vec<Vec<String>> = shown.map(row).collect();
-        table(&["service", "", "requests", "taken to fail", "failed"], &rows)
+        table(&["service", "", "requests", "predicted to fail", "failed"], &rows)
     }
 }
 
-fn share(part: usize, whole: usize) -> String {
-    if whole == 0 { "-".to_string() } else { format!("{:.3}", part as f64 / whole as f64) }
+fn share(part: usize, total: usize) -> String {
+    if total == 0 { "-".to_string() } else { format!("{:.3}", part as f64 / total as f64) }
 }
 
-fn mark(holds: bool, text: &str) -> String {
-    if holds { text.to_string() } else { String::new() }
+fn text_if(condition: bool, text: &str) -> String {
+    if condition { text.to_string() } else { String::new() }
 }
--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -52,7 +52,7 @@
         )
         .subcommand_required(true)
         .arg_required_else_help(true)
-        .arg(setting("store", "Address of the platform's store", "IP address and port. Required to read or change configuration.").global(true).default_value(""))
+        .arg(setting("store", "Address of the platform's store", "An IP number and a port. Required to read or change configuration.").global(true).default_value(""))
         .arg(setting("agents", "Admin addresses of some agents", "Separated by commas. One agent that answers is enough, because it lists all boxes.").global(true).default_value(""))
         .arg(setting("author", "Author of the change", "1 to 63 letters, digits, '-', '_' and '.'; recorded in the history.").global(true).default_value("operator"))
         .arg(setting("wait-s", "Maximum time to wait until a change is in force in all boxes, in seconds", "With 0, the command does not wait.").global(true).default_value("20"))
--- a/crates/ctl/tests/examples.rs
+++ b/crates/ctl/tests/examples.rs
@@ -1,4 +1,5 @@
-//! The examples for both users' sites are sound, and belong together.
+//! Tests that the example configurations of both sites are valid and that their services, policies and routes
+//! are consistent.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -11,25 +12,25 @@
 }
 
 #[test]
-fn example_sites_are_sound() {
+fn example_sites_are_valid_and_consistent() {
     for (site, targets) in [("sedlo", 30), ("dakar", 40)] {
         let folder = site_folder(site);
-        let text = fs::read_to_string(folder.join("services.toml")).expect("a file");
+        let text = fs::read_to_string(folder.join("services.toml")).expect("the file can be read");
         let services = parse_services(&text).unwrap_or_else(|error| panic!("{site}: {error}"));
         let counted: usize = services.iter().map(|service| service.setup.targets.len()).sum();
         assert_eq!(counted, targets, "{site}");
         for service in &services {
             let file = folder.join(format!("{}.rhai", service.policy));
-            let program = fs::read_to_string(&file).expect("a policy for each service");
+            let program = fs::read_to_string(&file).expect("each service has a policy");
             let program = PolicyProgram::compile(&program)
                 .unwrap_or_else(|fault| panic!("{}: {fault}", file.display()));
             let request = RequestView::new("GET", &service.routes[0], "", "me", Vec::new());
             let Ok(PolicyDecision::Route(plan)) = program.plan(request) else {
-                panic!("{site}: reading is routed");
+                panic!("{site}: a GET request is not routed");
             };
-            assert!(plan.repeatable, "{site}: reading may be repeated");
-            let known = services.iter().any(|other| *other.setup.name == *plan.service);
-            assert!(known, "{site}: {} is a service", plan.service);
+            assert!(plan.repeatable, "{site}: a GET request may be repeated");
+            let is_configured = services.iter().any(|other| *other.setup.name == *plan.service);
+            assert!(is_configured, "{site}: {} is not a configured service", plan.service);
         }
     }
 }
@@ -37,10 +38,13 @@
 #[test]
 fn orders_run_at_most_once_at_both_sites() {
     for site in ["sedlo", "dakar"] {
-        let text = fs::read_to_string(site_folder(site).join("orders.rhai")).expect("a policy");
-        let program = PolicyProgram::compile(&text).expect("a sound policy");
+        let text = fs::read_to_string(site_folder(site).join("orders.rhai"))
+            .expect("the policy can be read");
+        let program = PolicyProgram::compile(&text).expect("the policy is valid");
         let request = RequestView::new("POST", "/orders", "", "me", Vec::new());
-        let Ok(PolicyDecision::Route(plan)) = program.plan(request) else { panic!("routed") };
+        let Ok(PolicyDecision::Route(plan)) = program.plan(request) else {
+            panic!("a POST request is not routed")
+        };
         assert!(!plan.repeatable && !plan.cancel_on_hangup, "{site}");
     }
 }
@@ -48,18 +52,18 @@
 struct ConfigCase {
     name: &'static str,
     line: &'static str,
-    says: &'static str,
+    expected: &'static str,
 }
 
 #[test]
-fn faulty_services_are_refused_with_setting_value_and_what_is_allowed() {
+fn invalid_services_are_rejected_with_setting_value_and_allowed_range() {
     let cases = [
-        ConfigCase { name: "floor", line: "floor = 1.5", says: "floor = 1.5: allowed is" },
-        ConfigCase { name: "bias", line: "bias = \"bold\"", says: "bias = bold: allowed is" },
-        ConfigCase { name: "open", line: "open = 0", says: "open = 0: allowed is" },
-        ConfigCase { name: "back-off", line: "backoff_s = 900", says: "backoff_s = 900" },
-        ConfigCase { name: "unknown setting", line: "flor = 0.5", says: "flor" },
-        ConfigCase { name: "no number", line: "floor = \"much\"", says: "floor" },
+        ConfigCase { name: "floor", line: "floor = 1.5", expected: "floor = 1.5: allowed is" },
+        ConfigCase { name: "bias", line: "bias = \"bold\"", expected: "bias = bold: allowed is" },
+        ConfigCase { name: "open", line: "open = 0", expected: "open = 0: allowed is" },
+        ConfigCase { name: "back-off", line: "backoff_s = 900", expected: "backoff_s = 900" },
+        ConfigCase { name: "unknown setting", line: "flor = 0.5", expected: "flor" },
+        ConfigCase { name: "no number", line: "floor = \"much\"", expected: "floor" },
     ];
     for case in cases {
         let text = format!(
@@ -68,15 +72,15 @@
             case.line
         );
         let error = parse_services(&text).expect_err(case.name).to_string();
-        assert!(error.contains(case.says), "{}: {error}", case.name);
+        assert!(error.contains(case.expected), "{}: {error}", case.name);
     }
-    let twice =
+    let host_name =
         "[[service]]\nname='a'\npolicy='p'\nroutes=['/a']\nslots=3\ntargets=['localhost:80']\n";
-    assert!(parse_services(twice).expect_err("no IP number").to_string().contains("IP number"));
+    assert!(parse_services(host_name).expect_err("a host name").to_string().contains("IP number"));
 }
 
 #[test]
-fn the_longest_route_of_whole_segments_wins() {
+fn the_longest_route_that_matches_complete_segments_is_selected() {
     let table = RouteTable::new([
         ("/maps", "maps".into()),
         ("/maps/old/", "archive".into()),
--- a/crates/ctl/tests/explain_limits.rs
+++ b/crates/ctl/tests/explain_limits.rs
@@ -1,11 +1,11 @@
-//! What all boxes sent to a target that had named a limit, by their logs alone.
+//! Tests of the counts of requests that all boxes sent to a target with a limit, according to their logs.
 //!
-//! A target that had named one request a second got 32 in 4 s from eight boxes. No line told of a limit, so
-//! that only the targets' own counts showed it.
+//! Guards against a fault in which a target with a limit of one request per second received 32 requests in 4 s
+//! from eight boxes. The logs had no lines about limits, so only the targets' own counters showed it.
 
 use wingctl::explain::{LogReport, explain_lines};
 
-/// Seconds after the first line, as they stand in a log.
+/// Returns the time stamp of a log line that is written this long after the start of the minute.
 fn time(millis: u32) -> String {
     format!("2026-01-01T00:00:{:02}.{:03}+00:00", millis / 1000, millis % 1000)
 }
@@ -17,7 +17,7 @@
     )
 }
 
-fn named(box_name: &str, millis: u32, per_second: &str) -> String {
+fn announced(box_name: &str, millis: u32, per_second: &str) -> String {
     line("target-limited", box_name, millis, &format!(",\"per_second\":\"{per_second}\""))
 }
 
@@ -27,13 +27,13 @@
 
 fn explain(text: String) -> LogReport {
     let reader = std::io::Cursor::new(text.into_bytes());
-    explain_lines(vec![("log".into(), Box::new(reader))]).expect("it can be read")
+    explain_lines(vec![("log".into(), Box::new(reader))]).expect("the log can be read")
 }
 
 struct LimitCase {
     name: &'static str,
     lines: fn() -> String,
-    most: usize,
+    max_sends: usize,
     allowed: f64,
 }
 
@@ -43,57 +43,61 @@
 
 const CASES: &[LimitCase] = &[
     LimitCase {
-        name: "sends of two boxes are counted together",
+        name: "requests of two boxes are added up",
         lines: || {
-            [named("one", 0, "1"), named("two", 100, "1"), every(125, 8_000, 12_000)].concat()
+            [announced("one", 0, "1"), announced("two", 100, "1"), every(125, 8_000, 12_000)]
+                .concat()
         },
-        most: 32,
+        max_sends: 32,
         allowed: 11.0,
     },
     LimitCase {
-        name: "what came while boxes were still to hear of it is not counted",
+        name: "requests are not counted until the limit has had time to reach all boxes",
         lines: || {
-            [named("one", 0, "0.5"), every(125, 500, 5_500), every(1_000, 9_000, 14_000)].concat()
+            [announced("one", 0, "0.5"), every(125, 500, 5_500), every(1_000, 9_000, 14_000)]
+                .concat()
         },
-        most: 4,
+        max_sends: 4,
         allowed: 8.0,
     },
     LimitCase {
-        name: "a limit that was higher until a moment ago allows more",
+        name: "the higher limit applies until its reduction has had time to reach all boxes",
         lines: || {
-            [named("one", 0, "4"), every(250, 8_000, 14_000), named("two", 13_000, "1")].concat()
+            [announced("one", 0, "4"), every(250, 8_000, 14_000), announced("two", 13_000, "1")]
+                .concat()
         },
-        most: 16,
+        max_sends: 16,
         allowed: 29.0,
     },
     LimitCase {
-        name: "a limit that has ended allows all",
+        name: "requests after the end of the limit are not counted",
         lines: || {
             let ended = line("target-unlimited", "two", 8_000, "");
-            [named("one", 0, "1"), ended, every(50, 8_500, 14_000)].concat()
+            [announced("one", 0, "1"), ended, every(50, 8_500, 14_000)].concat()
         },
-        most: 0,
+        max_sends: 0,
         allowed: 0.0,
     },
 ];
 
 #[test]
-fn what_a_limited_target_got_is_held_against_its_limit() {
+fn requests_to_a_limited_target_are_compared_with_the_allowed_number() {
     for case in CASES {
         let report = explain((case.lines)());
-        let [row] = report.limited.as_slice() else {
-            panic!("{}: one target has a row", case.name);
+        let [row] = report.limited_targets.as_slice() else {
+            panic!("{}: expected exactly one row", case.name);
         };
-        assert_eq!((row.most, row.allowed), (case.most, case.allowed), "{}", case.name);
+        assert_eq!((row.max_sends, row.allowed), (case.max_sends, case.allowed), "{}", case.name);
     }
 }
 
 #[test]
-fn a_limited_target_s_row_tells_who_knew_and_since_when() {
-    let report = explain([named("one", 500, "2"), named("two", 700, "1.5"), sent(9_000)].concat());
-    let row = &report.limited[0];
+fn rows_of_limited_targets_have_the_informed_boxes_and_the_first_time() {
+    let report =
+        explain([announced("one", 500, "2"), announced("two", 700, "1.5"), sent(9_000)].concat());
+    let row = &report.limited_targets[0];
     assert_eq!((row.target.as_str(), row.boxes, row.sends), ("t", 2, 1));
-    assert_eq!((row.per_second, row.least_per_second), (2.0, 1.5));
+    assert_eq!((row.per_second, row.min_per_second), (2.0, 1.5));
     assert_eq!(row.since_ms % 60_000, 500);
     assert!(report.as_text().contains("targets that named a limit"));
 }
