--- a/crates/bench/src/decide/baselines.rs
+++ b/crates/bench/src/decide/baselines.rs
@@ -75,7 +75,7 @@
 
     fn carry(&mut self, _now: TimePoint, _out: &mut Vec<(usize, BoxCommand)>) {}
 
-    fn least_in_service(&self) -> Option<(u32, u32)> {
+    fn min_in_service(&self) -> Option<(u32, u32)> {
         None
     }
 }
--- a/crates/bench/src/decide/cost.rs
+++ b/crates/bench/src/decide/cost.rs
@@ -37,9 +37,11 @@
     /// Bytes of a box's core for each target.
     pub box_bytes_per_target: f64,
     /// Nanoseconds of a detector for each sample, weighing counted in.
-    pub judge_ns_per_sample: f64,
+    #[serde(rename = "judge_ns_per_sample")]
+    pub detector_ns_per_sample: f64,
     /// Bytes of a detector for each target.
-    pub judge_bytes_per_target: f64,
+    #[serde(rename = "judge_bytes_per_target")]
+    pub detector_bytes_per_target: f64,
 }
 
 /// Measures all sizes: (targets, services).
@@ -98,8 +100,8 @@
         ns_per_event: event,
         ns_per_idle_tick: idle,
         box_bytes_per_target: box_bytes as f64 / targets as f64,
-        judge_ns_per_sample: detector_ns,
-        judge_bytes_per_target: detector_bytes as f64 / targets as f64,
+        detector_ns_per_sample: detector_ns,
+        detector_bytes_per_target: detector_bytes as f64 / targets as f64,
     }
 }
 
--- a/crates/bench/src/decide/fleet.rs
+++ b/crates/bench/src/decide/fleet.rs
@@ -31,7 +31,7 @@
 
     /// The least slots that any box has in service for as long as ejections limit
     /// others, with the floor: a breach if it is below.
-    fn least_in_service(&self) -> Option<(u32, u32)>;
+    fn min_in_service(&self) -> Option<(u32, u32)>;
 }
 
 /// The real cores.
@@ -179,7 +179,7 @@
         }
     }
 
-    fn least_in_service(&self) -> Option<(u32, u32)> {
+    fn min_in_service(&self) -> Option<(u32, u32)> {
         let total = self.setup.total_slots();
         let floor = wingbridge_decide::floor::floor_slots(total, self.setup.floor);
         let services = self.boxes.iter().filter_map(|core| core.service(&self.setup.name));
--- a/crates/bench/src/decide/report.rs
+++ b/crates/bench/src/decide/report.rs
@@ -9,10 +9,10 @@
 use serde::Serialize;
 
 use crate::decide::baselines::BaselineKind;
-use crate::decide::scenario::{TargetFault, Weather};
+use crate::decide::scenario::{FleetCondition, TargetFault};
 use crate::decide::site::SiteSetup;
 use crate::decide::trial::{
-    DeciderKind, HealthyRecord, fault_trial, faulty_target, healthy_trial, spilled,
+    DeciderKind, HealthyResult, fault_trial, faulty_target, has_collateral_ejection, healthy_trial,
 };
 
 /// Longest healthy stretch that is run in one piece.
@@ -45,7 +45,8 @@
     /// Trials in which it was not found within 30 s.
     pub missed: u64,
     /// Trials in which a box that it does not harm ejected its target, or any box another.
-    pub spilled: u64,
+    #[serde(rename = "spilled")]
+    pub collateral: u64,
 }
 
 /// One fault's row.
@@ -103,11 +104,16 @@
             }
         }
     }
-    let weathers = Weather::all();
-    for (stretch, length) in stretches(setup, weathers.len()).into_iter().enumerate() {
+    let conditions = FleetCondition::all();
+    for (stretch, length) in stretches(setup, conditions.len()).into_iter().enumerate() {
         for decider in 0..deciders.len() {
             let seed = setup.seed + 1000 + stretch as u64;
-            jobs.push(Job::Healthy { weather: stretch % weathers.len(), decider, length, seed });
+            jobs.push(Job::Healthy {
+                condition: stretch % conditions.len(),
+                decider,
+                length,
+                seed,
+            });
         }
     }
     let results = run_jobs(setup, &jobs, &faults, &deciders);
@@ -117,13 +123,13 @@
 #[derive(Debug, Clone, Copy)]
 enum Job {
     Fault { fault: usize, decider: usize, seed: u64 },
-    Healthy { weather: usize, decider: usize, length: Duration, seed: u64 },
+    Healthy { condition: usize, decider: usize, length: Duration, seed: u64 },
 }
 
 #[derive(Debug, Clone)]
 enum JobResult {
-    Fault { detected: Option<Duration>, breaches: u64, spilled: bool },
-    Healthy(HealthyRecord),
+    Fault { detected: Option<Duration>, breaches: u64, collateral: bool },
+    Healthy(HealthyResult),
 }
 
 fn deciders(setup: &DecideSetup) -> Vec<(String, DeciderKind)> {
@@ -135,12 +141,12 @@
     deciders
 }
 
-/// Healthy stretches that make up the days, each kind of weather as often as the others.
-fn stretches(setup: &DecideSetup, weathers: usize) -> Vec<Duration> {
+/// Healthy stretches that make up the days, each kind of condition as often as the others.
+fn stretches(setup: &DecideSetup, conditions: usize) -> Vec<Duration> {
     let seconds = setup.days * 86_400.0 / setup.site.targets as f64;
-    let rounds = (seconds / STRETCH.as_secs_f64() / weathers as f64).ceil().max(1.0);
-    let length = Duration::from_secs_f64(seconds / rounds / weathers as f64);
-    vec![length; rounds as usize * weathers]
+    let rounds = (seconds / STRETCH.as_secs_f64() / conditions as f64).ceil().max(1.0);
+    let length = Duration::from_secs_f64(seconds / rounds / conditions as f64);
+    vec![length; rounds as usize * conditions]
 }
 
 fn run_jobs(
@@ -182,13 +188,13 @@
             JobResult::Fault {
                 detected: record.detected,
                 breaches: record.floor_breaches,
-                spilled: spilled(&setup.site, fault, target, &record),
+                collateral: has_collateral_ejection(&setup.site, fault, target, &record),
             }
         }
-        Job::Healthy { weather, decider, length, seed } => {
-            let (_, weather) = Weather::all()[weather];
+        Job::Healthy { condition, decider, length, seed } => {
+            let (_, condition) = FleetCondition::all()[condition];
             let kind = deciders[decider].1;
-            JobResult::Healthy(healthy_trial(&setup.site, kind, weather, length, seed))
+            JobResult::Healthy(healthy_trial(&setup.site, kind, condition, length, seed))
         }
     }
 }
@@ -200,24 +206,24 @@
     faults: &[(&'static str, TargetFault)],
     deciders: &[(String, DeciderKind)],
 ) -> DecideReport {
-    let weathers = Weather::all();
+    let conditions = FleetCondition::all();
     let mut times = vec![vec![Vec::new(); deciders.len()]; faults.len()];
-    let mut healthy = vec![HealthyRecord::default(); deciders.len()];
-    let mut by_weather: BTreeMap<String, u64> = BTreeMap::new();
+    let mut healthy = vec![HealthyResult::default(); deciders.len()];
+    let mut by_condition: BTreeMap<String, u64> = BTreeMap::new();
     let mut fault_breaches = 0;
     for (job, result) in jobs.iter().zip(results) {
         match (job, result) {
             (
                 Job::Fault { fault, decider, .. },
-                JobResult::Fault { detected, breaches, spilled },
+                JobResult::Fault { detected, breaches, collateral },
             ) => {
-                times[*fault][*decider].push((detected, spilled));
+                times[*fault][*decider].push((detected, collateral));
                 fault_breaches += breaches;
             }
-            (Job::Healthy { weather, decider, .. }, JobResult::Healthy(record)) => {
+            (Job::Healthy { condition, decider, .. }, JobResult::Healthy(record)) => {
                 if *decider == 0 {
-                    let name = weathers[*weather].0.to_string();
-                    *by_weather.entry(name).or_default() += record.false_ejections;
+                    let name = conditions[*condition].0.to_string();
+                    *by_condition.entry(name).or_default() += record.false_ejections;
                 }
                 healthy[*decider].add(&record);
             }
@@ -231,7 +237,7 @@
         baselines: (1..deciders.len()).map(|d| (named(d), detection(&times[fault][d]))).collect(),
     });
     let core = &healthy[0];
-    let share = |record: &HealthyRecord| record.good as f64 / record.requests.max(1) as f64;
+    let share = |record: &HealthyResult| record.good as f64 / record.requests.max(1) as f64;
     DecideReport {
         site: setup.site.name.to_string(),
         seed: setup.seed,
@@ -239,7 +245,7 @@
         faults: rows.collect(),
         healthy_target_days: core.target_days,
         false_ejections: core.false_ejections,
-        false_ejections_in: by_weather,
+        false_ejections_in: by_condition,
         false_ejection_causes: core
             .causes
             .iter()
@@ -259,7 +265,7 @@
 
 fn detection(trials: &[(Option<Duration>, bool)]) -> Detection {
     let times: Vec<Option<Duration>> = trials.iter().map(|(time, _)| *time).collect();
-    let spilled = trials.iter().filter(|(_, spilled)| *spilled).count() as u64;
+    let collateral = trials.iter().filter(|(_, spilled)| *spilled).count() as u64;
     let missed = times.iter().filter(|time| time.is_none()).count();
     let mut millis: Vec<f64> = times
         .iter()
@@ -274,6 +280,6 @@
         detection_p50_ms: at(0.5),
         detection_p99_ms: at(0.99),
         missed: missed as u64,
-        spilled,
+        collateral,
     }
 }
--- a/crates/bench/src/decide/scenario.rs
+++ b/crates/bench/src/decide/scenario.rs
@@ -43,7 +43,7 @@
     }
 
     /// Whether a box is harmed by it.
-    pub fn harms(self, box_number: usize, centre: usize) -> bool {
+    pub fn affects(self, box_number: usize, centre: usize) -> bool {
         match self {
             TargetFault::CutFromBox(cut) => cut == box_number,
             TargetFault::CutToCentre(cut) => cut == centre,
@@ -54,7 +54,7 @@
 
 /// What a healthy fleet goes through.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Weather {
+pub enum FleetCondition {
     /// Nothing special.
     Calm,
     /// Answers have a heavy tail.
@@ -81,30 +81,30 @@
     AllFail,
 }
 
-impl Weather {
+impl FleetCondition {
     /// All kinds, with their names.
-    pub fn all() -> Vec<(&'static str, Weather)> {
+    pub fn all() -> Vec<(&'static str, FleetCondition)> {
         vec![
-            ("calm", Weather::Calm),
-            ("heavy-tail", Weather::HeavyTail),
-            ("noise", Weather::Noise),
-            ("shared-slowness", Weather::SharedSlowness),
-            ("load-swings", Weather::LoadSwings),
-            ("overload", Weather::Overload),
-            ("pauses", Weather::Pauses),
-            ("uneven", Weather::Uneven),
-            ("cold-starts", Weather::ColdStarts),
-            ("lying-loads", Weather::LyingLoads),
-            ("sick-box", Weather::SickBox),
-            ("all-fail", Weather::AllFail),
+            ("calm", FleetCondition::Calm),
+            ("heavy-tail", FleetCondition::HeavyTail),
+            ("noise", FleetCondition::Noise),
+            ("shared-slowness", FleetCondition::SharedSlowness),
+            ("load-swings", FleetCondition::LoadSwings),
+            ("overload", FleetCondition::Overload),
+            ("pauses", FleetCondition::Pauses),
+            ("uneven", FleetCondition::Uneven),
+            ("cold-starts", FleetCondition::ColdStarts),
+            ("lying-loads", FleetCondition::LyingLoads),
+            ("sick-box", FleetCondition::SickBox),
+            ("all-fail", FleetCondition::AllFail),
         ]
     }
 
     /// The load at `second`, as a multiple of the usual.
     pub fn load(self, second: f64) -> f64 {
         match self {
-            Weather::LoadSwings => 0.9 + 0.6 * (second * std::f64::consts::TAU / 30.0).sin(),
-            Weather::Overload if second % 20.0 > 12.0 => 2.4,
+            FleetCondition::LoadSwings => 0.9 + 0.6 * (second * std::f64::consts::TAU / 30.0).sin(),
+            FleetCondition::Overload if second % 20.0 > 12.0 => 2.4,
             _ => 1.0,
         }
     }
@@ -112,13 +112,17 @@
     /// How many times as long the work of `target` takes at `second`.
     pub fn slowness(self, second: f64, target: usize, random: &mut SmallRng) -> f64 {
         match self {
-            Weather::SharedSlowness if second % 15.0 > 11.0 => 3.0,
-            Weather::Uneven if target.is_multiple_of(4) => 1.25,
-            Weather::HeavyTail if random.random::<f64>() < 0.02 => {
+            FleetCondition::SharedSlowness if second % 15.0 > 11.0 => 3.0,
+            FleetCondition::Uneven if target.is_multiple_of(4) => 1.25,
+            FleetCondition::HeavyTail if random.random::<f64>() < 0.02 => {
                 // A Pareto tail: now and then tens of times the usual.
                 (1.0 - random.random::<f64>()).powf(-0.9).min(50.0)
             }
-            Weather::ColdStarts if cold_target(second, 16) == target && second % 30.0 < 5.0 => 2.0,
+            FleetCondition::ColdStarts
+                if cold_target(second, 16) == target && second % 30.0 < 5.0 =>
+            {
+                2.0
+            }
             _ => 1.0,
         }
     }
@@ -127,7 +131,7 @@
     pub fn pause(self, second: f64, target: usize) -> Duration {
         const PERIOD: f64 = 17.0;
         const LENGTH: f64 = 0.2;
-        if self != Weather::Pauses {
+        if self != FleetCondition::Pauses {
             return Duration::ZERO;
         }
         let phase = (second + target as f64 * 1.3) % PERIOD;
@@ -137,16 +141,18 @@
     /// Whether an attempt fails at `second`.
     pub fn fails(self, second: f64, box_number: usize, random: &mut SmallRng) -> bool {
         match self {
-            Weather::Noise => random.random::<f64>() < 0.01,
-            Weather::SickBox => box_number == 0 && second > 5.0,
-            Weather::AllFail => second % 20.0 > 15.0 && random.random::<f64>() < 0.9,
+            FleetCondition::Noise => random.random::<f64>() < 0.01,
+            FleetCondition::SickBox => box_number == 0 && second > 5.0,
+            FleetCondition::AllFail => second % 20.0 > 15.0 && random.random::<f64>() < 0.9,
             _ => random.random::<f64>() < 0.0005,
         }
     }
 
     /// Whether the target says at `second` that it has just started.
     pub fn is_cold(self, second: f64, target: usize, targets: usize) -> bool {
-        self == Weather::ColdStarts && cold_target(second, targets) == target && second % 30.0 < 1.0
+        self == FleetCondition::ColdStarts
+            && cold_target(second, targets) == target
+            && second % 30.0 < 1.0
     }
 }
 
--- a/crates/bench/src/decide/trial.rs
+++ b/crates/bench/src/decide/trial.rs
@@ -5,9 +5,9 @@
 
 use crate::decide::baselines::{BaselineFleet, BaselineKind};
 use crate::decide::fleet::{CoreFleet, FleetDecider};
-use crate::decide::scenario::{TargetFault, Weather};
+use crate::decide::scenario::{FleetCondition, TargetFault};
 use crate::decide::site::SiteSetup;
-use crate::decide::world::{EjectionNote, WorldRecord, WorldSetup, run_world};
+use crate::decide::world::{Ejection, WorldResult, WorldSetup, run_world};
 
 /// Time before a fault starts.
 const WARM_UP: Duration = Duration::from_secs(4);
@@ -35,9 +35,14 @@
 }
 
 /// Whether a box that a fault does not harm ejected its target, or any box another one.
-pub fn spilled(site: &SiteSetup, fault: TargetFault, target: usize, record: &WorldRecord) -> bool {
+pub fn has_collateral_ejection(
+    site: &SiteSetup,
+    fault: TargetFault,
+    target: usize,
+    record: &WorldResult,
+) -> bool {
     record.ejections.iter().any(|note| {
-        note.target != target || !fault.harms(note.box_number, site.centre_of(note.box_number))
+        note.target != target || !fault.affects(note.box_number, site.centre_of(note.box_number))
     })
 }
 
@@ -52,13 +57,13 @@
     kind: DeciderKind,
     fault: TargetFault,
     seed: u64,
-) -> WorldRecord {
+) -> WorldResult {
     // A fault early or late within a window must not matter.
     let start = WARM_UP + Duration::from_micros(seed.wrapping_mul(7919) % 50_000);
     let target = faulty_target(site, seed);
     let setup = WorldSetup {
         site: site.clone(),
-        weather: Weather::Calm,
+        condition: FleetCondition::Calm,
         fault: Some((fault, target, start)),
         length: start + FAULT_TIME,
         seed,
@@ -68,7 +73,7 @@
 
 /// What a healthy stretch showed.
 #[derive(Debug, Clone, Default)]
-pub struct HealthyRecord {
+pub struct HealthyResult {
     /// Targets times days.
     pub target_days: f64,
     /// Healthy targets that were ejected, each episode once.
@@ -85,9 +90,9 @@
     pub good: u64,
 }
 
-impl HealthyRecord {
+impl HealthyResult {
     /// Adds another stretch.
-    pub fn add(&mut self, other: &HealthyRecord) {
+    pub fn add(&mut self, other: &HealthyResult) {
         self.target_days += other.target_days;
         self.false_ejections += other.false_ejections;
         for (cause, count) in &other.causes {
@@ -100,18 +105,18 @@
     }
 }
 
-/// Runs a healthy stretch of `length` under `weather`.
+/// Runs a healthy stretch of `length` under `condition`.
 pub fn healthy_trial(
     site: &SiteSetup,
     kind: DeciderKind,
-    weather: Weather,
+    condition: FleetCondition,
     length: Duration,
     seed: u64,
-) -> HealthyRecord {
-    let setup = WorldSetup { site: site.clone(), weather, fault: None, length, seed };
+) -> HealthyResult {
+    let setup = WorldSetup { site: site.clone(), condition, fault: None, length, seed };
     let record = run_world(&setup, &mut *kind.build(site, seed));
-    let false_ones = false_ejections(&record, weather);
-    HealthyRecord {
+    let false_ones = false_ejections(&record, condition);
+    HealthyResult {
         target_days: length.as_secs_f64() * site.targets as f64 / 86_400.0,
         false_ejections: distinct_ejections(&false_ones),
         causes: causes_of(&false_ones),
@@ -124,20 +129,20 @@
 
 /// Ejections of healthy targets. What a sick box itself holds against the targets is
 /// right for its own paths.
-fn false_ejections(record: &WorldRecord, weather: Weather) -> Vec<EjectionNote> {
-    let right = |note: &&EjectionNote| weather == Weather::SickBox && note.box_number == 0;
+fn false_ejections(record: &WorldResult, condition: FleetCondition) -> Vec<Ejection> {
+    let right = |note: &&Ejection| condition == FleetCondition::SickBox && note.box_number == 0;
     record.ejections.iter().filter(|note| !right(note)).copied().collect()
 }
 
 /// Those of one target in many boxes counted once.
-fn distinct_ejections(notes: &[EjectionNote]) -> u64 {
+fn distinct_ejections(notes: &[Ejection]) -> u64 {
     let period = SAME_EJECTION.as_micros() as u64;
     let episodes: BTreeSet<(usize, u64)> =
         notes.iter().map(|note| (note.target, note.time.as_micros() / period)).collect();
     episodes.len() as u64
 }
 
-fn causes_of(notes: &[EjectionNote]) -> BTreeMap<&'static str, u64> {
+fn causes_of(notes: &[Ejection]) -> BTreeMap<&'static str, u64> {
     let mut causes = BTreeMap::new();
     for note in notes {
         *causes.entry(note.why).or_default() += 1;
--- a/crates/bench/src/decide/world.rs
+++ b/crates/bench/src/decide/world.rs
@@ -13,7 +13,7 @@
 };
 
 use crate::decide::fleet::FleetDecider;
-use crate::decide::scenario::{TargetFault, Weather};
+use crate::decide::scenario::{FleetCondition, TargetFault};
 use crate::decide::site::SiteSetup;
 
 const BOX_TICK: Duration = Duration::from_millis(10);
@@ -32,7 +32,7 @@
     /// The site.
     pub site: SiteSetup,
     /// What the fleet goes through.
-    pub weather: Weather,
+    pub condition: FleetCondition,
     /// A fault, with its target and when it starts.
     pub fault: Option<(TargetFault, usize, Duration)>,
     /// How long.
@@ -43,7 +43,7 @@
 
 /// What was seen.
 #[derive(Debug, Clone, Default)]
-pub struct WorldRecord {
+pub struct WorldResult {
     /// Requests that arrived.
     pub requests: u64,
     /// Attempts that were made.
@@ -51,8 +51,8 @@
     /// Requests that were answered well.
     pub good: u64,
     /// Ejections, by each box.
-    pub ejections: Vec<EjectionNote>,
-    /// When the fault's target was kept out by nine in ten of the boxes that it harms.
+    pub ejections: Vec<Ejection>,
+    /// When the fault's target was kept out by nine in ten of the boxes that it affects.
     pub detected: Option<Duration>,
     /// Moments in which a box had less than the floor in service by ejections.
     pub floor_breaches: u64,
@@ -60,7 +60,7 @@
 
 /// One box ejected a target.
 #[derive(Debug, Clone, Copy)]
-pub struct EjectionNote {
+pub struct Ejection {
     /// When.
     pub time: TimePoint,
     /// The box.
@@ -72,7 +72,7 @@
 }
 
 /// Runs `decider` through `setup`.
-pub fn run_world(setup: &WorldSetup, decider: &mut dyn FleetDecider) -> WorldRecord {
+pub fn run_world(setup: &WorldSetup, decider: &mut dyn FleetDecider) -> WorldResult {
     let mut world = World::new(setup);
     world.run(decider);
     world.record
@@ -90,7 +90,7 @@
     open: HashMap<RequestId, u64>,
     next: u64,
     out: Vec<Vec<bool>>,
-    record: WorldRecord,
+    record: WorldResult,
     random: SmallRng,
     work: LogNormal<f64>,
 }
@@ -146,7 +146,7 @@
             open: HashMap::new(),
             next: 0,
             out: vec![vec![false; site.targets]; site.boxes],
-            record: WorldRecord::default(),
+            record: WorldResult::default(),
             random: SmallRng::seed_from_u64(setup.seed),
             work: work.expect("a sound spread"),
         }
@@ -188,7 +188,7 @@
 
     fn arrive(&mut self, decider: &mut dyn FleetDecider) {
         let site = &self.setup.site;
-        let load = self.setup.weather.load(self.second()).max(0.05);
+        let load = self.setup.condition.load(self.second()).max(0.05);
         let rate = site.rate * site.targets as f64 * load;
         let gap = Exp::new(rate).expect("a rate above 0").sample(&mut self.random);
         self.schedule(Duration::from_secs_f64(gap), WorldEvent::Arrival);
@@ -231,7 +231,7 @@
                 let kept_out = transition.to == HealthState::Ejected;
                 if kept_out {
                     let (time, why) = (self.now, transition.reason);
-                    self.record.ejections.push(EjectionNote { time, box_number, target, why });
+                    self.record.ejections.push(Ejection { time, box_number, target, why });
                 }
                 self.out[box_number][target] = kept_out;
                 self.look_for_detection();
@@ -318,13 +318,13 @@
 
     fn work_time(&mut self, target: usize) -> Duration {
         let second = self.second();
-        let weather = self.setup.weather;
+        let condition = self.setup.condition;
         let mut span = self.work.sample(&mut self.random);
-        span *= weather.slowness(second, target, &mut self.random);
+        span *= condition.slowness(second, target, &mut self.random);
         if let Some(TargetFault::Slow(factor)) = self.fault_of(target) {
             span *= factor;
         }
-        Duration::from_secs_f64(span) + weather.pause(second, target)
+        Duration::from_secs_f64(span) + condition.pause(second, target)
     }
 
     fn finish_work(&mut self, id: u64) {
@@ -344,7 +344,7 @@
         };
         let second = self.second();
         self.random.random::<f64>() < errors
-            || self.setup.weather.fails(second, box_number, &mut self.random)
+            || self.setup.condition.fails(second, box_number, &mut self.random)
     }
 
     fn free_slot(&mut self, target: usize) {
@@ -374,10 +374,10 @@
         let state = &self.targets[target];
         let present = state.busy as usize + state.waiting.len();
         let mut load = present as f32 / self.setup.site.slots as f32;
-        if self.setup.weather == Weather::LyingLoads {
+        if self.setup.condition == FleetCondition::LyingLoads {
             load = self.random.random();
         }
-        let cold = self.setup.weather.is_cold(self.second(), target, self.targets.len());
+        let cold = self.setup.condition.is_cold(self.second(), target, self.targets.len());
         let state = if cold { ReportedState::Cold } else { ReportedState::Ready };
         TargetReport { load: Some(load), state, incarnation: None }
     }
@@ -392,7 +392,7 @@
         for (box_number, command) in commands {
             self.obey(box_number, command);
         }
-        if let Some((in_service, floor)) = decider.least_in_service() {
+        if let Some((in_service, floor)) = decider.min_in_service() {
             self.record.floor_breaches += u64::from(in_service < floor);
         }
     }
@@ -406,7 +406,7 @@
                 let centre = self.setup.site.centre_of(box_number);
                 let cut = match self.fault_of(*target) {
                     Some(fault @ (TargetFault::CutFromBox(_) | TargetFault::CutToCentre(_))) => {
-                        fault.harms(box_number, centre)
+                        fault.affects(box_number, centre)
                     }
                     _ => false,
                 };
@@ -425,7 +425,8 @@
             return;
         }
         let site = &self.setup.site;
-        let harmed = (0..site.boxes).filter(|number| fault.harms(*number, site.centre_of(*number)));
+        let harmed =
+            (0..site.boxes).filter(|number| fault.affects(*number, site.centre_of(*number)));
         let harmed: Vec<usize> = harmed.collect();
         let out = harmed.iter().filter(|number| self.out[**number][target]).count();
         if out * 10 >= harmed.len() * 9 {
--- a/crates/bench/src/run.rs
+++ b/crates/bench/src/run.rs
@@ -280,8 +280,8 @@
             format!("{:.0}", row.ns_per_event),
             format!("{:.0}", row.ns_per_idle_tick),
             format!("{:.0}", row.box_bytes_per_target),
-            format!("{:.0}", row.judge_ns_per_sample),
-            format!("{:.0}", row.judge_bytes_per_target),
+            format!("{:.0}", row.detector_ns_per_sample),
+            format!("{:.0}", row.detector_bytes_per_target),
         ]
     });
     let headings = [
@@ -348,5 +348,5 @@
 fn detection_cell(detection: &Detection) -> String {
     let millis = |time: Option<f64>| time.map_or("-".into(), |time| format!("{time:.0}"));
     let (p50, p99) = (millis(detection.detection_p50_ms), millis(detection.detection_p99_ms));
-    format!("{p50}/{p99}, {}, {}", detection.missed, detection.spilled)
+    format!("{p50}/{p99}, {}, {}", detection.missed, detection.collateral)
 }
--- a/crates/bench/src/settings.rs
+++ b/crates/bench/src/settings.rs
@@ -11,9 +11,9 @@
 use crate::quota::scenario::SCENARIOS;
 use crate::quota::{QuotaBench, WAYS, WindowBound};
 use crate::steer::SteerBench;
-use crate::steer::limits::LimitWay;
+use crate::steer::backoffs::BackoffStrategy;
+use crate::steer::limits::LimitStrategy;
 use crate::steer::pattern::LoadPattern;
-use crate::steer::rests::RestWay;
 
 /// The whole command line.
 pub fn bench_command() -> Command {
@@ -190,14 +190,15 @@
         .parse()
         .map_err(|_| SettingError::new("pattern", &pattern, &LoadPattern::names()))?;
     let rests = raw_text(matches, "rests");
-    let rest_way =
-        rests.parse().map_err(|_| SettingError::new("rests", &rests, &RestWay::names()))?;
+    let backoff_strategy =
+        rests.parse().map_err(|_| SettingError::new("rests", &rests, &BackoffStrategy::names()))?;
     let limits = raw_text(matches, "limits");
-    let limit_way =
-        limits.parse().map_err(|_| SettingError::new("limits", &limits, &LimitWay::names()))?;
+    let limit_strategy = limits
+        .parse()
+        .map_err(|_| SettingError::new("limits", &limits, &LimitStrategy::names()))?;
     Ok(SteerBench {
-        limit_way,
-        rest_way,
+        limit_strategy,
+        backoff_strategy,
         pattern,
         seed: number(matches, "seed", 0..=u64::from(u32::MAX))?,
         fleets: number(matches, "fleets", 1..=1000)? as usize,
--- a/crates/bench/src/steer/rests.rs
+++ b/crates/bench/src/steer/backoffs.rs
@@ -15,90 +15,96 @@
 
 /// What boxes do when a target asks one of them for rest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum RestWay {
+pub enum BackoffStrategy {
     /// The box that was asked sends it nothing, and refuses what no other target takes.
     #[default]
     Own,
     /// Nothing.
     Ignored,
-    /// As [`RestWay::Own`], and all boxes of the data centre do the same.
-    Told,
-    /// As [`RestWay::Own`], for up to a quarter of the time longer, drawn anew each time.
-    Spread,
-    /// As [`RestWay::Own`], and what no other target takes waits for the first one if that is back
+    /// As [`BackoffStrategy::Own`], and all boxes of the data centre do the same.
+    Shared,
+    /// As [`BackoffStrategy::Own`], for up to a quarter of the time longer, drawn anew each time.
+    Jittered,
+    /// As [`BackoffStrategy::Own`], and what no other target takes waits for the first one if that is back
     /// within the request's goal.
     Held,
 }
 
-const NAMES: [(RestWay, &str); 5] = [
-    (RestWay::Own, "own"),
-    (RestWay::Ignored, "ignored"),
-    (RestWay::Told, "told"),
-    (RestWay::Spread, "spread"),
-    (RestWay::Held, "held"),
+const NAMES: [(BackoffStrategy, &str); 5] = [
+    (BackoffStrategy::Own, "own"),
+    (BackoffStrategy::Ignored, "ignored"),
+    (BackoffStrategy::Shared, "told"),
+    (BackoffStrategy::Jittered, "spread"),
+    (BackoffStrategy::Held, "held"),
 ];
 
-impl RestWay {
+impl BackoffStrategy {
     /// The names, for messages.
     pub fn names() -> String {
         NAMES.map(|(_, name)| name).join(", ")
     }
 }
 
-impl FromStr for RestWay {
-    type Err = UnknownWay;
+impl FromStr for BackoffStrategy {
+    type Err = UnknownBackoffStrategy;
 
-    fn from_str(text: &str) -> Result<RestWay, UnknownWay> {
+    fn from_str(text: &str) -> Result<BackoffStrategy, UnknownBackoffStrategy> {
         let found = NAMES.iter().find(|(_, name)| *name == text);
-        found.map(|(way, _)| *way).ok_or_else(|| UnknownWay { name: text.to_string() })
+        found.map(|(way, _)| *way).ok_or_else(|| UnknownBackoffStrategy { name: text.to_string() })
     }
 }
 
 /// A name that no way has.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct UnknownWay {
+pub struct UnknownBackoffStrategy {
     /// The name.
     pub name: String,
 }
 
-impl fmt::Display for UnknownWay {
+impl fmt::Display for UnknownBackoffStrategy {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "'{}' is no way to take rests; there are {}", self.name, RestWay::names())
+        write!(
+            out,
+            "'{}' is no way to take rests; there are {}",
+            self.name,
+            BackoffStrategy::names()
+        )
     }
 }
 
-impl std::error::Error for UnknownWay {}
+impl std::error::Error for UnknownBackoffStrategy {}
 
 /// What targets got that had asked for rest.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RestSums {
+pub struct BackoffCounts {
     /// Rests that targets asked boxes for.
     pub asked: u64,
     /// Requests of a box that was asked, half a second after that or later and before its end.
-    pub sent_in_rest: u64,
+    #[serde(rename = "sent_in_rest")]
+    pub sent_during_backoff: u64,
     /// The most requests that one target got within 100 ms.
     pub peak: u64,
 }
 
-impl RestSums {
-    pub(super) fn add(&mut self, other: &RestSums) {
+impl BackoffCounts {
+    pub(super) fn add(&mut self, other: &BackoffCounts) {
         self.asked += other.asked;
-        self.sent_in_rest += other.sent_in_rest;
+        self.sent_during_backoff += other.sent_during_backoff;
         self.peak = self.peak.max(other.peak);
     }
 }
 
 /// Watches what targets get.
 #[derive(Debug, Default)]
-pub(super) struct RestWatch {
-    pub(super) sums: RestSums,
+pub(super) struct BackoffMonitor {
+    pub(super) sums: BackoffCounts,
     /// By box and target: when rest was asked for, and until when.
     rests: HashMap<(usize, usize), (TimePoint, TimePoint)>,
     /// By target: the current span, and the requests in it.
     peaks: HashMap<usize, (TimePoint, u64)>,
 }
 
-impl RestWatch {
+impl BackoffMonitor {
     /// Notes that a target asked a box for rest.
     pub(super) fn note_asked(
         &mut self,
@@ -117,7 +123,7 @@
             if now >= until {
                 self.rests.remove(&(gateway, target));
             } else if now.since(since) >= ON_THE_WAY {
-                self.sums.sent_in_rest += 1;
+                self.sums.sent_during_backoff += 1;
             }
         }
         let peak = self.peaks.entry(target).or_insert((now, 0));
--- a/crates/bench/src/steer/limits.rs
+++ b/crates/bench/src/steer/limits.rs
@@ -19,7 +19,7 @@
 
 /// What boxes do when a target names a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum LimitWay {
+pub enum LimitStrategy {
     /// One box keeps the target's permits; each request that would go there asks it.
     #[default]
     Permits,
@@ -31,47 +31,52 @@
     Shares,
 }
 
-const NAMES: [(LimitWay, &str); 4] = [
-    (LimitWay::Permits, "permits"),
-    (LimitWay::Ignored, "ignored"),
-    (LimitWay::EachAlone, "each-alone"),
-    (LimitWay::Shares, "shares"),
+const NAMES: [(LimitStrategy, &str); 4] = [
+    (LimitStrategy::Permits, "permits"),
+    (LimitStrategy::Ignored, "ignored"),
+    (LimitStrategy::EachAlone, "each-alone"),
+    (LimitStrategy::Shares, "shares"),
 ];
 
-impl LimitWay {
+impl LimitStrategy {
     /// The names, for messages.
     pub fn names() -> String {
         NAMES.map(|(_, name)| name).join(", ")
     }
 }
 
-impl FromStr for LimitWay {
-    type Err = UnknownLimitWay;
+impl FromStr for LimitStrategy {
+    type Err = UnknownLimitStrategy;
 
-    fn from_str(text: &str) -> Result<LimitWay, UnknownLimitWay> {
+    fn from_str(text: &str) -> Result<LimitStrategy, UnknownLimitStrategy> {
         let found = NAMES.iter().find(|(_, name)| *name == text);
-        found.map(|(way, _)| *way).ok_or_else(|| UnknownLimitWay { name: text.to_string() })
+        found.map(|(way, _)| *way).ok_or_else(|| UnknownLimitStrategy { name: text.to_string() })
     }
 }
 
 /// A name that no way has.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct UnknownLimitWay {
+pub struct UnknownLimitStrategy {
     /// The name.
     pub name: String,
 }
 
-impl fmt::Display for UnknownLimitWay {
+impl fmt::Display for UnknownLimitStrategy {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "'{}' is no way to keep limits; there are {}", self.name, LimitWay::names())
+        write!(
+            out,
+            "'{}' is no way to keep limits; there are {}",
+            self.name,
+            LimitStrategy::names()
+        )
     }
 }
 
-impl std::error::Error for UnknownLimitWay {}
+impl std::error::Error for UnknownLimitStrategy {}
 
 /// What targets got that had named a limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct LimitSums {
+pub struct LimitCounts {
     /// Windows of 4 s, each ending with an arrival.
     pub windows: u64,
     /// Those in which more came than is allowed.
@@ -84,8 +89,8 @@
     pub allowed: f64,
 }
 
-impl LimitSums {
-    pub(super) fn add(&mut self, other: &LimitSums) {
+impl LimitCounts {
+    pub(super) fn add(&mut self, other: &LimitCounts) {
         self.windows += other.windows;
         self.broken += other.broken;
         self.worst = self.worst.max(other.worst);
@@ -96,10 +101,10 @@
 
 /// Watches what targets with a limit get, and keeps what boxes know of permits.
 #[derive(Debug, Default)]
-pub(super) struct LimitWatch {
+pub(super) struct LimitMonitor {
     /// The limits that are named now, and what came since they were, by target.
     spans: HashMap<usize, LimitSpan>,
-    sums: LimitSums,
+    sums: LimitCounts,
     /// The box that keeps permits for all.
     pub(super) keeper: PermitCoordinator,
     /// What each box does alone, by box and target.
@@ -116,7 +121,7 @@
     arrivals: Vec<TimePoint>,
 }
 
-impl LimitWatch {
+impl LimitMonitor {
     /// Notes that a target names that limit, or none.
     pub(super) fn note_named(&mut self, now: TimePoint, target: usize, rate: Option<RequestRate>) {
         match rate {
@@ -142,7 +147,7 @@
     }
 
     /// What all of them got until `end`.
-    pub(super) fn sums(&self, end: TimePoint) -> LimitSums {
+    pub(super) fn sums(&self, end: TimePoint) -> LimitCounts {
         let mut sums = self.sums;
         self.spans.values().for_each(|span| span.add_to(&mut sums, end));
         sums
@@ -150,7 +155,7 @@
 }
 
 impl LimitSpan {
-    fn add_to(&self, sums: &mut LimitSums, end: TimePoint) {
+    fn add_to(&self, sums: &mut LimitCounts, end: TimePoint) {
         let rate = self.rate.per_second();
         let allowed = ALLOWED_TIMES * rate * WINDOW.as_secs_f64() + ALLOWED_MORE;
         sums.allowed += rate * end.since(self.since + NEWS_TIME).as_secs_f64();
--- a/crates/bench/src/steer/mod.rs
+++ b/crates/bench/src/steer/mod.rs
@@ -1,13 +1,13 @@
 //! `wingbench steer`: the steering cores of whole fleets in virtual time, on fleets that
 //! are drawn at random, so that nothing can be fitted to one of them.
 
+pub mod backoffs;
 pub mod cost;
 mod event;
 pub mod fleet;
 pub mod limits;
 pub mod pattern;
 pub mod report;
-pub mod rests;
 pub mod seconds;
 mod targets;
 mod world;
@@ -17,11 +17,11 @@
 
 use wingbridge_decide::steer::mechanism::{MechanismSet, UnknownMechanism};
 
+use crate::steer::backoffs::BackoffStrategy;
 use crate::steer::fleet::FleetPlan;
-use crate::steer::limits::LimitWay;
+use crate::steer::limits::LimitStrategy;
 use crate::steer::pattern::LoadPattern;
-use crate::steer::report::{FleetSums, SteerReport};
-use crate::steer::rests::RestWay;
+use crate::steer::report::{FleetResult, SteerReport};
 use crate::steer::world::play;
 
 /// What is measured.
@@ -40,9 +40,9 @@
     /// What happens to each fleet.
     pub pattern: LoadPattern,
     /// What boxes do when a target asks for rest.
-    pub rest_way: RestWay,
+    pub backoff_strategy: BackoffStrategy,
     /// What boxes do when a target names a limit.
-    pub limit_way: LimitWay,
+    pub limit_strategy: LimitStrategy,
 }
 
 /// Plays all fleets, each once as set and once with uniform random picks.
@@ -53,7 +53,7 @@
     let uniform = MechanismSet::from_str("steering,peer-sightings,hedges,trials,hold-back")?;
     let per_worker = bench.fleets.div_ceil(bench.workers.max(1)).max(1);
     let numbers: Vec<u64> = (0..bench.fleets as u64).collect();
-    let rows: Vec<(FleetSums, FleetSums)> = thread::scope(|scope| {
+    let rows: Vec<(FleetResult, FleetResult)> = thread::scope(|scope| {
         let parts: Vec<_> = numbers
             .chunks(per_worker)
             .map(|part| {
@@ -71,7 +71,7 @@
     bench: &SteerBench,
     uniform: &MechanismSet,
     numbers: &[u64],
-) -> Vec<(FleetSums, FleetSums)> {
+) -> Vec<(FleetResult, FleetResult)> {
     let play_fleet = |number: &u64| {
         let plan = FleetPlan::draw(bench.seed + number);
         let played = |without| play(&plan, bench, without);
--- a/crates/bench/src/steer/pattern.rs
+++ b/crates/bench/src/steer/pattern.rs
@@ -44,11 +44,11 @@
     /// Two in five targets work 12 times as long for 9 s.
     SlowTargets,
     /// Two in five targets refuse all requests for 8.5 s, and ask for rest each time.
-    SomeRest,
+    SomeBackoff,
     /// As [`LoadPattern::Refusals`], and each refusal asks for rest.
-    AllRest,
+    AllBackoff,
     /// As [`LoadPattern::Burst`], and targets whose queues are full ask for rest.
-    BurstRest,
+    BurstBackoff,
     /// Two in five targets take a fifth of their usual load, and say so, from then on.
     SomeLimits,
     /// All targets take half of their usual load, and say so, from then on.
@@ -64,9 +64,9 @@
     (LoadPattern::Burst, "burst"),
     (LoadPattern::Refusals, "refusals"),
     (LoadPattern::SlowTargets, "slow-targets"),
-    (LoadPattern::SomeRest, "some-rest"),
-    (LoadPattern::AllRest, "all-rest"),
-    (LoadPattern::BurstRest, "burst-rest"),
+    (LoadPattern::SomeBackoff, "some-rest"),
+    (LoadPattern::AllBackoff, "all-rest"),
+    (LoadPattern::BurstBackoff, "burst-rest"),
     (LoadPattern::SomeLimits, "some-limits"),
     (LoadPattern::AllLimits, "all-limits"),
     (LoadPattern::BurstLimits, "burst-limits"),
@@ -88,8 +88,10 @@
 
     /// The rate of requests, as a multiple of the usual one.
     pub(super) fn rate_factor(self, now: TimePoint) -> f64 {
-        let is_burst =
-            matches!(self, LoadPattern::Burst | LoadPattern::BurstRest | LoadPattern::BurstLimits);
+        let is_burst = matches!(
+            self,
+            LoadPattern::Burst | LoadPattern::BurstBackoff | LoadPattern::BurstLimits
+        );
         let bursts = is_burst && within(now, BURST_TIME);
         if bursts { BURST } else { 1.0 }
     }
@@ -98,8 +100,8 @@
     pub(super) fn refused_share(self, now: TimePoint, target: usize) -> f64 {
         match self {
             _ if !within(now, REFUSED_TIME) => 0.0,
-            LoadPattern::Refusals | LoadPattern::AllRest => REFUSED,
-            LoadPattern::SomeRest if is_affected(target) => 1.0,
+            LoadPattern::Refusals | LoadPattern::AllBackoff => REFUSED,
+            LoadPattern::SomeBackoff if is_affected(target) => 1.0,
             _ => 0.0,
         }
     }
@@ -107,8 +109,8 @@
     /// For how long a target that refuses wants nothing.
     pub(super) fn rest_time(self) -> Option<Duration> {
         match self {
-            LoadPattern::SomeRest | LoadPattern::AllRest => Some(REST_TIME),
-            LoadPattern::BurstRest => Some(BURST_REST_TIME),
+            LoadPattern::SomeBackoff | LoadPattern::AllBackoff => Some(REST_TIME),
+            LoadPattern::BurstBackoff => Some(BURST_REST_TIME),
             _ => None,
         }
     }
@@ -143,11 +145,13 @@
 }
 
 impl FromStr for LoadPattern {
-    type Err = UnknownPattern;
+    type Err = UnknownLoadPattern;
 
-    fn from_str(text: &str) -> Result<LoadPattern, UnknownPattern> {
+    fn from_str(text: &str) -> Result<LoadPattern, UnknownLoadPattern> {
         let found = NAMES.iter().find(|(_, name)| *name == text);
-        found.map(|(pattern, _)| *pattern).ok_or_else(|| UnknownPattern { name: text.to_string() })
+        found
+            .map(|(pattern, _)| *pattern)
+            .ok_or_else(|| UnknownLoadPattern { name: text.to_string() })
     }
 }
 
@@ -160,15 +164,15 @@
 
 /// A name that no pattern has.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct UnknownPattern {
+pub struct UnknownLoadPattern {
     /// The name.
     pub name: String,
 }
 
-impl fmt::Display for UnknownPattern {
+impl fmt::Display for UnknownLoadPattern {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "'{}' is no pattern; there are {}", self.name, LoadPattern::names())
     }
 }
 
-impl std::error::Error for UnknownPattern {}
+impl std::error::Error for UnknownLoadPattern {}
--- a/crates/bench/src/steer/report.rs
+++ b/crates/bench/src/steer/report.rs
@@ -9,15 +9,15 @@
 use wingctl::output::table;
 
 use crate::steer::SteerBench;
+use crate::steer::backoffs::BackoffCounts;
 use crate::steer::fleet::FleetPlan;
-use crate::steer::limits::LimitSums;
+use crate::steer::limits::LimitCounts;
 use crate::steer::pattern::LoadPattern;
-use crate::steer::rests::RestSums;
 use crate::steer::seconds::SecondRows;
 
 /// Sums over requests that may run again, or over those that run once.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize, PartialEq)]
-pub struct KindSums {
+pub struct RequestCounts {
     /// Requests.
     pub requests: u64,
     /// Served ones.
@@ -36,13 +36,13 @@
 
 /// Sums of one fleet.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct FleetSums {
+pub struct FleetResult {
     /// The fleet's seed.
     pub seed: u64,
     /// Requests that may run again.
-    pub repeatable: KindSums,
+    pub repeatable: RequestCounts,
     /// Requests that run once.
-    pub once: KindSums,
+    pub once: RequestCounts,
     /// Suspicions of targets that were in an episode.
     pub right_suspicions: u64,
     /// Suspicions of healthy targets.
@@ -55,10 +55,10 @@
     pub seconds: SecondRows,
     /// What targets got that had asked for rest.
     #[serde(default)]
-    pub rests: RestSums,
+    pub rests: BackoffCounts,
     /// What targets got that had named a limit.
     #[serde(default)]
-    pub limits: LimitSums,
+    pub limits: LimitCounts,
     #[serde(skip)]
     noticed: NoticeTimes,
     #[serde(skip)]
@@ -93,18 +93,18 @@
     #[serde(default = "steady")]
     pub pattern: String,
     /// As set.
-    pub steered: FleetSums,
+    pub steered: FleetResult,
     /// With uniform random picks, no retries beside an open attempt, no news of peers.
-    pub uniform: FleetSums,
+    pub uniform: FleetResult,
 }
 
-impl FleetSums {
-    pub(super) fn new(plan: &FleetPlan) -> FleetSums {
+impl FleetResult {
+    pub(super) fn new(plan: &FleetPlan) -> FleetResult {
         let repeatable_services = plan.services.iter().map(|service| service.repeatable).collect();
-        FleetSums { seed: plan.seed, repeatable_services, ..FleetSums::default() }
+        FleetResult { seed: plan.seed, repeatable_services, ..FleetResult::default() }
     }
 
-    fn kind(&mut self, service: usize) -> &mut KindSums {
+    fn kind(&mut self, service: usize) -> &mut RequestCounts {
         if self.repeatable_services[service] { &mut self.repeatable } else { &mut self.once }
     }
 
@@ -151,7 +151,7 @@
         self.noticed_ms = [histogram.value_at_quantile(0.5), histogram.value_at_quantile(0.99)];
     }
 
-    fn add(&mut self, other: &FleetSums) {
+    fn add(&mut self, other: &FleetResult) {
         self.repeatable.add(&other.repeatable);
         self.once.add(&other.once);
         self.seconds.add(&other.seconds);
@@ -163,7 +163,7 @@
     }
 }
 
-impl KindSums {
+impl RequestCounts {
     /// The share of requests that were not served.
     pub fn lost(&self) -> f64 {
         1.0 - self.served as f64 / self.requests.max(1) as f64
@@ -174,7 +174,7 @@
         1.0 - self.in_goal as f64 / self.requests.max(1) as f64
     }
 
-    fn add(&mut self, other: &KindSums) {
+    fn add(&mut self, other: &RequestCounts) {
         self.requests += other.requests;
         self.served += other.served;
         self.in_goal += other.in_goal;
@@ -198,14 +198,14 @@
 }
 
 impl SteerReport {
-    pub(super) fn new(bench: &SteerBench, rows: &[(FleetSums, FleetSums)]) -> SteerReport {
+    pub(super) fn new(bench: &SteerBench, rows: &[(FleetResult, FleetResult)]) -> SteerReport {
         let mut report = SteerReport {
             seed: bench.seed,
             fleets: rows.len(),
             without: bench.without.to_string(),
             pattern: bench.pattern.to_string(),
-            steered: FleetSums::default(),
-            uniform: FleetSums::default(),
+            steered: FleetResult::default(),
+            uniform: FleetResult::default(),
         };
         for (steered, uniform) in rows {
             report.steered.add(steered);
@@ -247,7 +247,7 @@
                 self.pattern
             );
         }
-        let row = |name: &str, before: &KindSums, now: &KindSums| {
+        let row = |name: &str, before: &RequestCounts, now: &RequestCounts| {
             let cell = |share: f64| format!("{share:.4}");
             let change = |before: f64, now: f64| format!("{:+.4}", now - before);
             vec![
@@ -279,18 +279,18 @@
     }
 
     fn rests_text(&self) -> String {
-        let RestSums { asked, sent_in_rest, peak } = self.steered.rests;
+        let BackoffCounts { asked, sent_during_backoff, peak } = self.steered.rests;
         if asked == 0 {
             return String::new();
         }
         format!(
-            "\nrests asked for {asked}, requests within them {sent_in_rest}, the most at one target \
+            "\nrests asked for {asked}, requests within them {sent_during_backoff}, the most at one target \
              within 100 ms {peak}"
         )
     }
 
     fn limits_text(&self) -> String {
-        let LimitSums { windows, broken, worst, arrived, allowed } = self.steered.limits;
+        let LimitCounts { windows, broken, worst, arrived, allowed } = self.steered.limits;
         if windows == 0 {
             return String::new();
         }
@@ -312,7 +312,7 @@
     }
 
     fn sums_text(&self) -> String {
-        let row = |name: &str, kind: &KindSums| {
+        let row = |name: &str, kind: &RequestCounts| {
             let mut cells = vec![name.to_string()];
             cells.extend(kind.cells());
             cells
--- a/crates/bench/src/steer/seconds.rs
+++ b/crates/bench/src/steer/seconds.rs
@@ -9,7 +9,7 @@
 
 /// Requests of one second, over all services and fleets.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SecondSums {
+pub struct SecondCounts {
     /// Requests.
     pub requests: u64,
     /// Served within their goal.
@@ -20,13 +20,13 @@
     pub trials: u64,
 }
 
-impl SecondSums {
+impl SecondCounts {
     /// Requests that were not served.
     pub fn lost(&self) -> u64 {
         self.requests - self.in_goal - self.late
     }
 
-    fn add(&mut self, other: &SecondSums) {
+    fn add(&mut self, other: &SecondCounts) {
         self.requests += other.requests;
         self.in_goal += other.in_goal;
         self.late += other.late;
@@ -36,7 +36,7 @@
 
 /// One row a second, from when load is counted.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SecondRows(pub Vec<SecondSums>);
+pub struct SecondRows(pub Vec<SecondCounts>);
 
 impl SecondRows {
     pub(super) fn note_request(
@@ -59,17 +59,17 @@
 
     pub(super) fn add(&mut self, other: &SecondRows) {
         if self.0.len() < other.0.len() {
-            self.0.resize(other.0.len(), SecondSums::default());
+            self.0.resize(other.0.len(), SecondCounts::default());
         }
         for (row, more) in self.0.iter_mut().zip(&other.0) {
             row.add(more);
         }
     }
 
-    fn row(&mut self, at: TimePoint) -> &mut SecondSums {
+    fn row(&mut self, at: TimePoint) -> &mut SecondCounts {
         let second = at.since(COUNTED_FROM).as_secs() as usize;
         if self.0.len() <= second {
-            self.0.resize(second + 1, SecondSums::default());
+            self.0.resize(second + 1, SecondCounts::default());
         }
         &mut self.0[second]
     }
--- a/crates/bench/src/steer/world/limits.rs
+++ b/crates/bench/src/steer/world/limits.rs
@@ -8,7 +8,7 @@
 
 use super::World;
 use crate::steer::event::{Attempt, Request};
-use crate::steer::limits::LimitWay;
+use crate::steer::limits::LimitStrategy;
 
 /// For how long a target whose queue was full names a limit.
 const FULL_TIME: Duration = Duration::from_secs(3);
@@ -22,7 +22,7 @@
         let now = self.events.now;
         let named = self.named_limit(target);
         self.limits.note_named(now, target, named);
-        if self.limit_way == LimitWay::Ignored {
+        if self.limit_strategy == LimitStrategy::Ignored {
             return;
         }
         let Request { gateway, .. } = self.requests[request];
@@ -54,13 +54,13 @@
             return true;
         };
         let (now, place) = (self.events.now, (gateway, self.keys[&pick.key]));
-        let answer = match self.limit_way {
-            LimitWay::Ignored => return true,
-            LimitWay::Permits => self.limits.keeper.answer(now, pick.key, rate, 1.0),
-            LimitWay::EachAlone => {
+        let answer = match self.limit_strategy {
+            LimitStrategy::Ignored => return true,
+            LimitStrategy::Permits => self.limits.keeper.answer(now, pick.key, rate, 1.0),
+            LimitStrategy::EachAlone => {
                 self.limits.alone.entry(place).or_default().answer(now, pick.key, rate, 1.0)
             }
-            LimitWay::Shares => {
+            LimitStrategy::Shares => {
                 let drawn = self.random.random();
                 let share = self.limits.shares.entry(place).or_default();
                 match share.acquire(now, rate, self.boxes.len(), drawn) {
--- a/crates/bench/src/steer/world/mod.rs
+++ b/crates/bench/src/steer/world/mod.rs
@@ -1,7 +1,7 @@
 //! One emulated fleet: what its boxes, targets and callers do at each event.
 
 mod limits;
-mod telling;
+mod reports;
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -19,12 +19,12 @@
 use wingbridge_decide::{Name, TargetKey, TimePoint};
 
 use crate::steer::SteerBench;
+use crate::steer::backoffs::{BackoffMonitor, BackoffStrategy};
 use crate::steer::event::{AnswerKind, Attempt, Event, EventQueue, Message, Request};
 use crate::steer::fleet::{FleetPlan, ServicePlan};
-use crate::steer::limits::{LimitWatch, LimitWay};
+use crate::steer::limits::{LimitMonitor, LimitStrategy};
 use crate::steer::pattern::{COUNTED_FROM, LoadPattern};
-use crate::steer::report::FleetSums;
-use crate::steer::rests::{RestWatch, RestWay};
+use crate::steer::report::FleetResult;
 use crate::steer::targets::{EmulatedTarget, WorkEnd};
 
 /// How long a box gathers what it saw before it tells its data centre.
@@ -43,10 +43,10 @@
 struct World<'a> {
     plan: &'a FleetPlan,
     pattern: LoadPattern,
-    rest_way: RestWay,
-    rests: RestWatch,
-    limit_way: LimitWay,
-    limits: LimitWatch,
+    backoff_strategy: BackoffStrategy,
+    rests: BackoffMonitor,
+    limit_strategy: LimitStrategy,
+    limits: LimitMonitor,
     /// When a target's queue was full last.
     full_at: HashMap<usize, TimePoint>,
     random: SmallRng,
@@ -58,11 +58,11 @@
     attempts: Vec<Attempt>,
     requests: Vec<Request>,
     messages: Vec<Option<Message>>,
-    sums: FleetSums,
+    sums: FleetResult,
 }
 
 /// Plays a fleet for the seconds of traffic that are counted.
-pub(super) fn play(plan: &FleetPlan, bench: &SteerBench, without: &MechanismSet) -> FleetSums {
+pub(super) fn play(plan: &FleetPlan, bench: &SteerBench, without: &MechanismSet) -> FleetResult {
     let mut world = World::new(plan, bench, without);
     let end = COUNTED_FROM + Duration::from_secs(bench.seconds);
     for service in 0..plan.services.len() {
@@ -115,10 +115,10 @@
         World {
             plan,
             pattern: bench.pattern,
-            rest_way: bench.rest_way,
-            rests: RestWatch::default(),
-            limit_way: bench.limit_way,
-            limits: LimitWatch::default(),
+            backoff_strategy: bench.backoff_strategy,
+            rests: BackoffMonitor::default(),
+            limit_strategy: bench.limit_strategy,
+            limits: LimitMonitor::default(),
             full_at: HashMap::new(),
             random,
             events: EventQueue::default(),
@@ -129,7 +129,7 @@
             attempts: Vec::new(),
             requests: Vec::new(),
             messages: Vec::new(),
-            sums: FleetSums::new(plan),
+            sums: FleetResult::new(plan),
         }
     }
 
--- a/crates/bench/src/steer/world/telling.rs
+++ b/crates/bench/src/steer/world/reports.rs
@@ -10,8 +10,8 @@
 use wingbridge_decide::{Name, TargetKey};
 
 use super::{NEAR, TELL_AFTER, World};
+use crate::steer::backoffs::BackoffStrategy;
 use crate::steer::event::{Attempt, Event, Message, Request};
-use crate::steer::rests::RestWay;
 
 impl World<'_> {
     /// Counts a suspicion, and the time since its target's episode began.
@@ -98,16 +98,18 @@
         let gateway = self.requests[request].gateway;
         let now = self.events.now;
         self.rests.note_asked(now, gateway, target, rest);
-        let longer = match self.rest_way {
-            RestWay::Ignored => return,
-            RestWay::Spread => rest.mul_f64(self.random.random::<f64>() / 4.0),
+        let longer = match self.backoff_strategy {
+            BackoffStrategy::Ignored => return,
+            BackoffStrategy::Jittered => rest.mul_f64(self.random.random::<f64>() / 4.0),
             _ => Duration::ZERO,
         };
         let notice = TargetNotice { draining: false, backoff: Some(rest + longer) };
         let centre = gateway % self.plan.centres;
         let told = |other: usize| other % self.plan.centres == centre;
         for (number, core) in self.boxes.iter_mut().enumerate() {
-            if number == gateway || (self.rest_way == RestWay::Told && told(number)) {
+            if number == gateway
+                || (self.backoff_strategy == BackoffStrategy::Shared && told(number))
+            {
                 core.record_notice(now, handle.key, &notice);
             }
         }
@@ -117,7 +119,7 @@
     pub(super) fn may_hold(&self, request: usize, left: Duration) -> bool {
         let Request { service, since, .. } = self.requests[request];
         let back = self.events.now.since(since) + left;
-        self.rest_way == RestWay::Held
+        self.backoff_strategy == BackoffStrategy::Held
             && self.open_attempts(request) == 0
             && back < self.service_plan(service).goal
     }
--- a/crates/bench/tests/faults.rs
+++ b/crates/bench/tests/faults.rs
@@ -1,10 +1,12 @@
-//! Each fault and each kind of weather, on the real cores in virtual time with fixed seeds.
+//! Each fault and each kind of condition, on the real cores in virtual time with fixed seeds.
 
 use std::time::Duration;
 
-use wingbench::decide::scenario::{TargetFault, Weather};
+use wingbench::decide::scenario::{FleetCondition, TargetFault};
 use wingbench::decide::site::SiteSetup;
-use wingbench::decide::trial::{DeciderKind, fault_trial, faulty_target, healthy_trial, spilled};
+use wingbench::decide::trial::{
+    DeciderKind, fault_trial, faulty_target, has_collateral_ejection, healthy_trial,
+};
 
 const SEED: u64 = 42;
 const STRETCH: Duration = Duration::from_secs(45);
@@ -13,22 +15,25 @@
     SiteSetup::named(name).expect("a known site")
 }
 
-/// The fault is found, in the paths that it harms and nowhere else, and the floor holds.
+/// The fault is found, in the paths that it affects and nowhere else, and the floor holds.
 fn found(site_name: &str, fault: TargetFault) {
     let site = site(site_name);
     let record = fault_trial(&site, DeciderKind::Core, fault, SEED);
     assert!(record.detected.is_some(), "{site_name}, seed {SEED}: {fault:?} was missed");
     let target = faulty_target(&site, SEED);
-    assert!(!spilled(&site, fault, target, &record), "{site_name}, seed {SEED}: {fault:?} spilled");
+    assert!(
+        !has_collateral_ejection(&site, fault, target, &record),
+        "{site_name}, seed {SEED}: {fault:?} spilled"
+    );
     assert_eq!(record.floor_breaches, 0);
     let amplification = record.attempts as f64 / record.requests as f64;
     assert!(amplification <= 1.1, "{amplification} attempts for each request");
 }
 
 /// Nothing that only looks like a fault ejects a healthy target.
-fn spared(weather: Weather) {
-    let record = healthy_trial(&site("sedlo"), DeciderKind::Core, weather, STRETCH, SEED);
-    assert_eq!(record.false_ejections, 0, "seed {SEED}: {weather:?}, {:?}", record.causes);
+fn spared(condition: FleetCondition) {
+    let record = healthy_trial(&site("sedlo"), DeciderKind::Core, condition, STRETCH, SEED);
+    assert_eq!(record.false_ejections, 0, "seed {SEED}: {condition:?}, {:?}", record.causes);
     assert_eq!(record.floor_breaches, 0);
 }
 
@@ -67,28 +72,37 @@
 
 #[test]
 fn a_sick_box_convicts_nobody_elsewhere() {
-    spared(Weather::SickBox);
+    spared(FleetCondition::SickBox);
 }
 
 #[test]
 fn a_whole_service_that_is_slow_or_fails_ejects_nobody() {
-    spared(Weather::SharedSlowness);
-    spared(Weather::AllFail);
+    spared(FleetCondition::SharedSlowness);
+    spared(FleetCondition::AllFail);
 }
 
 #[test]
 fn load_and_queues_eject_nobody() {
-    for weather in [Weather::LoadSwings, Weather::Overload, Weather::Pauses, Weather::HeavyTail] {
-        spared(weather);
+    for condition in [
+        FleetCondition::LoadSwings,
+        FleetCondition::Overload,
+        FleetCondition::Pauses,
+        FleetCondition::HeavyTail,
+    ] {
+        spared(condition);
     }
 }
 
 #[test]
 fn noise_uneven_targets_cold_starts_and_lies_eject_nobody() {
-    for weather in
-        [Weather::Calm, Weather::Noise, Weather::Uneven, Weather::ColdStarts, Weather::LyingLoads]
-    {
-        spared(weather);
+    for condition in [
+        FleetCondition::Calm,
+        FleetCondition::Noise,
+        FleetCondition::Uneven,
+        FleetCondition::ColdStarts,
+        FleetCondition::LyingLoads,
+    ] {
+        spared(condition);
     }
 }
 
--- a/crates/bench/tests/steer.rs
+++ b/crates/bench/tests/steer.rs
@@ -1,9 +1,9 @@
 //! The choice of targets on fleets drawn at random, against uniform random picks.
 
-use wingbench::steer::limits::LimitWay;
+use wingbench::steer::backoffs::BackoffStrategy;
+use wingbench::steer::limits::LimitStrategy;
 use wingbench::steer::pattern::LoadPattern;
-use wingbench::steer::report::{KindSums, SteerReport};
-use wingbench::steer::rests::RestWay;
+use wingbench::steer::report::{RequestCounts, SteerReport};
 use wingbench::steer::{SteerBench, measure_steer};
 
 const SEED: u64 = 700;
@@ -15,8 +15,8 @@
 
 fn measured_under(pattern: LoadPattern, without: &str) -> SteerReport {
     let bench = SteerBench {
-        rest_way: RestWay::default(),
-        limit_way: LimitWay::Permits,
+        backoff_strategy: BackoffStrategy::default(),
+        limit_strategy: LimitStrategy::Permits,
         seed: SEED,
         fleets: FLEETS,
         seconds: 20,
@@ -29,7 +29,7 @@
 
 struct LossCase {
     name: &'static str,
-    kind: fn(&SteerReport) -> (&KindSums, &KindSums),
+    kind: fn(&SteerReport) -> (&RequestCounts, &RequestCounts),
     /// Lost requests at most, as a share of what uniform picks lose.
     most: f64,
 }
@@ -131,17 +131,17 @@
 }
 
 struct RestCase {
-    way: RestWay,
+    way: BackoffStrategy,
     pattern: LoadPattern,
     /// Requests within rests at most, of those that were asked for.
     most_sent: f64,
 }
 
 const RESTS: &[RestCase] = &[
-    RestCase { way: RestWay::Own, pattern: LoadPattern::SomeRest, most_sent: 0.0 },
-    RestCase { way: RestWay::Own, pattern: LoadPattern::AllRest, most_sent: 0.0 },
-    RestCase { way: RestWay::Own, pattern: LoadPattern::BurstRest, most_sent: 0.0 },
-    RestCase { way: RestWay::Ignored, pattern: LoadPattern::SomeRest, most_sent: 1.0 },
+    RestCase { way: BackoffStrategy::Own, pattern: LoadPattern::SomeBackoff, most_sent: 0.0 },
+    RestCase { way: BackoffStrategy::Own, pattern: LoadPattern::AllBackoff, most_sent: 0.0 },
+    RestCase { way: BackoffStrategy::Own, pattern: LoadPattern::BurstBackoff, most_sent: 0.0 },
+    RestCase { way: BackoffStrategy::Ignored, pattern: LoadPattern::SomeBackoff, most_sent: 1.0 },
 ];
 
 fn measured_rests(case: &RestCase) -> SteerReport {
@@ -152,8 +152,8 @@
         workers: 2,
         without: Default::default(),
         pattern: case.pattern,
-        rest_way: case.way,
-        limit_way: LimitWay::Permits,
+        backoff_strategy: case.way,
+        limit_strategy: LimitStrategy::Permits,
     };
     measure_steer(&bench).expect("names of mechanisms")
 }
@@ -164,35 +164,35 @@
     for case in RESTS {
         let rests = measured_rests(case).steered.rests;
         assert!(rests.asked > 0, "{:?}: nobody asked for rest", case.pattern);
-        let sent = rests.sent_in_rest as f64 / rests.asked as f64;
+        let sent = rests.sent_during_backoff as f64 / rests.asked as f64;
         assert!(sent <= case.most_sent, "{:?}: {rests:?}", case.way);
         // The watch sees what is sent where nothing is heeded.
-        assert_eq!(sent > 0.0, case.way == RestWay::Ignored, "{:?}: {rests:?}", case.way);
+        assert_eq!(sent > 0.0, case.way == BackoffStrategy::Ignored, "{:?}: {rests:?}", case.way);
     }
 }
 
 struct LimitCase {
     pattern: LoadPattern,
-    way: LimitWay,
+    way: LimitStrategy,
     /// Whether some window has more than the limit allows.
     is_broken: bool,
 }
 
 const LIMITS: &[LimitCase] = &[
-    LimitCase { pattern: LoadPattern::SomeLimits, way: LimitWay::Permits, is_broken: false },
-    LimitCase { pattern: LoadPattern::AllLimits, way: LimitWay::Permits, is_broken: false },
-    LimitCase { pattern: LoadPattern::BurstLimits, way: LimitWay::Permits, is_broken: false },
+    LimitCase { pattern: LoadPattern::SomeLimits, way: LimitStrategy::Permits, is_broken: false },
+    LimitCase { pattern: LoadPattern::AllLimits, way: LimitStrategy::Permits, is_broken: false },
+    LimitCase { pattern: LoadPattern::BurstLimits, way: LimitStrategy::Permits, is_broken: false },
     // The check finds a fault where there is one.
-    LimitCase { pattern: LoadPattern::SomeLimits, way: LimitWay::Ignored, is_broken: true },
-    LimitCase { pattern: LoadPattern::SomeLimits, way: LimitWay::EachAlone, is_broken: true },
+    LimitCase { pattern: LoadPattern::SomeLimits, way: LimitStrategy::Ignored, is_broken: true },
+    LimitCase { pattern: LoadPattern::SomeLimits, way: LimitStrategy::EachAlone, is_broken: true },
 ];
 
 #[test]
 fn targets_with_a_limit_get_what_it_allows_and_use_it() {
     for case in LIMITS {
         let bench = SteerBench {
-            rest_way: RestWay::default(),
-            limit_way: case.way,
+            backoff_strategy: BackoffStrategy::default(),
+            limit_strategy: case.way,
             seed: SEED,
             fleets: 4,
             seconds: 24,
