--- a/crates/agent/src/admin.rs
+++ b/crates/agent/src/admin.rs
@@ -6,7 +6,7 @@
 use wingbridge_http::server::{ServerSettings, json_response, serve, text_response};
 use wingbridge_process::metrics::render_metrics;
 
-use crate::events::{AdminQuestion, AgentEvent};
+use crate::events::{AdminQuery, AgentEvent};
 
 /// Answers operators until the task is dropped.
 pub(crate) async fn serve_admin(listener: TcpListener, events: Sender<AgentEvent>) {
@@ -18,20 +18,20 @@
 }
 
 async fn answer(events: &Sender<AgentEvent>, url: &Url) -> Response {
-    let question = match url.path() {
+    let query = match url.path() {
         "/metrics" => return text_response(200, &render_metrics()),
-        "/v1/status" => AdminQuestion::Status,
-        "/v1/targets" => AdminQuestion::Targets,
-        "/v1/boxes" => AdminQuestion::Boxes,
+        "/v1/status" => AdminQuery::Status,
+        "/v1/targets" => AdminQuery::Targets,
+        "/v1/boxes" => AdminQuery::Boxes,
         "/v1/keys" => {
             let found = url.query_pairs().find(|(name, _)| name == "prefix");
-            AdminQuestion::Keys { prefix: found.map(|(_, value)| value.into()).unwrap_or_default() }
+            AdminQuery::Keys { prefix: found.map(|(_, value)| value.into()).unwrap_or_default() }
         }
-        "/v1/timeline" => AdminQuestion::TimeLine,
+        "/v1/timeline" => AdminQuery::EventTrace,
         _ => return text_response(404, "no such end point"),
     };
     let (reply, answered) = async_channel::bounded(1);
-    if events.send(AgentEvent::Asked { question, reply }).await.is_err() {
+    if events.send(AgentEvent::AdminRequest { query, reply }).await.is_err() {
         return text_response(503, "the agent is stopping");
     }
     match answered.recv().await {
--- a/crates/agent/src/events.rs
+++ b/crates/agent/src/events.rs
@@ -1,4 +1,4 @@
-//! What other duties put into the exchange's ring.
+//! What other duties put into the exchange's queue.
 
 use std::sync::Arc;
 
@@ -13,20 +13,20 @@
     /// The store was called.
     StoreRead { entries: Vec<Entry>, reachable: bool },
     /// A peer connected.
-    PeerConnected { peer: Arc<str>, ring: Sender<FrameBody> },
+    PeerConnected { peer: Arc<str>, queue: Sender<FrameBody> },
     /// A connection to a peer ended.
     PeerClosed { peer: Arc<str> },
     /// A peer, or this box's proxy, sent something.
     Received { from: Arc<str>, body: FrameBody },
     /// This box's proxy connected.
-    ProxyConnected { ring: Sender<FrameBody> },
+    ProxyConnected { queue: Sender<FrameBody> },
     /// An operator asked.
-    Asked { question: AdminQuestion, reply: Sender<String> },
+    AdminRequest { query: AdminQuery, reply: Sender<String> },
 }
 
 /// What can be asked of the exchange.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum AdminQuestion {
+pub(crate) enum AdminQuery {
     /// How the box is.
     Status,
     /// Targets that are not simply healthy.
@@ -39,5 +39,5 @@
         prefix: String,
     },
     /// The time line.
-    TimeLine,
+    EventTrace,
 }
--- a/crates/agent/src/exchange/evidence.rs
+++ b/crates/agent/src/exchange/evidence.rs
@@ -4,11 +4,11 @@
 
 use wingbridge_decide::TimePoint;
 use wingbridge_spread::BoxIdentity;
-use wingbridge_spread::members::SMALL_FLEET;
+use wingbridge_spread::members::MAX_POOLING_FLEET;
 use wingbridge_wire::convert::{batches_of, service_evidence};
 use wingbridge_wire::{Evidence, FrameBody, TargetDraining, VerdictMessage, Verdicts};
 
-use super::{Exchange, NewsKey};
+use super::{Exchange, UpdateId};
 
 impl Exchange {
     /// Hands this box's evidence to the detectors of each service.
@@ -34,7 +34,7 @@
         let members = self.parts.core.members();
         let mut detectors = members.detectors(service, &identity.data_centre);
         detectors.retain(|detector| !self.parts.links.is_down(detector));
-        if members.len() > SMALL_FLEET {
+        if members.len() > MAX_POOLING_FLEET {
             detectors.truncate(1);
         }
         if detectors.is_empty() {
@@ -56,7 +56,7 @@
         }
     }
 
-    pub(super) fn take_evidence(&mut self, now: TimePoint, evidence: &Evidence) {
+    pub(super) fn merge_evidence(&mut self, now: TimePoint, evidence: &Evidence) {
         let (source, batches) = batches_of(evidence);
         for batch in batches {
             self.detector.add_batch(now, &source, &batch);
@@ -64,23 +64,23 @@
     }
 
     /// Verdicts go round in the data centre that they were found for.
-    pub(super) fn pass_on_verdict(
+    pub(super) fn relay_verdict(
         &mut self,
         now: TimePoint,
         from: Option<&Arc<str>>,
         verdict: VerdictMessage,
     ) {
-        let news = NewsKey::Verdict {
+        let update = UpdateId::Verdict {
             service: verdict.service.clone(),
             target: verdict.target,
             stamp: verdict.stamp,
             convicted: verdict.convicted,
         };
-        if !self.heard.note(news) {
+        if !self.received_updates.insert(update) {
             return;
         }
         let body = FrameBody::Verdicts(Verdicts { verdicts: vec![verdict] });
-        self.to_proxy(body.clone());
+        self.send_to_proxy(body.clone());
         self.recent.push((now, body.clone()));
         let own = self.parts.identity.data_centre.clone();
         for peer in self.parts.core.neighbours(now.as_micros()) {
@@ -92,19 +92,19 @@
     }
 
     /// That a target leaves is true everywhere.
-    pub(super) fn pass_on_leaving(
+    pub(super) fn relay_draining(
         &mut self,
         now: TimePoint,
         from: Option<&Arc<str>>,
         leaving: TargetDraining,
     ) {
-        let news = NewsKey::Leaving { origin: leaving.origin.clone(), number: leaving.number };
-        if !self.heard.note(news) {
+        let update = UpdateId::Leaving { origin: leaving.origin.clone(), number: leaving.number };
+        if !self.received_updates.insert(update) {
             return;
         }
         let body = FrameBody::Draining(leaving);
         if from.is_some() {
-            self.to_proxy(body.clone());
+            self.send_to_proxy(body.clone());
         }
         self.recent.push((now, body.clone()));
         for peer in self.parts.core.neighbours(now.as_micros()) {
--- a/crates/agent/src/exchange/mod.rs
+++ b/crates/agent/src/exchange/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! It drives the pure cores ([`SpreadCore`] for configuration and membership,
 //! [`OutlierDetector`] for evidence) with what connections, the store, the timer and
-//! operators put into its ring, and sends what they command.
+//! operators put into its queue, and sends what they command.
 
 mod evidence;
-mod questions;
+mod queries;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 use wingbridge_decide::{OutlierDetector, TimePoint};
 use wingbridge_process::ProcessClock;
 use wingbridge_spread::core::SpreadEvent;
-use wingbridge_spread::gossip::HeardNews;
+use wingbridge_spread::duplicate_filter::DuplicateFilter;
 use wingbridge_spread::{BoxIdentity, SpreadCommand, SpreadCore};
 use wingbridge_trace::EventTrace;
 use wingbridge_wire::convert::verdict_message;
@@ -29,28 +29,28 @@
 
 use crate::events::AgentEvent;
 use crate::links::{PeerLinks, SEED_PREFIX};
-use crate::outgoing::OutgoingEvidence;
+use crate::outgoing_evidence::OutgoingEvidence;
 use crate::self_suspicion::SelfSuspicion;
-use crate::store_duty::StoreOrders;
+use crate::store_sync::StoreControl;
 
 /// Period of the exchange's timer.
-pub(crate) const TICK: Duration = Duration::from_millis(50);
+pub(crate) const TICK_PERIOD: Duration = Duration::from_millis(50);
 /// Pieces of news that are remembered as heard.
-const HEARD: usize = 4096;
-/// Verdicts and leavings are told to boxes that join within this time.
+const MAX_RECEIVED_UPDATES: usize = 4096;
+/// Verdicts and draining_reports are told to boxes that join within this time.
 const RECENT: Duration = Duration::from_secs(60);
 /// Entries in one message to the proxy.
-const ENTRIES_AT_ONCE: usize = 64;
+const MAX_ENTRIES_PER_MESSAGE: usize = 64;
 
 /// What the exchange is made of.
 pub(crate) struct ExchangeParts {
     pub(crate) identity: BoxIdentity,
     pub(crate) core: SpreadCore,
     pub(crate) links: PeerLinks,
-    pub(crate) line: EventTrace,
+    pub(crate) trace: EventTrace,
     pub(crate) clock: ProcessClock,
     pub(crate) seeds: Vec<SocketAddr>,
-    pub(crate) orders: StoreOrders,
+    pub(crate) store_control: StoreControl,
 }
 
 /// The state of the exchange.
@@ -62,15 +62,15 @@
     proxy_state: ProxyState,
     in_force: HashMap<String, Stamp>,
     outgoing: OutgoingEvidence,
-    heard: HeardNews<NewsKey>,
+    received_updates: DuplicateFilter<UpdateId>,
     recent: Vec<(TimePoint, FrameBody)>,
-    leavings: u64,
+    draining_reports: u64,
     store_reachable: Option<bool>,
     whole: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum NewsKey {
+enum UpdateId {
     Verdict { service: String, target: u64, stamp: u64, convicted: bool },
     Leaving { origin: String, number: u64 },
 }
@@ -78,7 +78,7 @@
 impl Exchange {
     pub(crate) fn new(mut parts: ExchangeParts) -> Exchange {
         let seeds = parts.seeds.iter().map(|seed| Arc::from(format!("{SEED_PREFIX}{seed}")));
-        parts.core.set_extra_peers(seeds.collect());
+        parts.core.set_seed_peers(seeds.collect());
         let detector = OutlierDetector::pooled(&parts.identity.data_centre);
         Exchange {
             parts,
@@ -88,15 +88,15 @@
             proxy_state: ProxyState::default(),
             in_force: HashMap::new(),
             outgoing: OutgoingEvidence::default(),
-            heard: HeardNews::new(HEARD),
+            received_updates: DuplicateFilter::new(MAX_RECEIVED_UPDATES),
             recent: Vec::new(),
-            leavings: 0,
+            draining_reports: 0,
             store_reachable: None,
             whole: false,
         }
     }
 
-    /// Works until the ring closes.
+    /// Works until the queue closes.
     pub(crate) fn run(mut self, events: &Receiver<AgentEvent>) {
         while let Ok(event) = events.recv_blocking() {
             let now = TimePoint::from_micros(self.parts.clock.micros());
@@ -108,18 +108,18 @@
         match event {
             AgentEvent::TimerFired => self.tick(now),
             AgentEvent::StoreRead { entries, reachable } => {
-                self.note_store(reachable);
+                self.set_store_reachable(reachable);
                 if reachable {
                     self.drive_core(now, SpreadEvent::StoreRead(entries));
                 }
             }
-            AgentEvent::PeerConnected { peer, ring } => self.welcome(now, peer, ring),
+            AgentEvent::PeerConnected { peer, queue } => self.on_peer_connected(now, peer, queue),
             AgentEvent::PeerClosed { peer } => self.parts.links.close(&peer),
             AgentEvent::Received { from, body } => self.receive(now, &from, body),
-            AgentEvent::ProxyConnected { ring } => self.welcome_proxy(ring),
-            AgentEvent::Asked { question, reply } => {
+            AgentEvent::ProxyConnected { queue } => self.on_proxy_connected(queue),
+            AgentEvent::AdminRequest { query, reply } => {
                 // A closed reply is an operator who went away.
-                let _ = reply.try_send(self.answer(question));
+                let _ = reply.try_send(self.answer(query));
             }
         }
     }
@@ -128,11 +128,11 @@
         self.drive_core(now, SpreadEvent::TimerFired);
         let identity = &self.parts.identity;
         let watches = self.parts.core.members().watches(identity);
-        self.parts.orders.watch.store(watches, Ordering::Release);
+        self.parts.store_control.watch.store(watches, Ordering::Release);
         self.send_evidence(now);
         for verdict in self.detector.tick(now) {
             let message = verdict_message(&verdict);
-            self.parts.line.record(
+            self.parts.trace.record(
                 "target-judged",
                 &[
                     ("service", &verdict.service),
@@ -141,7 +141,7 @@
                     ("scope", scope_name(message.scope)),
                 ],
             );
-            self.pass_on_verdict(now, None, message);
+            self.relay_verdict(now, None, message);
         }
         if let Some(sick) = self.suspicion.tick(now) {
             self.set_readiness(!sick);
@@ -163,10 +163,10 @@
         if !applied.is_empty() {
             self.apply(&applied);
         }
-        if !self.whole && self.parts.core.is_whole() {
+        if !self.whole && self.parts.core.is_complete() {
             self.whole = true;
-            self.parts.line.record("box-whole", &[]);
-            self.to_proxy(FrameBody::CaughtUp(CaughtUp { complete: true }));
+            self.parts.trace.record("box-whole", &[]);
+            self.send_to_proxy(FrameBody::CaughtUp(CaughtUp { complete: true }));
         }
     }
 
@@ -178,7 +178,7 @@
             if is_config(&entry.key) {
                 let generation = entry.stamp.generation.to_string();
                 let fields = [("key", entry.key.as_str()), ("generation", generation.as_str())];
-                self.parts.line.record("config-received", &fields);
+                self.parts.trace.record("config-received", &fields);
             }
         }
         self.send_config(entries.iter());
@@ -202,16 +202,16 @@
             return self.receive_from_proxy(now, body);
         }
         match body {
-            FrameBody::Evidence(evidence) => self.take_evidence(now, &evidence),
+            FrameBody::Evidence(evidence) => self.merge_evidence(now, &evidence),
             FrameBody::Verdicts(verdicts) => {
                 for verdict in verdicts.verdicts {
-                    self.pass_on_verdict(now, Some(from), verdict);
+                    self.relay_verdict(now, Some(from), verdict);
                 }
             }
-            FrameBody::Draining(leaving) => self.pass_on_leaving(now, Some(from), leaving),
+            FrameBody::Draining(leaving) => self.relay_draining(now, Some(from), leaving),
             body => {
                 if let FrameBody::Digest(Digest { failing, .. }) = &body {
-                    self.suspicion.note_peer(now, from, *failing);
+                    self.suspicion.record_peer(now, from, *failing);
                 }
                 self.drive_core(now, SpreadEvent::Received { from: from.clone(), body });
             }
@@ -222,11 +222,11 @@
         match body {
             FrameBody::Evidence(evidence) => self.route_evidence(now, &evidence),
             FrameBody::Draining(mut leaving) => {
-                self.leavings += 1;
+                self.draining_reports += 1;
                 leaving.origin = self.parts.identity.box_id.to_string();
                 // The start's time makes numbers of a box that was replaced new ones.
-                leaving.number = now.as_micros().wrapping_add(self.leavings);
-                self.pass_on_leaving(now, None, leaving);
+                leaving.number = now.as_micros().wrapping_add(self.draining_reports);
+                self.relay_draining(now, None, leaving);
             }
             FrameBody::InForce(stamps) => {
                 for KeyStamp { key, stamp } in stamps.stamps {
@@ -234,24 +234,24 @@
                 }
             }
             FrameBody::ProxyState(state) => {
-                self.suspicion.note_own(state.failing);
+                self.suspicion.record_own(state.failing);
                 self.parts.core.set_failing(state.failing);
                 self.proxy_state = state;
             }
-            FrameBody::Events(events) => self.keep_events(events),
+            FrameBody::Events(events) => self.record_events(events),
             _ => {}
         }
     }
 
-    fn keep_events(&self, events: Events) {
+    fn record_events(&self, events: Events) {
         for event in events.events {
             if let Ok(event) = serde_json::from_str(&event) {
-                self.parts.line.record_remote(event);
+                self.parts.trace.record_remote(event);
             }
         }
     }
 
-    fn welcome(&mut self, now: TimePoint, peer: Arc<str>, ring: Sender<FrameBody>) {
+    fn on_peer_connected(&mut self, now: TimePoint, peer: Arc<str>, queue: Sender<FrameBody>) {
         let same_centre = self
             .parts
             .core
@@ -261,40 +261,40 @@
         for (at, body) in &self.recent {
             let for_all = matches!(body, FrameBody::Draining(_));
             if now.since(*at) < RECENT && (for_all || same_centre) {
-                let _ = ring.try_send(body.clone());
+                let _ = queue.try_send(body.clone());
             }
         }
-        self.parts.links.accept(peer, ring);
+        self.parts.links.accept(peer, queue);
     }
 
-    fn welcome_proxy(&mut self, ring: Sender<FrameBody>) {
-        self.proxy = Some(ring);
+    fn on_proxy_connected(&mut self, queue: Sender<FrameBody>) {
+        self.proxy = Some(queue);
         self.in_force.clear();
-        self.parts.line.record("proxy-connected", &[]);
+        self.parts.trace.record("proxy-connected", &[]);
         self.send_config(self.parts.core.map().entries());
         for (_, body) in self.recent.clone() {
-            self.to_proxy(body);
+            self.send_to_proxy(body);
         }
         let standing: Vec<VerdictMessage> =
             self.detector.verdicts_in_force().iter().map(verdict_message).collect();
         if !standing.is_empty() {
-            self.to_proxy(FrameBody::Verdicts(Verdicts { verdicts: standing }));
+            self.send_to_proxy(FrameBody::Verdicts(Verdicts { verdicts: standing }));
         }
-        self.to_proxy(FrameBody::CaughtUp(CaughtUp { complete: self.whole }));
+        self.send_to_proxy(FrameBody::CaughtUp(CaughtUp { complete: self.whole }));
     }
 
     /// Hands the proxy what of `entries` is configuration, in messages of bounded length.
     fn send_config<'a>(&self, entries: impl Iterator<Item = &'a Entry>) {
         let config: Vec<Entry> = entries.filter(|entry| is_config(&entry.key)).cloned().collect();
-        for part in config.chunks(ENTRIES_AT_ONCE) {
+        for part in config.chunks(MAX_ENTRIES_PER_MESSAGE) {
             let entries = part.to_vec();
-            self.to_proxy(FrameBody::Entries(Entries { entries, push: false }));
+            self.send_to_proxy(FrameBody::Entries(Entries { entries, push: false }));
         }
     }
 
-    fn to_proxy(&self, body: FrameBody) {
+    fn send_to_proxy(&self, body: FrameBody) {
         let Some(proxy) = &self.proxy else { return };
-        // The proxy's ring is drained by a writer of its own; when it stays full the proxy
+        // The proxy's queue is drained by a writer of its own; when it stays full the proxy
         // is stuck, and what it misses it gets whole on its next connection.
         if let Err(async_channel::TrySendError::Full(_)) = proxy.try_send(body) {
             proxy.close();
@@ -304,10 +304,10 @@
     fn set_readiness(&self, allowed: bool) {
         let why = if allowed { "" } else { "most attempts fail here and not in other boxes" };
         self.parts
-            .line
+            .trace
             .record(if allowed { "box-well-again" } else { "box-holds-itself-sick" }, &[]);
         log::warn!(allowed; "box-readiness-changed");
-        self.to_proxy(FrameBody::Readiness(Readiness { allowed, reason: why.into() }));
+        self.send_to_proxy(FrameBody::Readiness(Readiness { allowed, reason: why.into() }));
     }
 
     fn send(&mut self, to: &Arc<str>, body: FrameBody) {
@@ -321,13 +321,13 @@
         self.parts.links.send(to, address, body);
     }
 
-    fn note_store(&mut self, reachable: bool) {
+    fn set_store_reachable(&mut self, reachable: bool) {
         if self.store_reachable == Some(reachable) {
             return;
         }
         self.store_reachable = Some(reachable);
         let kind = if reachable { "store-reached" } else { "store-lost" };
-        self.parts.line.record(kind, &[]);
+        self.parts.trace.record(kind, &[]);
         log::info!(reachable; "store-reachability-changed");
     }
 }
--- a/crates/agent/src/exchange/questions.rs
+++ b/crates/agent/src/exchange/queries.rs
@@ -9,32 +9,32 @@
 use wingbridge_wire::Entry;
 
 use super::{Exchange, is_config};
-use crate::events::AdminQuestion;
+use crate::events::AdminQuery;
 use crate::views::{BoxView, KeyView, StatusView, TargetView};
 
 impl Exchange {
-    pub(super) fn answer(&self, question: AdminQuestion) -> String {
-        match question {
-            AdminQuestion::Status => to_json(&self.status()),
-            AdminQuestion::Targets => {
+    pub(super) fn answer(&self, query: AdminQuery) -> String {
+        match query {
+            AdminQuery::Status => to_json(&self.status()),
+            AdminQuery::Targets => {
                 let targets = self.proxy_state.targets.iter().map(TargetView::of);
                 to_json(&targets.collect::<Vec<_>>())
             }
-            AdminQuestion::Boxes => to_json(&self.boxes()),
-            AdminQuestion::Keys { prefix } => to_json(&self.keys(&prefix)),
-            AdminQuestion::TimeLine => to_json(&self.parts.line.events()),
+            AdminQuery::Boxes => to_json(&self.boxes()),
+            AdminQuery::Keys { prefix } => to_json(&self.keys(&prefix)),
+            AdminQuery::EventTrace => to_json(&self.parts.trace.events()),
         }
     }
 
     pub(super) fn status(&self) -> StatusView {
-        let proxy_connected = self.proxy.as_ref().is_some_and(|ring| !ring.is_closed());
+        let proxy_connected = self.proxy.as_ref().is_some_and(|queue| !queue.is_closed());
         let lacking = self.keys("").into_iter().filter(|key| !key.in_force);
         StatusView {
             box_id: self.parts.identity.box_id.to_string(),
             data_centre: self.parts.identity.data_centre.to_string(),
             whole: self.whole,
             store_reachable: self.store_reachable.unwrap_or(false),
-            watches_store: self.parts.orders.watch.load(Ordering::Acquire),
+            watches_store: self.parts.store_control.watch.load(Ordering::Acquire),
             proxy_connected,
             proxy_ready: proxy_connected && self.proxy_state.ready,
             holds_itself_sick: self.suspicion.own_failing(),
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -9,13 +9,13 @@
 mod events;
 mod exchange;
 mod links;
-pub mod outgoing;
+pub mod outgoing_evidence;
 pub mod run;
 mod self_suspicion;
 pub mod settings;
-mod store_duty;
+mod store_sync;
 mod views;
 
-pub use links::CutSwitch;
+pub use links::LinkFaults;
 pub use run::{AgentAddresses, run, run_with};
 pub use settings::{AgentSettings, agent_command, resolve};
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -1,6 +1,6 @@
 //! Connections to other agents and to this box's proxy.
 //!
-//! Each connection has a bounded ring to its writer. A ring that is full loses the
+//! Each connection has a bounded queue to its writer. A queue that is full loses the
 //! message: whatever matters is repeated by digests or by the next report, and one
 //! slow peer must not hold up the exchange.
 
@@ -23,45 +23,45 @@
 use crate::events::AgentEvent;
 
 /// Messages that wait for one connection.
-const RING: usize = 256;
-const CONNECT_TIME: Duration = Duration::from_secs(1);
+const LINK_QUEUE_LENGTH: usize = 256;
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// After a failed connection the peer is left alone for so long.
-const RETRY_AFTER: Duration = Duration::from_millis(500);
+const RECONNECT_DELAY: Duration = Duration::from_millis(500);
 /// A connection on which nothing was sent for so long is closed.
-const IDLE_TIME: Duration = Duration::from_secs(120);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 /// Prefix of the name that a seed peer has until it is on the box list.
 pub(crate) const SEED_PREFIX: &str = "seed@";
 
-const TEN_THOUSAND: u32 = 10_000;
+const LOSS_SCALE: u32 = 10_000;
 
 /// A one-way cut for tests: messages from these boxes are dropped when they arrive.
 #[derive(Debug, Clone, Default)]
-pub struct CutSwitch {
+pub struct LinkFaults {
     cut: Arc<Mutex<HashSet<String>>>,
     /// Of ten thousand messages, so many are lost as well.
     lost: Arc<AtomicU32>,
 }
 
-impl CutSwitch {
+impl LinkFaults {
     /// Drops what comes from `box_id` from now on.
-    pub fn cut(&self, box_id: &str) {
+    pub fn block(&self, box_id: &str) {
         self.boxes().insert(box_id.to_string());
     }
 
     /// Drops nothing more.
-    pub fn heal(&self) {
+    pub fn unblock_all(&self) {
         self.boxes().clear();
     }
 
     /// Loses this share of all messages, 0 to 1, by chance.
-    pub fn lose(&self, share: f64) {
-        let lost = (share.clamp(0.0, 1.0) * f64::from(TEN_THOUSAND)) as u32;
+    pub fn set_loss(&self, share: f64) {
+        let lost = (share.clamp(0.0, 1.0) * f64::from(LOSS_SCALE)) as u32;
         self.lost.store(lost, Ordering::Release);
     }
 
     fn drops(&self, box_id: &str) -> bool {
         let lost = self.lost.load(Ordering::Acquire);
-        let loses = lost > 0 && rand::random_range(0..TEN_THOUSAND) < lost;
+        let loses = lost > 0 && rand::random_range(0..LOSS_SCALE) < lost;
         loses || self.boxes().contains(box_id)
     }
 
@@ -75,9 +75,9 @@
 pub(crate) struct LinkContext {
     pub(crate) hello: Hello,
     pub(crate) key: FleetKey,
-    pub(crate) line: EventTrace,
+    pub(crate) trace: EventTrace,
     pub(crate) events: Sender<AgentEvent>,
-    pub(crate) cuts: CutSwitch,
+    pub(crate) faults: LinkFaults,
 }
 
 /// The connections to peers, as the exchange holds them.
@@ -88,7 +88,7 @@
 }
 
 struct PeerLink {
-    ring: Sender<FrameBody>,
+    queue: Sender<FrameBody>,
     used: Instant,
 }
 
@@ -102,7 +102,7 @@
         let lost = match self.links.get_mut(to) {
             Some(link) => {
                 link.used = Instant::now();
-                match link.ring.try_send(body) {
+                match link.queue.try_send(body) {
                     Ok(()) => return,
                     Err(async_channel::TrySendError::Full(_)) => None,
                     Err(async_channel::TrySendError::Closed(body)) => Some(body),
@@ -114,26 +114,26 @@
             metrics::counter!("wingbridge_messages_dropped").increment(1);
             return;
         };
-        let waits = |failed: &Instant| failed.elapsed() < RETRY_AFTER;
+        let waits = |failed: &Instant| failed.elapsed() < RECONNECT_DELAY;
         if self.failed.get(to).is_some_and(waits) {
             metrics::counter!("wingbridge_messages_dropped").increment(1);
             return;
         }
-        let (ring, messages) = async_channel::bounded(RING);
-        let _ = ring.try_send(body);
-        self.links.insert(to.clone(), PeerLink { ring, used: Instant::now() });
+        let (queue, messages) = async_channel::bounded(LINK_QUEUE_LENGTH);
+        let _ = queue.try_send(body);
+        self.links.insert(to.clone(), PeerLink { queue, used: Instant::now() });
         task::spawn(connect_peer(self.context.clone(), to.clone(), address, messages));
     }
 
     /// A peer connected to us.
-    pub(crate) fn accept(&mut self, peer: Arc<str>, ring: Sender<FrameBody>) {
+    pub(crate) fn accept(&mut self, peer: Arc<str>, queue: Sender<FrameBody>) {
         self.failed.remove(&peer);
-        self.links.insert(peer, PeerLink { ring, used: Instant::now() });
+        self.links.insert(peer, PeerLink { queue, used: Instant::now() });
     }
 
     /// A connection ended; a newer one to the same peer stays.
     pub(crate) fn close(&mut self, peer: &Arc<str>) {
-        if self.links.get(peer).is_some_and(|link| link.ring.is_closed()) {
+        if self.links.get(peer).is_some_and(|link| link.queue.is_closed()) {
             self.links.remove(peer);
         }
         self.failed.insert(peer.clone(), Instant::now());
@@ -146,28 +146,28 @@
 
     /// The peers that are connected.
     pub(crate) fn connected(&self) -> impl Iterator<Item = &Arc<str>> {
-        self.links.iter().filter(|(_, link)| !link.ring.is_closed()).map(|(peer, _)| peer)
+        self.links.iter().filter(|(_, link)| !link.queue.is_closed()).map(|(peer, _)| peer)
     }
 
     /// Closes what has not been used for long.
     pub(crate) fn close_idle(&mut self) {
-        self.links.retain(|_, link| link.used.elapsed() < IDLE_TIME);
-        self.failed.retain(|_, failed| failed.elapsed() < IDLE_TIME);
+        self.links.retain(|_, link| link.used.elapsed() < IDLE_TIMEOUT);
+        self.failed.retain(|_, failed| failed.elapsed() < IDLE_TIMEOUT);
     }
 }
 
 /// Takes connections of other agents until the task is dropped.
 pub(crate) async fn accept_peers(listener: TcpListener, context: LinkContext) {
-    accept_all(listener, context, |context, hello, ring| {
-        AgentEvent::PeerConnected { peer: Arc::from(hello.box_id.as_str()), ring }.send(context)
+    accept_all(listener, context, |context, hello, queue| {
+        AgentEvent::PeerConnected { peer: Arc::from(hello.box_id.as_str()), queue }.send(context)
     })
     .await;
 }
 
 /// Takes connections of this box's proxy until the task is dropped.
 pub(crate) async fn accept_proxy(listener: TcpListener, context: LinkContext) {
-    accept_all(listener, context, |context, _, ring| {
-        AgentEvent::ProxyConnected { ring }.send(context)
+    accept_all(listener, context, |context, _, queue| {
+        AgentEvent::ProxyConnected { queue }.send(context)
     })
     .await;
 }
@@ -203,10 +203,10 @@
     let Some(Frame { body: Some(FrameBody::Hello(hello)), .. }) = reader.next().await? else {
         return Ok(());
     };
-    let (ring, messages) = async_channel::bounded(RING);
-    connected(context, &hello, ring.clone());
+    let (queue, messages) = async_channel::bounded(LINK_QUEUE_LENGTH);
+    connected(context, &hello, queue.clone());
     let peer = Arc::from(hello.box_id.as_str());
-    carry(context, &peer, reader, writer, messages).await
+    run_link(context, &peer, reader, writer, messages).await
 }
 
 async fn connect_peer(
@@ -217,7 +217,7 @@
 ) {
     let result = open_link(&context, address).await;
     let result = match result {
-        Ok((reader, writer)) => carry(&context, &peer, reader, writer, messages.clone()).await,
+        Ok((reader, writer)) => run_link(&context, &peer, reader, writer, messages.clone()).await,
         Err(error) => Err(error),
     };
     messages.close();
@@ -231,7 +231,7 @@
     context: &LinkContext,
     address: SocketAddr,
 ) -> Result<(FrameReader, FrameWriter), WireError> {
-    let connect = async_std::future::timeout(CONNECT_TIME, TcpStream::connect(address));
+    let connect = async_std::future::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     let mut stream =
         connect.await.map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
     stream.set_nodelay(true)?;
@@ -243,7 +243,7 @@
 }
 
 /// Carries messages both ways until either side ends.
-async fn carry(
+async fn run_link(
     context: &LinkContext,
     peer: &Arc<str>,
     mut reader: FrameReader,
@@ -262,10 +262,10 @@
     };
     let incoming = async {
         while let Some(frame) = reader.next().await? {
-            context.line.clock().observe(frame.clock);
+            context.trace.clock().observe(frame.clock);
             let Some(body) = frame.body else { continue };
             // The box's own proxy is no peer: nothing is lost on the way from it.
-            if **peer == *context.hello.box_id || !context.cuts.drops(peer) {
+            if **peer == *context.hello.box_id || !context.faults.drops(peer) {
                 AgentEvent::Received { from: peer.clone(), body }.deliver(context).await;
             }
         }
@@ -282,13 +282,13 @@
 
 impl LinkContext {
     fn frame(&self, body: FrameBody) -> Frame {
-        Frame { clock: self.line.clock().tick(), body: Some(body) }
+        Frame { clock: self.trace.clock().tick(), body: Some(body) }
     }
 }
 
 impl AgentEvent {
     fn send(self, context: &LinkContext) {
-        // A full ring of events is an exchange that is far behind: the link waits for it
+        // A full queue of events is an exchange that is far behind: the link waits for it
         // by sending from its own task.
         let events = context.events.clone();
         task::spawn(async move { events.send(self).await });
--- a/crates/agent/src/outgoing.rs
+++ b/crates/agent/src/outgoing_evidence.rs
@@ -13,16 +13,16 @@
 
 /// Good news waits for so long for each box of the fleet.
 const WAIT_PER_BOX: Duration = Duration::from_micros(2500);
-const WAIT_MOST: Duration = Duration::from_secs(5);
+const MAX_WAIT: Duration = Duration::from_secs(5);
 
 /// What waits, by detector.
 #[derive(Debug, Default)]
 pub struct OutgoingEvidence {
-    detectors: BTreeMap<Arc<str>, WaitingEvidence>,
+    detectors: BTreeMap<Arc<str>, QueuedEvidence>,
 }
 
 #[derive(Debug)]
-struct WaitingEvidence {
+struct QueuedEvidence {
     since: TimePoint,
     urgent: bool,
     batches: Vec<EvidenceBatch>,
@@ -31,7 +31,7 @@
 impl OutgoingEvidence {
     /// Adds a batch for `detector`.
     pub fn add(&mut self, now: TimePoint, detector: Arc<str>, batch: &EvidenceBatch) {
-        let new = || WaitingEvidence { since: now, urgent: false, batches: Vec::new() };
+        let new = || QueuedEvidence { since: now, urgent: false, batches: Vec::new() };
         let waiting = self.detectors.entry(detector).or_insert_with(new);
         waiting.urgent |= is_bad_news(batch);
         waiting.batches.push(batch.clone());
@@ -44,7 +44,7 @@
         boxes: usize,
     ) -> Vec<(Arc<str>, Vec<EvidenceBatch>)> {
         let boxes = u32::try_from(boxes).unwrap_or(u32::MAX);
-        let wait = WAIT_PER_BOX.saturating_mul(boxes).min(WAIT_MOST);
+        let wait = WAIT_PER_BOX.saturating_mul(boxes).min(MAX_WAIT);
         let due = self
             .detectors
             .extract_if(.., |_, waiting| waiting.urgent || now.since(waiting.since) >= wait);
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -15,15 +15,15 @@
 
 use crate::admin::serve_admin;
 use crate::events::AgentEvent;
-use crate::exchange::{Exchange, ExchangeParts, TICK};
-use crate::links::{CutSwitch, LinkContext, PeerLinks, accept_peers, accept_proxy};
+use crate::exchange::{Exchange, ExchangeParts, TICK_PERIOD};
+use crate::links::{LinkContext, LinkFaults, PeerLinks, accept_peers, accept_proxy};
 use crate::settings::AgentSettings;
-use crate::store_duty::{StoreDuty, StoreOrders};
+use crate::store_sync::{StoreControl, StoreSync};
 
 /// Events that wait for the exchange.
-const EVENT_RING: usize = 4096;
+const EVENT_QUEUE_LENGTH: usize = 4096;
 /// Events of the time line that an agent keeps, its proxy's with them.
-const LINE_EVENTS: usize = 4000;
+const MAX_TRACE_EVENTS: usize = 4000;
 /// Time for which a choice of neighbours holds.
 const NEIGHBOUR_PERIOD: Duration = Duration::from_secs(600);
 
@@ -47,26 +47,26 @@
     stop: &StopSignal,
     started: impl FnOnce(AgentAddresses),
 ) -> eyre::Result<Outcome> {
-    run_with(settings, stop, &CutSwitch::default(), started)
+    run_with(settings, stop, &LinkFaults::default(), started)
 }
 
-/// [`run`] with a switch that cuts this agent off from others, for tests.
+/// [`run`] with a switch that faults this agent off from others, for tests.
 ///
 /// # Errors
 /// As for [`run`].
 pub fn run_with(
     settings: &AgentSettings,
     stop: &StopSignal,
-    cuts: &CutSwitch,
+    faults: &LinkFaults,
     started: impl FnOnce(AgentAddresses),
 ) -> eyre::Result<Outcome> {
-    task::block_on(run_duties(settings, stop, cuts, started))
+    task::block_on(run_duties(settings, stop, faults, started))
 }
 
 async fn run_duties(
     settings: &AgentSettings,
     stop: &StopSignal,
-    cuts: &CutSwitch,
+    faults: &LinkFaults,
     started: impl FnOnce(AgentAddresses),
 ) -> eyre::Result<Outcome> {
     let peers = TcpListener::bind(settings.peer_listen).await?;
@@ -78,8 +78,8 @@
         admin: admin.local_addr()?,
     };
     let clock = ProcessClock::start();
-    let line = EventTrace::new(&settings.box_id, "agent", LINE_EVENTS);
-    let (events, ring) = async_channel::bounded(EVENT_RING);
+    let trace = EventTrace::new(&settings.box_id, "agent", MAX_TRACE_EVENTS);
+    let (events, queue) = async_channel::bounded(EVENT_QUEUE_LENGTH);
     let identity = BoxIdentity {
         box_id: Arc::from(settings.box_id.as_str()),
         data_centre: Arc::from(settings.data_centre.as_str()),
@@ -91,11 +91,11 @@
             incarnation: clock.micros(),
         },
         key: FleetKey::derive(&settings.fleet_key),
-        line: line.clone(),
+        trace: trace.clone(),
         events: events.clone(),
-        cuts: cuts.clone(),
+        faults: faults.clone(),
     };
-    let orders = StoreOrders::default();
+    let store_control = StoreControl::default();
     let seed = clock.micros();
     let core = SpreadCore::new(SpreadSetup {
         identity: identity.clone(),
@@ -105,14 +105,22 @@
     });
     let links = PeerLinks::new(context.clone());
     let seeds = settings.seed_peers.clone();
-    let parts = ExchangeParts { identity, core, links, line, clock, seeds, orders: orders.clone() };
+    let parts = ExchangeParts {
+        identity,
+        core,
+        links,
+        trace,
+        clock,
+        seeds,
+        store_control: store_control.clone(),
+    };
     let exchange = Exchange::new(parts);
     let exchange =
-        thread::Builder::new().name("exchange".into()).spawn(move || exchange.run(&ring))?;
-    let duty = StoreDuty {
+        thread::Builder::new().name("exchange".into()).spawn(move || exchange.run(&queue))?;
+    let duty = StoreSync {
         client: StoreClient::new(&settings.store.to_string()),
         events: events.clone(),
-        orders,
+        store_control,
         resync_period: settings.resync_period,
         stop: stop.clone(),
         seed,
@@ -120,7 +128,7 @@
     let store =
         thread::Builder::new().name("store".into()).spawn(move || task::block_on(duty.work()))?;
     let timer = TimerService::start()?;
-    timer.subscribe(TICK, events.clone(), AgentEvent::TimerFired);
+    timer.subscribe(TICK_PERIOD, events.clone(), AgentEvent::TimerFired);
     let serving = [
         task::spawn(accept_peers(peers, context.clone())),
         task::spawn(accept_proxy(proxy, context)),
--- a/crates/agent/src/self_suspicion.rs
+++ b/crates/agent/src/self_suspicion.rs
@@ -7,25 +7,25 @@
 use wingbridge_decide::TimePoint;
 
 /// What a peer said of itself counts for so long.
-const HEARD_FOR: Duration = Duration::from_secs(30);
+const PEER_REPORT_LIFETIME: Duration = Duration::from_secs(30);
 /// Peers that must have spoken before a box holds itself sick.
-const LEAST_HEARD: usize = 2;
+const MIN_PEER_REPORTS: usize = 2;
 /// If this share of the peers fails too, it is the targets.
-const PEERS_FAILING_MOST: f64 = 0.25;
+const MAX_FAILING_PEER_SHARE: f64 = 0.25;
 /// A box that left the balancer stays away for so long.
-const AWAY_FOR: Duration = Duration::from_secs(30);
+const MIN_SUSPENSION: Duration = Duration::from_secs(30);
 
 /// Compares this box with its peers.
 #[derive(Debug, Default)]
 pub(crate) struct SelfSuspicion {
     own_failing: bool,
     peers: HashMap<Arc<str>, (bool, TimePoint)>,
-    away_since: Option<TimePoint>,
+    suspended_since: Option<TimePoint>,
 }
 
 impl SelfSuspicion {
     /// What this box's proxy says.
-    pub(crate) fn note_own(&mut self, failing: bool) {
+    pub(crate) fn record_own(&mut self, failing: bool) {
         self.own_failing = failing;
     }
 
@@ -35,29 +35,29 @@
     }
 
     /// What a peer said of itself.
-    pub(crate) fn note_peer(&mut self, now: TimePoint, peer: &Arc<str>, failing: bool) {
+    pub(crate) fn record_peer(&mut self, now: TimePoint, peer: &Arc<str>, failing: bool) {
         self.peers.insert(peer.clone(), (failing, now));
     }
 
     /// Says if the box should leave the balancer, or may return, when that changes.
     pub(crate) fn tick(&mut self, now: TimePoint) -> Option<bool> {
-        self.peers.retain(|_, (_, heard)| now.since(*heard) < HEARD_FOR);
-        match self.away_since {
-            None if self.own_failing && self.peers_are_well() => {
-                self.away_since = Some(now);
+        self.peers.retain(|_, (_, heard)| now.since(*heard) < PEER_REPORT_LIFETIME);
+        match self.suspended_since {
+            None if self.own_failing && self.peers_are_healthy() => {
+                self.suspended_since = Some(now);
                 Some(true)
             }
-            Some(since) if now.since(since) >= AWAY_FOR && !self.own_failing => {
-                self.away_since = None;
+            Some(since) if now.since(since) >= MIN_SUSPENSION && !self.own_failing => {
+                self.suspended_since = None;
                 Some(false)
             }
             _ => None,
         }
     }
 
-    fn peers_are_well(&self) -> bool {
+    fn peers_are_healthy(&self) -> bool {
         let failing = self.peers.values().filter(|(failing, _)| *failing).count();
         let heard = self.peers.len();
-        heard >= LEAST_HEARD && (failing as f64) < heard as f64 * PEERS_FAILING_MOST
+        heard >= MIN_PEER_REPORTS && (failing as f64) < heard as f64 * MAX_FAILING_PEER_SHARE
     }
 }
--- a/crates/agent/src/store_duty.rs
+++ b/crates/agent/src/store_sync.rs
@@ -17,32 +17,32 @@
 
 use crate::events::AgentEvent;
 
-const WATCH_WAIT: Duration = Duration::from_secs(10);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause of a box that does not watch, before it looks whether it should.
 const IDLE_PAUSE: Duration = Duration::from_millis(500);
 const CALLS_PER_SECOND: f64 = 2.0;
-const CALL_BURST: f64 = 10.0;
-const FIRST_WAIT: Duration = Duration::from_millis(200);
-const MOST_WAIT: Duration = Duration::from_secs(10);
+const MAX_CALL_BURST: f64 = 10.0;
+const MIN_BACKOFF: Duration = Duration::from_millis(200);
+const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
 /// What the duty shares with the exchange.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct StoreOrders {
+pub(crate) struct StoreControl {
     /// Whether this box watches.
     pub(crate) watch: Arc<AtomicBool>,
 }
 
 /// Reads and watches until `stop`.
-pub(crate) struct StoreDuty {
+pub(crate) struct StoreSync {
     pub(crate) client: StoreClient,
     pub(crate) events: Sender<AgentEvent>,
-    pub(crate) orders: StoreOrders,
+    pub(crate) store_control: StoreControl,
     pub(crate) resync_period: Duration,
     pub(crate) stop: StopSignal,
     pub(crate) seed: u64,
 }
 
-impl StoreDuty {
+impl StoreSync {
     /// Does the duty. The keys and the box list are watched side by side.
     pub(crate) async fn work(self) {
         let keys = self.follow(ListKind::Keys);
@@ -54,12 +54,12 @@
 
     async fn follow(&self, kind: ListKind) {
         let mut random = StdRng::seed_from_u64(self.seed ^ kind as u64);
-        let mut backoff = Backoff::new(FIRST_WAIT, MOST_WAIT);
-        let mut budget = CallBudget::new(CALLS_PER_SECOND, CALL_BURST);
+        let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
+        let mut budget = CallBudget::new(CALLS_PER_SECOND, MAX_CALL_BURST);
         let started = Instant::now();
         let mut cursor = ListCursor::default();
         loop {
-            if cursor.read_once && !self.orders.watch.load(Ordering::Acquire) {
+            if cursor.read_once && !self.store_control.watch.load(Ordering::Acquire) {
                 task::sleep(IDLE_PAUSE).await;
                 continue;
             }
@@ -92,15 +92,15 @@
         kind: ListKind,
         cursor: &mut ListCursor,
     ) -> Result<Vec<Entry>, StoreError> {
-        let whole = cursor.whole_at.is_none_or(|at| at.elapsed() >= self.resync_period);
-        let (after, wait) = if whole { (0, Duration::ZERO) } else { (cursor.after, WATCH_WAIT) };
+        let whole = cursor.full_read_at.is_none_or(|at| at.elapsed() >= self.resync_period);
+        let (after, wait) = if whole { (0, Duration::ZERO) } else { (cursor.after, WATCH_TIMEOUT) };
         let (revision, entries) = match kind {
             ListKind::Keys => read_keys(self.client.list(after, wait).await?),
             ListKind::Boxes => read_boxes(&self.client.list_boxes(after, wait).await?),
         };
         if whole || revision < cursor.after {
             // Behind what it showed before, the store went back: all of it is read next.
-            cursor.whole_at = whole.then(Instant::now);
+            cursor.full_read_at = whole.then(Instant::now);
         }
         cursor.after = revision;
         cursor.read_once = true;
@@ -117,7 +117,7 @@
 #[derive(Debug, Default)]
 struct ListCursor {
     after: u64,
-    whole_at: Option<Instant>,
+    full_read_at: Option<Instant>,
     read_once: bool,
 }
 
--- a/crates/agent/tests/outgoing_evidence.rs
+++ b/crates/agent/tests/outgoing_evidence.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wingbridge_agent::outgoing::OutgoingEvidence;
+use wingbridge_agent::outgoing_evidence::OutgoingEvidence;
 use wingbridge_decide::sketch::LatencyBucket;
 use wingbridge_decide::{EvidenceBatch, SampleKind, TargetKey, TargetSamples, TimePoint};
 
--- a/crates/bench/src/spread/real.rs
+++ b/crates/bench/src/spread/real.rs
@@ -42,7 +42,7 @@
     let mut rows = Vec::new();
     for loss in LOSSES {
         for one in &system.boxes {
-            one.cuts.lose(loss);
+            one.cuts.set_loss(loss);
         }
         for store_cut in [false, true] {
             rows.push(measure_row(bench, &system, loss, store_cut)?);
--- a/crates/demo/src/system.rs
+++ b/crates/demo/src/system.rs
@@ -9,7 +9,7 @@
 use async_std::net::TcpListener;
 use async_std::task;
 use eyre::{WrapErr, eyre};
-use wingbridge_agent::{AgentAddresses, AgentSettings, CutSwitch};
+use wingbridge_agent::{AgentAddresses, AgentSettings, LinkFaults};
 use wingbridge_http::HttpClient;
 use wingbridge_process::stop::stop_channel;
 use wingbridge_process::{Outcome, StopHandle};
@@ -81,7 +81,7 @@
     /// Where its proxy listens.
     pub proxy: ProxyAddresses,
     /// Cuts its agent off from others.
-    pub cuts: CutSwitch,
+    pub cuts: LinkFaults,
     agent_run: Option<RunningPart>,
     proxy_run: Option<RunningPart>,
 }
@@ -149,7 +149,7 @@
         let number = self.started_boxes;
         let box_id = format!("box-{number}");
         let data_centre = format!("dc-{}", (number - 1) % self.setup.data_centres + 1);
-        let cuts = CutSwitch::default();
+        let cuts = LinkFaults::default();
         let (agent, agent_run) = self.start_agent(&box_id, &data_centre, &cuts)?;
         self.list_box(&box_id, &data_centre, &agent, "live");
         let (proxy, proxy_run) = self.start_proxy(&box_id, &data_centre, agent.proxy)?;
@@ -276,7 +276,7 @@
         &self,
         box_id: &str,
         data_centre: &str,
-        cuts: &CutSwitch,
+        cuts: &LinkFaults,
     ) -> eyre::Result<(AgentAddresses, RunningPart)> {
         let settings = AgentSettings {
             box_id: box_id.to_string(),
@@ -312,9 +312,9 @@
             agent,
             fleet_key: DEMO_KEY.into(),
             connect_time: Duration::from_millis(500),
-            held_bytes: 256 * 1024,
-            request_bytes: 1 << 20,
-            connections: 4096,
+            max_buffered_response_bytes: 256 * 1024,
+            max_request_bytes: 1 << 20,
+            max_connections: 4096,
             request_time: Duration::from_secs(10),
             stall_time: Duration::from_secs(2),
             leave_time: self.setup.leave_time,
--- a/crates/demo/tests/failures.rs
+++ b/crates/demo/tests/failures.rs
@@ -155,10 +155,10 @@
 fn a_one_way_cut_between_agents_stops_no_change() {
     let system = small_system(3);
     // box-1 hears nothing of box-2, which hears box-1 well.
-    system.boxes[0].cuts.cut("box-2");
+    system.boxes[0].cuts.block("box-2");
     let report = system.put("policy/availability", POLICY).expect("accepted");
     assert_eq!((report.in_force, report.boxes), (3, 3));
-    system.boxes[0].cuts.heal();
+    system.boxes[0].cuts.unblock_all();
 }
 
 #[test]
--- a/crates/proxy/src/active_config.rs
+++ b/crates/proxy/src/active_config.rs
@@ -50,7 +50,7 @@
 
 /// Takes entries, keeps for each key the highest version, and makes snapshots.
 #[derive(Debug, Default)]
-pub(crate) struct ConfigKeeper {
+pub(crate) struct ConfigBuilder {
     stamps: HashMap<String, Stamp>,
     services: HashMap<Name, ServiceConfig>,
     policies: HashMap<String, PolicyProgram>,
@@ -68,15 +68,15 @@
     pub(crate) refused: Vec<(String, String)>,
 }
 
-impl ConfigKeeper {
+impl ConfigBuilder {
     /// Takes entries. Versions that are not higher than the one held change nothing.
-    pub(crate) fn take(&mut self, entries: &[Entry]) -> ConfigChange {
+    pub(crate) fn apply(&mut self, entries: &[Entry]) -> ConfigChange {
         let mut change = ConfigChange::default();
         for entry in entries {
             if self.stamps.get(&entry.key).is_some_and(|held| *held > entry.stamp) {
                 continue;
             }
-            match self.take_one(entry, &mut change.events) {
+            match self.apply_entry(entry, &mut change.events) {
                 Ok(()) => {
                     self.stamps.insert(entry.key.clone(), entry.stamp.clone());
                     let stamp = entry.stamp.clone();
@@ -101,12 +101,12 @@
         });
     }
 
-    fn take_one(&mut self, entry: &Entry, events: &mut Vec<BoxEvent>) -> Result<(), String> {
+    fn apply_entry(&mut self, entry: &Entry, events: &mut Vec<BoxEvent>) -> Result<(), String> {
         if let Some(name) = entry.key.strip_prefix(SERVICE_PREFIX) {
-            return self.take_service(name, entry, events);
+            return self.apply_service(name, entry, events);
         }
         if let Some(name) = entry.key.strip_prefix(POLICY_PREFIX) {
-            return self.take_policy(name, entry);
+            return self.apply_policy(name, entry);
         }
         if let Some(name) = entry.key.strip_prefix(OVERRIDES_PREFIX) {
             return self.apply_overrides(name, entry, events);
@@ -114,7 +114,7 @@
         Err("no such kind of key".into())
     }
 
-    fn take_service(
+    fn apply_service(
         &mut self,
         name: &str,
         entry: &Entry,
@@ -140,7 +140,7 @@
         Ok(())
     }
 
-    fn take_policy(&mut self, name: &str, entry: &Entry) -> Result<(), String> {
+    fn apply_policy(&mut self, name: &str, entry: &Entry) -> Result<(), String> {
         if entry.deleted {
             self.policies.remove(name);
             return Ok(());
--- a/crates/proxy/src/agent_link.rs
+++ b/crates/proxy/src/agent_link.rs
@@ -16,13 +16,13 @@
     Stamps, WireError, split_stream,
 };
 
-use crate::active_config::ConfigKeeper;
+use crate::active_config::ConfigBuilder;
 use crate::context::ProxyContext;
 use crate::inputs::DecisionInput;
 
-const RECONNECT_WAIT: Duration = Duration::from_millis(200);
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 /// Messages to the agent that wait; without an agent, later ones are dropped.
-pub(crate) const AGENT_RING: usize = 1024;
+pub(crate) const AGENT_QUEUE_LENGTH: usize = 1024;
 
 /// The duty that holds the link.
 pub(crate) struct AgentLink {
@@ -37,27 +37,27 @@
 impl AgentLink {
     /// Keeps the link up until `stop`.
     pub(crate) async fn work(self) {
-        let mut keeper = ConfigKeeper::default();
+        let mut builder = ConfigBuilder::default();
         let work = async {
             loop {
-                if let Err(error) = self.hold_link(&mut keeper).await {
+                if let Err(error) = self.run_link(&mut builder).await {
                     log::debug!(reason:% = error; "agent-link-ended");
                 }
-                task::sleep(RECONNECT_WAIT).await;
+                task::sleep(RECONNECT_DELAY).await;
             }
         };
         select(std::pin::pin!(work), std::pin::pin!(self.stop.wait())).await;
     }
 
-    async fn hold_link(&self, keeper: &mut ConfigKeeper) -> Result<(), WireError> {
+    async fn run_link(&self, builder: &mut ConfigBuilder) -> Result<(), WireError> {
         let (reader, writer) = self.connect().await?;
-        self.context.line.record("agent-connected", &[]);
+        self.context.trace.record("agent-connected", &[]);
         let result = {
-            let reading = std::pin::pin!(self.read(reader, keeper));
+            let reading = std::pin::pin!(self.read(reader, builder));
             let writing = std::pin::pin!(self.write(writer));
             select(reading, writing).await.factor_first().0
         };
-        self.context.line.record("agent-lost", &[]);
+        self.context.trace.record("agent-lost", &[]);
         // What the agent held against this box is void until it says so again.
         self.context.ready.suspend(false);
         result
@@ -82,12 +82,12 @@
     async fn read(
         &self,
         mut reader: FrameReader,
-        keeper: &mut ConfigKeeper,
+        builder: &mut ConfigBuilder,
     ) -> Result<(), WireError> {
         while let Some(frame) = reader.next().await? {
-            self.context.line.clock().observe(frame.clock);
+            self.context.trace.clock().observe(frame.clock);
             if let Some(body) = frame.body {
-                self.take(body, keeper).await;
+                self.handle(body, builder).await;
             }
         }
         Ok(())
@@ -102,7 +102,7 @@
     }
 
     async fn send_events(&self, writer: &mut FrameWriter) -> Result<(), WireError> {
-        let events = self.context.line.take_unsent();
+        let events = self.context.trace.take_unsent();
         if events.is_empty() {
             return Ok(());
         }
@@ -112,11 +112,11 @@
         Ok(())
     }
 
-    async fn take(&self, body: FrameBody, keeper: &mut ConfigKeeper) {
+    async fn handle(&self, body: FrameBody, builder: &mut ConfigBuilder) {
         match body {
-            FrameBody::Entries(entries) => self.take_config(&entries.entries, keeper).await,
+            FrameBody::Entries(entries) => self.apply_config(&entries.entries, builder).await,
             FrameBody::CaughtUp(caught_up) if caught_up.complete => {
-                keeper.publish(&self.context.config);
+                builder.publish(&self.context.config);
                 self.caught_up.close();
             }
             FrameBody::Verdicts(verdicts) => {
@@ -132,29 +132,29 @@
             FrameBody::Readiness(readiness) => {
                 self.context.ready.suspend(!readiness.allowed);
                 let kind = if readiness.allowed { "box-restored" } else { "box-suspended" };
-                self.context.line.record(kind, &[("why", &readiness.reason)]);
+                self.context.trace.record(kind, &[("why", &readiness.reason)]);
             }
             _ => {}
         }
     }
 
-    async fn take_config(&self, entries: &[Entry], keeper: &mut ConfigKeeper) {
-        let change = keeper.take(entries);
+    async fn apply_config(&self, entries: &[Entry], builder: &mut ConfigBuilder) {
+        let change = builder.apply(entries);
         for event in change.events {
             self.decide(event).await;
         }
         // Before the first whole configuration a part of one must not be served from.
         if self.caught_up.is_closed() {
-            keeper.publish(&self.context.config);
+            builder.publish(&self.context.config);
         }
         for (key, reason) in &change.refused {
             log::error!(key = key.as_str(), reason = reason.as_str(); "config-refused");
-            self.context.line.record("config-refused", &[("key", key), ("reason", reason)]);
+            self.context.trace.record("config-refused", &[("key", key), ("reason", reason)]);
         }
         for held in &change.in_force {
             let generation = held.stamp.generation.to_string();
             let fields = [("key", held.key.as_str()), ("generation", generation.as_str())];
-            self.context.line.record("config-in-force", &fields);
+            self.context.trace.record("config-in-force", &fields);
         }
         if !change.in_force.is_empty() {
             let stamps = Stamps { stamps: change.in_force, buckets: Vec::new() };
@@ -167,6 +167,6 @@
     }
 
     fn frame(&self, body: FrameBody) -> Frame {
-        Frame { clock: self.context.line.clock().tick(), body: Some(body) }
+        Frame { clock: self.context.trace.clock().tick(), body: Some(body) }
     }
 }
--- a/crates/proxy/src/answers.rs
+++ b/crates/proxy/src/answers.rs
@@ -41,7 +41,7 @@
 
 impl CallerAnswer {
     /// Puts the outcome and the request's id into the headers.
-    pub(crate) fn marked(mut self, request: &str) -> CallerAnswer {
+    pub(crate) fn with_headers(mut self, request: &str) -> CallerAnswer {
         self.response.insert_header(OUTCOME, self.outcome.as_str());
         self.response.insert_header(REQUEST, request);
         self
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -16,8 +16,8 @@
 use crate::pool::TargetConnection;
 
 /// Chunked answers are held whole up to this length, in bytes.
-const CHUNKED_BYTES: usize = 8 << 20;
-const PROBE_TIME: Duration = Duration::from_secs(1);
+const MAX_CHUNKED_RESPONSE_BYTES: usize = 8 << 20;
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A request as it goes to targets. It is sent again as it stands.
 #[derive(Debug, Clone)]
@@ -58,12 +58,12 @@
     context: Arc<ProxyContext>,
     request: Arc<OutgoingRequest>,
     target: Name,
-    time_left: Duration,
+    remaining: Duration,
     fresh_connection: bool,
 ) -> AttemptResult {
     let pooled = if fresh_connection { None } else { context.pool.take(&target) };
     if let Some(connection) = pooled {
-        match exchange(&context, &request, &target, connection, time_left).await {
+        match exchange(&context, &request, &target, connection, remaining).await {
             Ok(result) => return result,
             // The target closed the idle connection as the request went out. That is no
             // failure of it; the request may be repeated, or it would not be here.
@@ -75,7 +75,7 @@
     let Ok(connection) = connect(&context, &target).await else {
         return AttemptResult::without_answer(AttemptOutcome::NotSent);
     };
-    let result = exchange(&context, &request, &target, connection, time_left).await;
+    let result = exchange(&context, &request, &target, connection, remaining).await;
     result.unwrap_or_else(|error| {
         log::debug!(target:% = target, request = request.name.as_str(), reason:% = error; "attempt-broken");
         AttemptResult::without_answer(AttemptOutcome::Broken)
@@ -96,10 +96,10 @@
             name: format!("{}-probe", context.box_id),
             repeatable: true,
         };
-        let result = exchange(&context, &request, &target, connection, PROBE_TIME).await.ok()?;
+        let result = exchange(&context, &request, &target, connection, PROBE_TIMEOUT).await.ok()?;
         result.answer.map(|answer| headers::target_report(&answer.response).state)
     };
-    let state = async_std::future::timeout(PROBE_TIME, probe).await.ok().flatten();
+    let state = async_std::future::timeout(PROBE_TIMEOUT, probe).await.ok().flatten();
     let event = BoxEvent::ProbeEnded { service, target: TargetKey::of(&target), state };
     let _ = context.decisions.send(DecisionInput::Event(event)).await;
 }
@@ -117,24 +117,24 @@
     request: &OutgoingRequest,
     target: &Name,
     mut connection: TargetConnection,
-    time_left: Duration,
+    remaining: Duration,
 ) -> Result<AttemptResult, HttpError> {
-    let bytes = encode(context, request, time_left).await?;
+    let bytes = encode(context, request, remaining).await?;
     connection.writer.write_all(&bytes).await?;
     let limits = MessageLimits {
-        max_body_bytes: context.settings.held_bytes,
-        max_chunked_body_bytes: CHUNKED_BYTES,
+        max_body_bytes: context.settings.max_buffered_response_bytes,
+        max_chunked_body_bytes: MAX_CHUNKED_RESPONSE_BYTES,
         max_request_line_bytes: 8000,
         ..MessageLimits::default()
     };
     let answer = connection.reader.read_response(request.method.as_ref(), &limits).await?;
-    Ok(sort_answer(context, target, connection, answer))
+    Ok(classify_response(context, target, connection, answer))
 }
 
 async fn encode(
     context: &ProxyContext,
     request: &OutgoingRequest,
-    time_left: Duration,
+    remaining: Duration,
 ) -> Result<Vec<u8>, HttpError> {
     let mut outgoing = Request::new(request.method, request.url.clone());
     for (name, value) in &request.headers {
@@ -142,7 +142,7 @@
     }
     outgoing.insert_header(REQUEST, request.name.as_str());
     outgoing.insert_header(BOX, &*context.box_id);
-    outgoing.insert_header(DEADLINE, time_left.as_millis().to_string());
+    outgoing.insert_header(DEADLINE, remaining.as_millis().to_string());
     let had_type = outgoing.header("content-type").is_some();
     outgoing.set_body(request.body.clone());
     if !had_type {
@@ -160,7 +160,7 @@
     Ok(())
 }
 
-fn sort_answer(
+fn classify_response(
     context: &ProxyContext,
     target: &Name,
     connection: TargetConnection,
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -19,12 +19,12 @@
     pub(crate) settings: ProxySettings,
     pub(crate) box_id: Name,
     pub(crate) clock: ProcessClock,
-    pub(crate) line: EventTrace,
+    pub(crate) trace: EventTrace,
     pub(crate) config: ActiveConfig,
     pub(crate) pool: ConnectionPool,
     pub(crate) decisions: Sender<DecisionInput>,
     pub(crate) ready: ReadyFlag,
-    numbers: AtomicU64,
+    next_number: AtomicU64,
     /// Makes request ids of this process differ from those of one before it.
     start: u64,
 }
@@ -33,7 +33,7 @@
     pub(crate) fn new(
         settings: ProxySettings,
         clock: ProcessClock,
-        line: EventTrace,
+        trace: EventTrace,
         decisions: Sender<DecisionInput>,
         ready: ReadyFlag,
     ) -> Arc<ProxyContext> {
@@ -41,19 +41,19 @@
             box_id: settings.box_id.as_str().into(),
             settings,
             clock,
-            line,
+            trace,
             config: ActiveConfig::default(),
             pool: ConnectionPool::default(),
             decisions,
             ready,
-            numbers: AtomicU64::new(1),
+            next_number: AtomicU64::new(1),
             start: clock.micros(),
         })
     }
 
     /// A new number for a request.
-    pub(crate) fn next_request(&self) -> RequestId {
-        RequestId(self.numbers.fetch_add(1, Ordering::Relaxed))
+    pub(crate) fn next_request_id(&self) -> RequestId {
+        RequestId(self.next_number.fetch_add(1, Ordering::Relaxed))
     }
 
     /// The id that a request has in logs, headers and at targets.
--- a/crates/proxy/src/decision.rs
+++ b/crates/proxy/src/decision.rs
@@ -20,7 +20,7 @@
 use crate::inputs::{DecisionInput, Directive};
 
 /// The thread's state.
-pub(crate) struct DecisionDuty {
+pub(crate) struct DecisionLoop {
     context: Arc<ProxyContext>,
     core: BoxCore,
     directives: HashMap<RequestId, Sender<Directive>>,
@@ -29,14 +29,14 @@
     reasons: HashMap<(Name, Name), &'static str>,
 }
 
-impl DecisionDuty {
+impl DecisionLoop {
     pub(crate) fn new(
         context: Arc<ProxyContext>,
         core: BoxCore,
         agent: Sender<FrameBody>,
-    ) -> DecisionDuty {
+    ) -> DecisionLoop {
         let directives = HashMap::new();
-        DecisionDuty { context, core, directives, agent, failing: false, reasons: HashMap::new() }
+        DecisionLoop { context, core, directives, agent, failing: false, reasons: HashMap::new() }
     }
 
     /// Works until the ring closes.
@@ -59,12 +59,12 @@
                 DecisionInput::StateDue => self.report_state(now),
             }
             for command in commands.drain(..) {
-                self.carry_out(command);
+                self.execute(command);
             }
         }
     }
 
-    fn carry_out(&mut self, command: BoxCommand) {
+    fn execute(&mut self, command: BoxCommand) {
         match command {
             BoxCommand::Send { request, attempt, target, fresh_connection } => {
                 if let Some(directives) = self.directives.get(&request) {
@@ -83,7 +83,7 @@
             }
             BoxCommand::Report(batch) => {
                 let settings = &self.context.settings;
-                self.to_agent(FrameBody::Evidence(Evidence {
+                self.send_to_agent(FrameBody::Evidence(Evidence {
                     box_id: settings.box_id.clone(),
                     data_centre: settings.data_centre.clone(),
                     services: vec![service_evidence(&batch)],
@@ -92,13 +92,13 @@
             BoxCommand::AnnounceDraining { service, target: TargetKey(target) } => {
                 let service = service.to_string();
                 let leaving = TargetDraining { service, target, ..TargetDraining::default() };
-                self.to_agent(FrameBody::Draining(leaving));
+                self.send_to_agent(FrameBody::Draining(leaving));
             }
             BoxCommand::HealthChanged(transition) => self.on_health_changed(transition),
             BoxCommand::SelfSuspected(failing) => {
                 self.failing = failing;
                 let kind = if failing { "box-fails" } else { "box-works-again" };
-                self.context.line.record(kind, &[]);
+                self.context.trace.record(kind, &[]);
                 log::warn!(failing; "box-suspects-itself");
             }
         }
@@ -106,7 +106,7 @@
 
     /// Without an agent, or with one that is far behind, reports are lost: the box
     /// goes on by its own evidence.
-    fn to_agent(&self, body: FrameBody) {
+    fn send_to_agent(&self, body: FrameBody) {
         if self.agent.try_send(body).is_err() {
             metrics::counter!("wingbridge_reports_dropped").increment(1);
         }
@@ -127,7 +127,7 @@
             ("from", from.as_str()),
             ("why", reason),
         ];
-        self.context.line.record(kind, &fields);
+        self.context.trace.record(kind, &fields);
         log::info!(service:% = service, target:% = target, from = from.as_str(), why = reason; "{kind}");
         let labels = [("service", service.to_string()), ("to", to.as_str().to_string())];
         metrics::counter!("wingbridge_target_changes", &labels).increment(1);
@@ -142,7 +142,7 @@
             let changed = service.targets().iter().filter(|target| is_notable(target));
             changed.map(|target| self.target_view(now, service, target))
         });
-        self.to_agent(FrameBody::ProxyState(ProxyState {
+        self.send_to_agent(FrameBody::ProxyState(ProxyState {
             targets: targets.collect(),
             requests_held: self.core.requests_held() as u64,
             ready: self.context.ready.is_ready(),
--- a/crates/proxy/src/headers.rs
+++ b/crates/proxy/src/headers.rs
@@ -21,7 +21,7 @@
 const INCARNATION: &str = "x-target-incarnation";
 
 /// Headers that only wingbridge sets.
-const OWN: [&str; 6] = [OUTCOME, REQUEST, BOX, LOAD, STATE, INCARNATION];
+const RESERVED: [&str; 6] = [OUTCOME, REQUEST, BOX, LOAD, STATE, INCARNATION];
 
 /// The value of a header, or an empty text.
 pub(crate) fn text(values: Option<&HeaderValues>) -> &str {
@@ -78,7 +78,7 @@
     for (name, values) in headers {
         let name = name.as_str();
         let dropped = HOP_BY_HOP.contains(&name)
-            || OWN.contains(&name)
+            || RESERVED.contains(&name)
             || also.contains(&name)
             || named.split(',').any(|token| token.trim() == name);
         if !dropped {
--- a/crates/proxy/src/inputs.rs
+++ b/crates/proxy/src/inputs.rs
@@ -5,7 +5,7 @@
 
 /// Directives that wait for one request; the core gives at most one for each attempt
 /// and one at the end.
-pub(crate) const DIRECTIVES: usize = 16;
+pub(crate) const MAX_QUEUED_DIRECTIVES: usize = 16;
 
 /// Into the decision thread.
 #[derive(Clone)]
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -1,7 +1,7 @@
-//! The life of a proxy, as types: starting, serving, leaving, drained.
+//! The lifecycle of a proxy, as types: starting, serving, leaving, drained.
 //!
 //! Each step consumes the one before, so none can be left out or taken twice,
-//! and only [`BoxLife<Serving>`] ever says that the box is ready.
+//! and only [`Lifecycle<Serving>`] ever says that the box is ready.
 
 use std::marker::PhantomData;
 use std::sync::Arc;
@@ -34,53 +34,53 @@
 /// It takes requests.
 pub(crate) struct Serving;
 /// It finishes what it has.
-pub(crate) struct Leaving;
+pub(crate) struct Draining;
 
-/// A proxy in one part of its life.
-pub(crate) struct BoxLife<S> {
+/// A proxy in one part of its lifecycle.
+pub(crate) struct Lifecycle<S> {
     ready: ReadyFlag,
-    line: EventTrace,
+    trace: EventTrace,
     state: PhantomData<S>,
 }
 
-impl BoxLife<Starting> {
-    pub(crate) fn new(ready: ReadyFlag, line: EventTrace) -> BoxLife<Starting> {
-        line.record("box-starting", &[]);
-        BoxLife { ready, line, state: PhantomData }
+impl Lifecycle<Starting> {
+    pub(crate) fn new(ready: ReadyFlag, trace: EventTrace) -> Lifecycle<Starting> {
+        trace.record("box-starting", &[]);
+        Lifecycle { ready, trace, state: PhantomData }
     }
 
     /// The configuration is whole.
-    pub(crate) fn serve(self) -> BoxLife<Serving> {
-        self.line.record("box-ready", &[]);
+    pub(crate) fn start_serving(self) -> Lifecycle<Serving> {
+        self.trace.record("box-ready", &[]);
         self.ready.serving.store(true, Ordering::Release);
         self.step()
     }
 
     /// It is stopped before it ever served.
-    pub(crate) fn give_up(self) -> BoxLife<Leaving> {
-        self.line.record("box-leaving", &[]);
+    pub(crate) fn abort_start(self) -> Lifecycle<Draining> {
+        self.trace.record("box-leaving", &[]);
         self.step()
     }
 }
 
-impl BoxLife<Serving> {
+impl Lifecycle<Serving> {
     /// A planned stop begins.
-    pub(crate) fn leave(self) -> BoxLife<Leaving> {
+    pub(crate) fn start_draining(self) -> Lifecycle<Draining> {
         self.ready.serving.store(false, Ordering::Release);
-        self.line.record("box-leaving", &[]);
+        self.trace.record("box-leaving", &[]);
         self.step()
     }
 }
 
-impl BoxLife<Leaving> {
+impl Lifecycle<Draining> {
     /// All has ended; `whole` if nothing was cut.
-    pub(crate) fn drained(self, whole: bool) {
-        self.line.record("box-drained", &[("cut", if whole { "nothing" } else { "some" })]);
+    pub(crate) fn finish(self, complete: bool) {
+        self.trace.record("box-drained", &[("cut", if complete { "nothing" } else { "some" })]);
     }
 }
 
-impl<S> BoxLife<S> {
-    fn step<T>(self) -> BoxLife<T> {
-        BoxLife { ready: self.ready, line: self.line, state: PhantomData }
+impl<S> Lifecycle<S> {
+    fn step<T>(self) -> Lifecycle<T> {
+        Lifecycle { ready: self.ready, trace: self.trace, state: PhantomData }
     }
 }
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -9,9 +9,9 @@
 use wingbridge_http::MessageReader;
 
 /// Connections that are kept for one target.
-const KEPT: usize = 8;
+const MAX_IDLE_PER_TARGET: usize = 8;
 /// An idle connection is not used after this time: targets close theirs sooner or later.
-const KEPT_FOR: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A connection to a target with no answer outstanding.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
         let mut idle = self.lock();
         let connections = idle.get_mut(target)?;
         let (since, connection) = connections.pop()?;
-        if since.elapsed() < KEPT_FOR {
+        if since.elapsed() < IDLE_TIMEOUT {
             return Some(connection);
         }
         // The others have been idle for longer still.
@@ -51,7 +51,7 @@
     pub(crate) fn put(&self, target: &Name, connection: TargetConnection) {
         let mut idle = self.lock();
         let connections = idle.entry(target.clone()).or_default();
-        if connections.len() < KEPT {
+        if connections.len() < MAX_IDLE_PER_TARGET {
             connections.push((Instant::now(), connection));
         }
     }
@@ -60,7 +60,7 @@
     pub(crate) fn close_idle(&self) {
         let mut idle = self.lock();
         for connections in idle.values_mut() {
-            connections.retain(|(since, _)| since.elapsed() < KEPT_FOR);
+            connections.retain(|(since, _)| since.elapsed() < IDLE_TIMEOUT);
         }
         idle.retain(|_, connections| !connections.is_empty());
     }
--- a/crates/proxy/src/requests.rs
+++ b/crates/proxy/src/requests.rs
@@ -11,13 +11,13 @@
 
 use crate::attempt::{AttemptResult, OutgoingRequest, TargetAnswer, attempt_target};
 use crate::context::ProxyContext;
-use crate::inputs::{DIRECTIVES, DecisionInput, Directive};
+use crate::inputs::{DecisionInput, Directive, MAX_QUEUED_DIRECTIVES};
 
 type RunningAttempt = Pin<Box<dyn Future<Output = AttemptResult> + Send>>;
 
 /// How a request ended.
 #[derive(Debug)]
-pub(crate) enum RequestEnd {
+pub(crate) enum RequestResult {
     /// A target's answer.
     Answered(Box<TargetAnswer>),
     /// None, with what is known.
@@ -47,9 +47,9 @@
     request: RequestId,
     outgoing: Arc<OutgoingRequest>,
     plan: RequestPlan,
-) -> RequestEnd {
+) -> RequestResult {
     let deadline = plan.deadline;
-    let (sender, directives) = async_channel::bounded(DIRECTIVES);
+    let (sender, directives) = async_channel::bounded(MAX_QUEUED_DIRECTIVES);
     let mut guard = CancelGuard { context: Arc::clone(context), request: Some(request) };
     let arrived = DecisionInput::Arrived { request, plan, directives: sender };
     if context.decisions.send(arrived).await.is_err() {
@@ -57,7 +57,7 @@
         return stopping();
     }
     let mut run = RequestRun { context, request, outgoing, deadline, last: None };
-    let end = run.follow(&directives).await;
+    let end = run.run(&directives).await;
     guard.request = None;
     end
 }
@@ -71,7 +71,7 @@
 }
 
 impl RequestRun<'_> {
-    async fn follow(&mut self, directives: &Receiver<Directive>) -> RequestEnd {
+    async fn run(&mut self, directives: &Receiver<Directive>) -> RequestResult {
         let mut running: Option<(u32, RunningAttempt)> = None;
         loop {
             let directive = match running.take() {
@@ -95,7 +95,7 @@
                         Arc::clone(self.context),
                         Arc::clone(&self.outgoing),
                         target,
-                        self.time_left(),
+                        self.remaining(),
                         fresh_connection,
                     );
                     running = Some((attempt, Box::pin(work)));
@@ -118,23 +118,23 @@
         );
     }
 
-    fn conclude(&mut self, conclusion: Conclusion) -> RequestEnd {
+    fn conclude(&mut self, conclusion: Conclusion) -> RequestResult {
         match (conclusion, self.last.take()) {
-            (Conclusion::Answered, Some(answer)) => RequestEnd::Answered(Box::new(answer)),
+            (Conclusion::Answered, Some(answer)) => RequestResult::Answered(Box::new(answer)),
             (Conclusion::Answered, None) => {
                 debug_assert!(false, "a conclusion of an answer that never came");
-                RequestEnd::Failed(Conclusion::Unknown { retry_after: Duration::from_secs(1) })
+                RequestResult::Failed(Conclusion::Unknown { retry_after: Duration::from_secs(1) })
             }
-            (failed, _) => RequestEnd::Failed(failed),
+            (failed, _) => RequestResult::Failed(failed),
         }
     }
 
-    fn time_left(&self) -> Duration {
+    fn remaining(&self) -> Duration {
         self.deadline.since(TimePoint::from_micros(self.context.clock.micros()))
     }
 }
 
 /// The decision thread is gone, which only a stop that ran out of time brings about.
-fn stopping() -> RequestEnd {
-    RequestEnd::Failed(Conclusion::Unknown { retry_after: Duration::from_secs(1) })
+fn stopping() -> RequestResult {
+    RequestResult::Failed(Conclusion::Unknown { retry_after: Duration::from_secs(1) })
 }
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -16,21 +16,21 @@
 use wingbridge_trace::EventTrace;
 
 use crate::admin::serve_admin;
-use crate::agent_link::{AGENT_RING, AgentLink};
+use crate::agent_link::{AGENT_QUEUE_LENGTH, AgentLink};
 use crate::context::ProxyContext;
-use crate::decision::DecisionDuty;
+use crate::decision::DecisionLoop;
 use crate::inputs::DecisionInput;
-use crate::lifecycle::{BoxLife, ReadyFlag};
+use crate::lifecycle::{Lifecycle, ReadyFlag};
 use crate::serve::answer_caller;
 use crate::settings::ProxySettings;
 
 /// Inputs that wait for the decision thread.
-const DECISION_RING: usize = 8192;
+const DECISION_QUEUE_LENGTH: usize = 8192;
 /// Period of the core's timer: how exactly deadlines are kept.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_PERIOD: Duration = Duration::from_millis(10);
 const STATE_PERIOD: Duration = Duration::from_secs(1);
 const POOL_PERIOD: Duration = Duration::from_secs(2);
-const LINE_EVENTS: usize = 2000;
+const MAX_TRACE_EVENTS: usize = 2000;
 
 /// Where a started proxy listens; the system may have chosen the ports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -64,14 +64,14 @@
     let admin = TcpListener::bind(settings.admin_listen).await?;
     let addresses = ProxyAddresses { callers: callers.local_addr()?, admin: admin.local_addr()? };
     let clock = ProcessClock::start();
-    let line = EventTrace::new(&settings.box_id, "proxy", LINE_EVENTS);
+    let trace = EventTrace::new(&settings.box_id, "proxy", MAX_TRACE_EVENTS);
     let ready = ReadyFlag::default();
-    let (decisions, inputs) = async_channel::bounded(DECISION_RING);
-    let (to_agent, outgoing) = async_channel::bounded(AGENT_RING);
+    let (decisions, inputs) = async_channel::bounded(DECISION_QUEUE_LENGTH);
+    let (to_agent, outgoing) = async_channel::bounded(AGENT_QUEUE_LENGTH);
     let context =
-        ProxyContext::new(settings.clone(), clock, line.clone(), decisions.clone(), ready.clone());
+        ProxyContext::new(settings.clone(), clock, trace.clone(), decisions.clone(), ready.clone());
     let core = BoxCore::new(evidence_source(settings), chart, clock.micros());
-    let duty = DecisionDuty::new(Arc::clone(&context), core, to_agent.clone());
+    let duty = DecisionLoop::new(Arc::clone(&context), core, to_agent.clone());
     let decision =
         thread::Builder::new().name("decisions".into()).spawn(move || duty.run(&inputs))?;
     let (caught_up, whole) = async_channel::bounded::<()>(1);
@@ -87,7 +87,7 @@
         .name("agent link".into())
         .spawn(move || task::block_on(link.work()))?;
     let timer = TimerService::start()?;
-    timer.subscribe(TICK, decisions.clone(), DecisionInput::Event(BoxEvent::TimerFired));
+    timer.subscribe(TICK_PERIOD, decisions.clone(), DecisionInput::Event(BoxEvent::TimerFired));
     timer.subscribe(STATE_PERIOD, decisions.clone(), DecisionInput::StateDue);
     let (pool_ticks, pool_due) = async_channel::bounded(1);
     timer.subscribe(POOL_PERIOD, pool_ticks, ());
@@ -105,20 +105,20 @@
     };
     started(addresses);
     log::info!(callers:% = addresses.callers, admin:% = addresses.admin; "proxy-started");
-    let life = BoxLife::new(ready, line);
-    wait_either(whole.recv(), stop.wait()).await;
-    let life = if stop.is_stopped() {
-        life.give_up()
+    let lifecycle = Lifecycle::new(ready, trace);
+    wait_for_either(whole.recv(), stop.wait()).await;
+    let lifecycle = if stop.is_stopped() {
+        lifecycle.abort_start()
     } else {
-        let life = life.serve();
+        let lifecycle = lifecycle.start_serving();
         stop.wait().await;
-        let life = life.leave();
+        let lifecycle = lifecycle.start_draining();
         task::sleep(settings.leave_time).await;
-        life
+        lifecycle
     };
     drain_handle.close();
     let ended = async_std::future::timeout(settings.drain_time, serving).await;
-    life.drained(ended.is_ok());
+    lifecycle.finish(ended.is_ok());
     log::info!(whole = ended.is_ok(); "proxy-drained");
     for task in side {
         task.cancel().await;
@@ -144,12 +144,12 @@
 ) -> ServerSettings {
     ServerSettings {
         limits: MessageLimits {
-            max_body_bytes: settings.request_bytes,
-            max_chunked_body_bytes: settings.request_bytes,
+            max_body_bytes: settings.max_request_bytes,
+            max_chunked_body_bytes: settings.max_request_bytes,
             ..MessageLimits::default()
         },
         request_timeout: settings.request_time,
-        max_connections: settings.connections,
+        max_connections: settings.max_connections,
         drain: Some(drained),
         ..ServerSettings::default()
     }
@@ -173,7 +173,7 @@
     }
 }
 
-async fn wait_either<A, B>(one: impl Future<Output = A>, other: impl Future<Output = B>) {
+async fn wait_for_either<A, B>(one: impl Future<Output = A>, other: impl Future<Output = B>) {
     match select(std::pin::pin!(one), std::pin::pin!(other)).await {
         Either::Left(_) | Either::Right(_) => {}
     }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -15,7 +15,7 @@
 use crate::attempt::OutgoingRequest;
 use crate::context::ProxyContext;
 use crate::headers;
-use crate::requests::{RequestEnd, run_request};
+use crate::requests::{RequestResult, run_request};
 use crate::streaming::{StreamContext, stream_body};
 
 /// Time after which a caller may come back to a box that is not ready.
@@ -24,7 +24,7 @@
 /// Answers one request. Dropping the future cancels it, if its policy allows that.
 pub(crate) async fn answer_caller(context: Arc<ProxyContext>, request: PeerRequest) -> Response {
     let started = Instant::now();
-    let id = context.next_request();
+    let id = context.next_request_id();
     let name = context.request_name(id);
     let caller = caller_name(&request);
     let path = request.incoming.request.url().path().to_string();
@@ -35,7 +35,7 @@
         Ok(plan) => {
             let service = plan.service.clone();
             let work =
-                see_through(Arc::clone(&context), request.incoming, plan.clone(), id, caller);
+                execute_request(Arc::clone(&context), request.incoming, plan.clone(), id, caller);
             let answer = if plan.cancel_on_hangup {
                 work.await
             } else {
@@ -55,10 +55,10 @@
     let labels = [("service", service), ("outcome", answer.outcome.as_str().to_string())];
     metrics::counter!("wingbridge_requests", &labels).increment(1);
     metrics::histogram!("wingbridge_request_millis").record(millis);
-    answer.marked(&name).response
+    answer.with_headers(&name).response
 }
 
-async fn see_through(
+async fn execute_request(
     context: Arc<ProxyContext>,
     incoming: IncomingRequest,
     policy: PolicyPlan,
@@ -74,14 +74,14 @@
         deadline: TimePoint::from_micros(context.clock.micros()) + time,
         repeatable: policy.repeatable,
         attempts: policy.max_attempts,
-        caller: caller_number(&caller),
+        caller: caller_hash(&caller),
         caller_limit: policy.caller_limit,
         priority: policy.priority,
     };
     let outgoing = Arc::new(outgoing_request(&context, incoming, &policy, id, &caller));
     match run_request(&context, id, Arc::clone(&outgoing), plan.clone()).await {
-        RequestEnd::Failed(conclusion) => failed(conclusion),
-        RequestEnd::Answered(mut answer) => {
+        RequestResult::Failed(conclusion) => failed(conclusion),
+        RequestResult::Answered(mut answer) => {
             let stream = StreamContext { context, outgoing, plan, time: policy.deadline };
             let body = stream_body(stream, &mut answer);
             answered(*answer, body)
@@ -110,7 +110,7 @@
     match policy.plan(view) {
         Ok(PolicyDecision::Route(plan)) => Ok(plan),
         Ok(PolicyDecision::Refuse { status, reason }) => Err(refused(status, &reason, None)),
-        Err(fault) => Err(Box::new(note_fault(context, service, &fault.to_string()))),
+        Err(fault) => Err(Box::new(on_policy_fault(context, service, &fault.to_string()))),
     }
 }
 
@@ -119,10 +119,10 @@
 }
 
 /// A policy that fails at run time is answered safely: nothing was sent anywhere.
-fn note_fault(context: &ProxyContext, service: &ServiceConfig, fault: &str) -> CallerAnswer {
+fn on_policy_fault(context: &ProxyContext, service: &ServiceConfig, fault: &str) -> CallerAnswer {
     let policy = service.policy.as_str();
     log::error!(policy, reason = fault; "policy-failed");
-    context.line.record("policy-failed", &[("policy", policy), ("reason", fault)]);
+    context.trace.record("policy-failed", &[("policy", policy), ("reason", fault)]);
     metrics::counter!("wingbridge_policy_faults").increment(1);
     not_run(503, "the policy for this path failed", Some(NOT_READY_RETRY))
 }
@@ -172,6 +172,6 @@
     if first.is_empty() { request.peer.ip().to_string() } else { first.to_string() }
 }
 
-fn caller_number(caller: &str) -> u64 {
+fn caller_hash(caller: &str) -> u64 {
     wingbridge_decide::names::stable_hash(caller)
 }
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -25,11 +25,11 @@
     /// Time to connect to a target.
     pub connect_time: Duration,
     /// Longest answer that is held whole, in bytes.
-    pub held_bytes: usize,
+    pub max_buffered_response_bytes: usize,
     /// Longest request body, in bytes.
-    pub request_bytes: usize,
+    pub max_request_bytes: usize,
     /// Connections of callers at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Time that a caller has to send a request.
     pub request_time: Duration,
     /// Time that an answer on its way may stand still.
@@ -85,9 +85,10 @@
         agent,
         fleet_key: settings::secret(matches, "fleet-key")?,
         connect_time: settings::millis(matches, "connect-ms", 1..=60_000)?,
-        held_bytes: settings::number(matches, "held-bytes", 1024..=64 << 20)? as usize,
-        request_bytes: settings::number(matches, "request-bytes", 1024..=64 << 20)? as usize,
-        connections: settings::number(matches, "connections", 1..=1_000_000)? as usize,
+        max_buffered_response_bytes: settings::number(matches, "held-bytes", 1024..=64 << 20)?
+            as usize,
+        max_request_bytes: settings::number(matches, "request-bytes", 1024..=64 << 20)? as usize,
+        max_connections: settings::number(matches, "connections", 1..=1_000_000)? as usize,
         request_time: settings::millis(matches, "request-ms", 10..=600_000)?,
         stall_time: settings::millis(matches, "stall-ms", 10..=600_000)?,
         leave_time: settings::millis(matches, "leave-ms", 0..=600_000)?,
--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -21,13 +21,13 @@
 use crate::context::ProxyContext;
 use crate::headers::text;
 use crate::inputs::DecisionInput;
-use crate::requests::{RequestEnd, run_request};
+use crate::requests::{RequestResult, run_request};
 
-const CHUNK: usize = 32 * 1024;
+const CHUNK_BYTES: usize = 32 * 1024;
 /// Chunks that wait for the caller.
-const CHUNKS: usize = 8;
+const MAX_QUEUED_CHUNKS: usize = 8;
 /// Times that one answer is resumed.
-const RESUMES: u32 = 5;
+const MAX_RESUMES: u32 = 5;
 
 /// What is needed to ask for the rest.
 pub(crate) struct StreamContext {
@@ -44,7 +44,7 @@
         return None;
     };
     let connection = answer.connection.take()?;
-    let (chunks, received) = async_channel::bounded::<io::Result<Vec<u8>>>(CHUNKS);
+    let (chunks, received) = async_channel::bounded::<io::Result<Vec<u8>>>(MAX_QUEUED_CHUNKS);
     let mut transfer = BodyTransfer {
         validator: strong_validator(&answer.response, &stream.outgoing),
         stream,
@@ -52,14 +52,14 @@
         length,
         position: 0,
     };
-    let reader: RestReader = Box::new(connection.reader.into_body(length));
+    let reader: BodyReader = Box::new(connection.reader.into_body(length));
     task::spawn(async move { transfer.run(reader, &chunks).await });
     let body = Box::pin(received).into_async_read();
     Some(Body::from_reader(body, Some(length as usize)))
 }
 
 /// What is left of a body: in a connection, or already held.
-type RestReader = Box<dyn AsyncRead + Send + Unpin>;
+type BodyReader = Box<dyn AsyncRead + Send + Unpin>;
 
 struct BodyTransfer {
     stream: StreamContext,
@@ -71,11 +71,11 @@
 
 impl BodyTransfer {
     /// Passes the body on until its end, or until the caller's end is closed.
-    async fn run(&mut self, mut reader: RestReader, chunks: &Sender<io::Result<Vec<u8>>>) {
-        for _ in 0..=RESUMES {
-            match self.pass_on(&mut reader, chunks).await {
+    async fn run(&mut self, mut reader: BodyReader, chunks: &Sender<io::Result<Vec<u8>>>) {
+        for _ in 0..=MAX_RESUMES {
+            match self.forward(&mut reader, chunks).await {
                 Ok(()) => return,
-                Err(error) => self.note_broken(&error).await,
+                Err(error) => self.report_broken(&error).await,
             }
             if chunks.is_closed() {
                 return;
@@ -88,14 +88,14 @@
         let _ = chunks.send(Err(io::ErrorKind::UnexpectedEof.into())).await;
     }
 
-    async fn pass_on(
+    async fn forward(
         &mut self,
-        reader: &mut RestReader,
+        reader: &mut BodyReader,
         chunks: &Sender<io::Result<Vec<u8>>>,
     ) -> io::Result<()> {
         let stall = self.stream.context.settings.stall_time;
         while self.position < self.length {
-            let mut chunk = vec![0; CHUNK];
+            let mut chunk = vec![0; CHUNK_BYTES];
             let read = async_std::future::timeout(stall, reader.read(&mut chunk)).await;
             let count = read.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
             chunk.truncate(count);
@@ -107,11 +107,11 @@
         Ok(())
     }
 
-    async fn note_broken(&self, error: &io::Error) {
+    async fn report_broken(&self, error: &io::Error) {
         let context = &self.stream.context;
         let position = self.position.to_string();
         let fields = [("target", &*self.target), ("at", position.as_str())];
-        context.line.record("request-answer-broken", &fields);
+        context.trace.record("request-answer-broken", &fields);
         log::warn!(target:% = self.target, at = self.position, reason:% = error; "answer-broken");
         let event = BoxEvent::AnswerBroken {
             service: self.stream.plan.service.clone(),
@@ -121,10 +121,10 @@
     }
 
     /// Asks another target for the rest.
-    async fn resume(&mut self) -> Option<RestReader> {
+    async fn resume(&mut self) -> Option<BodyReader> {
         let validator = self.validator.clone()?;
         let context = Arc::clone(&self.stream.context);
-        let request = context.next_request();
+        let request = context.next_request_id();
         let mut outgoing = (*self.stream.outgoing).clone();
         outgoing.headers.push(("range".into(), format!("bytes={}-", self.position)));
         outgoing.headers.push(("if-range".into(), validator.clone()));
@@ -132,15 +132,15 @@
         let mut plan = self.stream.plan.clone();
         plan.deadline = TimePoint::from_micros(context.clock.micros()) + self.stream.time;
         let end = run_request(&context, request, Arc::new(outgoing), plan).await;
-        let RequestEnd::Answered(answer) = end else {
+        let RequestResult::Answered(answer) = end else {
             return None;
         };
-        if !self.continues(&answer.response, &validator) {
+        if !self.is_continuation(&answer.response, &validator) {
             return None;
         }
         let rest = self.length - self.position;
         let TargetAnswer { target, connection, body, .. } = *answer;
-        let reader: RestReader = match (body, connection) {
+        let reader: BodyReader = match (body, connection) {
             (ResponseBody::Unread(length), Some(connection)) if length == rest => {
                 Box::new(connection.reader.into_body(rest))
             }
@@ -149,13 +149,13 @@
             }
             _ => return None,
         };
-        context.line.record("request-answer-resumed", &[("target", &*target)]);
+        context.trace.record("request-answer-resumed", &[("target", &*target)]);
         self.target = target;
         Some(reader)
     }
 
     /// Whether an answer is the rest of the same thing, to the byte.
-    fn continues(&self, response: &Response, validator: &str) -> bool {
+    fn is_continuation(&self, response: &Response, validator: &str) -> bool {
         let wanted = format!("bytes {}-{}/{}", self.position, self.length - 1, self.length);
         response.status() as u16 == 206
             && text(response.header("etag")) == validator
--- a/crates/proxy/tests/settings.rs
+++ b/crates/proxy/tests/settings.rs
@@ -50,5 +50,5 @@
 fn sound_settings_are_taken() {
     let matches = proxy_command().try_get_matches_from(SOUND).expect("known flags");
     let settings = resolve(&matches).expect("sound settings");
-    assert_eq!((settings.io_threads, settings.held_bytes), (1, 262_144));
+    assert_eq!((settings.io_threads, settings.max_buffered_response_bytes), (1, 262_144));
 }
--- a/crates/spread/src/core.rs
+++ b/crates/spread/src/core.rs
@@ -17,15 +17,15 @@
 use crate::members::{BOX_PREFIX, BoxIdentity, MemberList};
 
 /// Rings of the box's own data centre; each gives two neighbours.
-const OWN_RINGS: usize = 3;
+const LOCAL_RINGS: usize = 3;
 /// Rings of the whole fleet.
-const ALL_RINGS: usize = 2;
+const GLOBAL_RINGS: usize = 2;
 /// Bytes of values in one message at most.
-const ENTRIES_BYTES: usize = 256 * 1024;
+const MAX_ENTRIES_BYTES: usize = 256 * 1024;
 /// Differing buckets that are gone through in one exchange.
-const BUCKETS_AT_ONCE: usize = 16;
+const MAX_BUCKETS_PER_EXCHANGE: usize = 16;
 /// News of more entries than this is no change but a box catching up: not pushed on.
-const PUSH_MOST: usize = 8;
+const MAX_PUSHED_ENTRIES: usize = 8;
 /// Peers whose map a new box must have matched before it is whole.
 const SYNC_PEERS: usize = 3;
 
@@ -78,7 +78,7 @@
     setup: SpreadSetup,
     map: SpreadMap,
     members: MemberList,
-    extra_peers: Vec<Arc<str>>,
+    seed_peers: Vec<Arc<str>>,
     neighbours: Vec<Arc<str>>,
     /// The epoch that `neighbours` were chosen for, until the list changes.
     neighbours_of: Option<u64>,
@@ -97,7 +97,7 @@
             setup,
             map: SpreadMap::default(),
             members: MemberList::default(),
-            extra_peers: Vec::new(),
+            seed_peers: Vec::new(),
             neighbours: Vec::new(),
             neighbours_of: None,
             matched: BTreeSet::new(),
@@ -131,8 +131,8 @@
     }
 
     /// Peers that are not on the list yet, by what the driver calls them.
-    pub fn set_extra_peers(&mut self, peers: Vec<Arc<str>>) {
-        self.extra_peers = peers;
+    pub fn set_seed_peers(&mut self, peers: Vec<Arc<str>>) {
+        self.seed_peers = peers;
         self.neighbours_of = None;
     }
 
@@ -143,7 +143,7 @@
 
     /// Whether this box may serve: it has the highest versions of several peers, and
     /// of the store if that answers. With the store away, peers are enough.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         let others = self.members.iter().filter(|(id, _)| **id != self.setup.identity.box_id);
         let others = others.count();
         let wanted = others.min(SYNC_PEERS);
@@ -161,8 +161,8 @@
         let epoch = now / period;
         if self.neighbours_of != Some(epoch) {
             let identity = &self.setup.identity;
-            let mut peers = self.members.neighbours(identity, epoch, OWN_RINGS, ALL_RINGS);
-            peers.extend(self.extra_peers.iter().cloned());
+            let mut peers = self.members.neighbours(identity, epoch, LOCAL_RINGS, GLOBAL_RINGS);
+            peers.extend(self.seed_peers.iter().cloned());
             self.neighbours = peers;
             self.neighbours_of = Some(epoch);
         }
@@ -178,7 +178,7 @@
     ) {
         match body {
             FrameBody::Entries(entries) => {
-                let push = entries.push && entries.entries.len() <= PUSH_MOST;
+                let push = entries.push && entries.entries.len() <= MAX_PUSHED_ENTRIES;
                 self.merge_all(now, &entries.entries, Some(from), push, commands);
             }
             FrameBody::Digest(digest) => self.compare_roots(from, &digest, commands),
@@ -201,25 +201,25 @@
         push: bool,
         commands: &mut Vec<SpreadCommand>,
     ) {
-        let mut news: Vec<Entry> = Vec::new();
+        let mut changes: Vec<Entry> = Vec::new();
         for entry in entries {
             if self.map.merge(entry) {
-                news.push(entry.clone());
+                changes.push(entry.clone());
             }
         }
-        if news.iter().any(|entry| entry.key.starts_with(BOX_PREFIX)) {
+        if changes.iter().any(|entry| entry.key.starts_with(BOX_PREFIX)) {
             self.members = MemberList::read(&self.map);
             self.neighbours_of = None;
         }
-        if push && !news.is_empty() && news.len() <= PUSH_MOST {
+        if push && !changes.is_empty() && changes.len() <= MAX_PUSHED_ENTRIES {
             for peer in self.neighbours(now) {
                 if Some(&peer) != from {
-                    let body = Entries { entries: news.clone(), push: true };
+                    let body = Entries { entries: changes.clone(), push: true };
                     commands.push(SpreadCommand::Send { to: peer, body: FrameBody::Entries(body) });
                 }
             }
         }
-        commands.extend(news.into_iter().map(SpreadCommand::Apply));
+        commands.extend(changes.into_iter().map(SpreadCommand::Apply));
     }
 
     fn compare_roots(
@@ -243,17 +243,17 @@
     fn compare_buckets(
         &mut self,
         from: &Arc<str>,
-        theirs: &Buckets,
+        remote: &Buckets,
         commands: &mut Vec<SpreadCommand>,
     ) {
-        let pairs = self.map.hashes().iter().zip(&theirs.hashes).enumerate();
+        let pairs = self.map.hashes().iter().zip(&remote.hashes).enumerate();
         let differing = pairs.filter(|(_, (own, other))| own != other);
         let differing: Vec<u32> = differing.map(|(bucket, _)| bucket as u32).collect();
         if differing.is_empty() {
             commands.push(send(from, FrameBody::Digest(self.digest(true))));
             return;
         }
-        let some: Vec<u32> = differing.into_iter().take(BUCKETS_AT_ONCE).collect();
+        let some: Vec<u32> = differing.into_iter().take(MAX_BUCKETS_PER_EXCHANGE).collect();
         let stamps = Stamps { stamps: self.map.stamps(&some), buckets: some };
         commands.push(send(from, FrameBody::Stamps(stamps)));
     }
@@ -261,18 +261,18 @@
     fn compare_stamps(
         &mut self,
         from: &Arc<str>,
-        theirs: &Stamps,
+        remote: &Stamps,
         commands: &mut Vec<SpreadCommand>,
     ) {
-        let missing: Vec<String> = theirs
+        let missing: Vec<String> = remote
             .stamps
             .iter()
             .filter(|other| self.held_stamp(&other.key) < Some(&other.stamp))
             .map(|other| other.key.clone())
             .collect();
-        let own = self.map.stamps(&theirs.buckets);
+        let own = self.map.stamps(&remote.buckets);
         let newer =
-            own.iter().filter(|own| stamp_among(&theirs.stamps, &own.key) < Some(&own.stamp));
+            own.iter().filter(|own| stamp_among(&remote.stamps, &own.key) < Some(&own.stamp));
         let newer: Vec<Entry> = newer.filter_map(|own| self.map.get(&own.key)).cloned().collect();
         if !missing.is_empty() {
             commands.push(send(from, FrameBody::Fetch(Fetch { keys: missing })));
@@ -294,7 +294,7 @@
         // Spread over the fleet, so that it does not compare in step.
         self.next_digest = now + period / 2 + self.random.random_range(0..=period);
         let peers = self.neighbours(now);
-        if !self.is_whole() {
+        if !self.is_complete() {
             for peer in peers {
                 commands.push(send(&peer, FrameBody::Digest(self.digest(false))));
             }
@@ -321,7 +321,7 @@
     let mut part: Vec<Entry> = Vec::new();
     let mut bytes = 0;
     for entry in entries {
-        if bytes + entry.text.len() > ENTRIES_BYTES && !part.is_empty() {
+        if bytes + entry.text.len() > MAX_ENTRIES_BYTES && !part.is_empty() {
             let entries = std::mem::take(&mut part);
             commands.push(send(to, FrameBody::Entries(Entries { entries, push: false })));
             bytes = 0;
--- a/crates/spread/src/gossip.rs
+++ b/crates/spread/src/duplicate_filter.rs
@@ -3,26 +3,26 @@
 use std::collections::{HashSet, VecDeque};
 use std::hash::Hash;
 
-/// The last pieces of news, so that none goes round for ever.
+/// The last pieces of update, so that none goes round for ever.
 #[derive(Debug)]
-pub struct HeardNews<T> {
+pub struct DuplicateFilter<T> {
     known: HashSet<T>,
     order: VecDeque<T>,
     capacity: usize,
 }
 
-impl<T: Clone + Eq + Hash> HeardNews<T> {
+impl<T: Clone + Eq + Hash> DuplicateFilter<T> {
     /// Remembers the last `capacity` pieces.
-    pub fn new(capacity: usize) -> HeardNews<T> {
-        HeardNews { known: HashSet::new(), order: VecDeque::new(), capacity }
+    pub fn new(capacity: usize) -> DuplicateFilter<T> {
+        DuplicateFilter { known: HashSet::new(), order: VecDeque::new(), capacity }
     }
 
-    /// Notes a piece of news; true if it was not heard before.
-    pub fn note(&mut self, news: T) -> bool {
-        if !self.known.insert(news.clone()) {
+    /// Notes a piece of update; true if it was not heard before.
+    pub fn insert(&mut self, update: T) -> bool {
+        if !self.known.insert(update.clone()) {
             return false;
         }
-        self.order.push_back(news);
+        self.order.push_back(update);
         if self.order.len() > self.capacity
             && let Some(oldest) = self.order.pop_front()
         {
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -7,7 +7,7 @@
 //! core is pure; the agent gives it time, messages and a seed.
 
 pub mod core;
-pub mod gossip;
+pub mod duplicate_filter;
 pub mod map;
 pub mod members;
 
--- a/crates/spread/src/members.rs
+++ b/crates/spread/src/members.rs
@@ -13,7 +13,7 @@
 pub const BOX_PREFIX: &str = "box/";
 /// Fleets up to this size pool evidence over all data centres. Larger ones pool
 /// it in each data centre, which there sees enough, and saves the rest its messages.
-pub const SMALL_FLEET: usize = 200;
+pub const MAX_POOLING_FLEET: usize = 200;
 /// Number of boxes that run the outlier detector of a service in the local data centre. The second one covers for the
 /// first while the member list still contains a box that has stopped.
 const LOCAL_DETECTORS: usize = 2;
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct MemberList {
     members: BTreeMap<Arc<str>, MemberValue>,
-    by_centre: BTreeMap<Arc<str>, Vec<Arc<str>>>,
+    by_data_centre: BTreeMap<Arc<str>, Vec<Arc<str>>>,
 }
 
 impl MemberList {
@@ -92,23 +92,24 @@
     }
 
     /// The boxes of one data centre.
-    pub fn of_centre(&self, data_centre: &str) -> &[Arc<str>] {
-        self.by_centre.get(data_centre).map_or(&[], Vec::as_slice)
+    pub fn in_data_centre(&self, data_centre: &str) -> &[Arc<str>] {
+        self.by_data_centre.get(data_centre).map_or(&[], Vec::as_slice)
     }
 
     /// The names of all data centres.
-    pub fn centres(&self) -> impl Iterator<Item = &Arc<str>> {
-        self.by_centre.keys()
+    pub fn data_centres(&self) -> impl Iterator<Item = &Arc<str>> {
+        self.by_data_centre.keys()
     }
 
     /// Returns the boxes that run the outlier detector of `service` for a box in `data_centre`: those of its own data
     /// centre by descending rendezvous weight, then, in a small fleet, one of each other data centre.
     pub fn detectors(&self, service: &str, data_centre: &str) -> Vec<Arc<str>> {
-        let mut detectors = highest(self.of_centre(data_centre), service, LOCAL_DETECTORS);
-        if self.members.len() <= SMALL_FLEET {
-            for (centre, boxes) in &self.by_centre {
+        let mut detectors =
+            highest_ranked(self.in_data_centre(data_centre), service, LOCAL_DETECTORS);
+        if self.members.len() <= MAX_POOLING_FLEET {
+            for (centre, boxes) in &self.by_data_centre {
                 if **centre != *data_centre {
-                    detectors.extend(highest(boxes, service, 1));
+                    detectors.extend(highest_ranked(boxes, service, 1));
                 }
             }
         }
@@ -118,9 +119,9 @@
     /// Whether `identity` is one of its data centre's watchers of the store.
     /// A box that the list does not show yet watches for itself.
     pub fn watches(&self, identity: &BoxIdentity) -> bool {
-        let boxes = self.of_centre(&identity.data_centre);
+        let boxes = self.in_data_centre(&identity.data_centre);
         let known = boxes.contains(&identity.box_id);
-        !known || highest(boxes, "watch the store", WATCHERS).contains(&identity.box_id)
+        !known || highest_ranked(boxes, "watch the store", WATCHERS).contains(&identity.box_id)
     }
 
     /// Boxes that `identity` gossips with: its neighbours on `own` rings of its data
@@ -137,12 +138,12 @@
         all: usize,
     ) -> Vec<Arc<str>> {
         let mut chosen = Vec::new();
-        let mine = self.of_centre(&identity.data_centre);
+        let mine = self.in_data_centre(&identity.data_centre);
         for ring in 0..own {
             ring_neighbours(mine.iter(), identity, ring_seed("own", ring, epoch), &mut chosen);
         }
         for ring in 0..all {
-            let live = self.by_centre.values().flatten();
+            let live = self.by_data_centre.values().flatten();
             ring_neighbours(live, identity, ring_seed("all", ring, epoch), &mut chosen);
         }
         chosen
@@ -151,7 +152,7 @@
     fn add(&mut self, box_id: Arc<str>, member: MemberValue) {
         if member.state == MemberState::Live {
             let centre = Arc::from(member.data_centre.as_str());
-            self.by_centre.entry(centre).or_default().push(box_id.clone());
+            self.by_data_centre.entry(centre).or_default().push(box_id.clone());
         }
         self.members.insert(box_id, member);
     }
@@ -159,7 +160,7 @@
 
 /// The `count` members with the highest weights for `subject` (rendezvous hashing):
 /// all boxes with the same list choose the same, and the loss of a box moves only its part.
-fn highest(members: &[Arc<str>], subject: &str, count: usize) -> Vec<Arc<str>> {
+fn highest_ranked(members: &[Arc<str>], subject: &str, count: usize) -> Vec<Arc<str>> {
     let seed = xxh3_64(subject.as_bytes());
     let weight = |member: &Arc<str>| xxh3_64_with_seed(member.as_bytes(), seed);
     let mut ranked: Vec<(u64, &Arc<str>)> = members.iter().map(|id| (weight(id), id)).collect();
--- a/crates/spread/tests/exchange.rs
+++ b/crates/spread/tests/exchange.rs
@@ -150,11 +150,11 @@
     // The store is away: the new box knows the list from a peer alone.
     network.start_box(3, CENTRES);
     let core = network.cores.get_mut(&id(3)).expect("started");
-    core.set_extra_peers(vec![id(0)]);
-    assert!(!core.is_whole());
+    core.set_seed_peers(vec![id(0)]);
+    assert!(!core.is_complete());
     network.settle(1);
     network.settle(10);
-    assert!(network.cores[&id(3)].is_whole());
+    assert!(network.cores[&id(3)].is_complete());
     assert_eq!(network.holds(3, "policy/p").map(|entry| entry.stamp.generation), Some(7));
 }
 
