--- a/crates/bench/src/steer/cost.rs
+++ b/crates/bench/src/steer/cost.rs
@@ -77,7 +77,7 @@
     });
     let target = |number: usize| SteerTarget {
         id: id(number).into(),
-        born_ms: 0,
+        started_ms: 0,
         address: format!("10.0.{}.{}:1", number / 250, number % 250).into(),
         service: SERVICE.into(),
         data_centre: format!("c{}", number % DATA_CENTRES).into(),
--- a/crates/bench/src/steer/world/mod.rs
+++ b/crates/bench/src/steer/world/mod.rs
@@ -85,7 +85,7 @@
             for number in 0..service_plan.targets {
                 steered.push(SteerTarget {
                     id: format!("t{service}-{number}").into(),
-                    born_ms: 0,
+                    started_ms: 0,
                     address: format!("10.0.{service}.{number}:1").into(),
                     service: format!("s{service}").into(),
                     data_centre: format!("c{}", number % plan.centres).into(),
--- a/crates/decide/src/steer/record.rs
+++ b/crates/decide/src/steer/record.rs
@@ -40,7 +40,7 @@
     /// The name of the instance. A restarted instance may keep its name; it is another incarnation then.
     pub id: Name,
     /// Start of this incarnation in milliseconds since 1970; 0 if it is unknown.
-    pub born_ms: u64,
+    pub started_ms: u64,
     /// The address on which the target listens.
     pub address: Name,
     /// The service to which the target belongs.
@@ -64,7 +64,7 @@
     /// Returns the identity of the target between boxes. It is made of the name and the start of the
     /// incarnation, since addresses are reused.
     pub fn key(&self) -> TargetKey {
-        TargetKey::of_incarnation(&self.id, self.born_ms)
+        TargetKey::of_incarnation(&self.id, self.started_ms)
     }
 }
 
--- a/crates/decide/tests/notices.rs
+++ b/crates/decide/tests/notices.rs
@@ -92,7 +92,7 @@
 }
 
 fn restarts(core: &mut SteerCore) {
-    let speaker = SteerTarget { born_ms: 7, ..target("speaker", "near") };
+    let speaker = SteerTarget { started_ms: 7, ..target("speaker", "near") };
     core.set_targets(at(NOTICE_AT + 100), vec![speaker, target("other", "near")]);
 }
 
--- a/crates/decide/tests/steer.rs
+++ b/crates/decide/tests/steer.rs
@@ -401,15 +401,15 @@
 fn restarted_target_does_not_inherit_failures() {
     let mut core = core();
     let now = at(10_000);
-    let first = SteerTarget { born_ms: 1, ..target("a", "near") };
-    let (old, new) = (first.key(), SteerTarget { born_ms: 2, ..first.clone() }.key());
+    let first = SteerTarget { started_ms: 1, ..target("a", "near") };
+    let (old, new) = (first.key(), SteerTarget { started_ms: 2, ..first.clone() }.key());
     core.set_targets(now, vec![first.clone()]);
     let unknown = core.risk(now, old).expect("listed");
     let bad = PeerSample { bad: 5, ..PeerSample::default() };
     core.merge_peer_sample(now, 9, old, &bad);
     assert!(core.risk(now, old).expect("listed") > 0.5);
     core.record_replaced(old);
-    core.set_targets(now, vec![SteerTarget { born_ms: 2, ..first }]);
+    core.set_targets(now, vec![SteerTarget { started_ms: 2, ..first }]);
     assert_eq!(core.risk(now, old), None, "the earlier incarnation is not listed any more");
     let fresh = core.risk(now, new).expect("listed");
     assert!(fresh <= unknown.max(0.1), "{fresh}");
--- a/crates/decide/tests/steering/mod.rs
+++ b/crates/decide/tests/steering/mod.rs
@@ -47,7 +47,7 @@
 pub fn target(id: &str, data_centre: &str) -> SteerTarget {
     SteerTarget {
         id: id.into(),
-        born_ms: 0,
+        started_ms: 0,
         address: format!("10.0.0.1:{}", 1000 + id.len()).into(),
         service: SERVICE.into(),
         data_centre: data_centre.into(),
--- a/crates/decide/tests/target_keys.rs
+++ b/crates/decide/tests/target_keys.rs
@@ -14,12 +14,12 @@
 #[test]
 fn keys_differ_when_names_and_starts_differ_by_the_same_amount() {
     let mut known: HashMap<TargetKey, (String, u64)> = HashMap::new();
-    for born_ms in 0..64 {
+    for started_ms in 0..64 {
         for number in 0..64 {
             let id = format!("t-{number}");
-            let key = TargetKey::of_incarnation(&id, born_ms);
-            if let Some(other) = known.insert(key, (id.clone(), born_ms)) {
-                panic!("{id} started at {born_ms} has the key of {other:?}");
+            let key = TargetKey::of_incarnation(&id, started_ms);
+            if let Some(other) = known.insert(key, (id.clone(), started_ms)) {
+                panic!("{id} started at {started_ms} has the key of {other:?}");
             }
         }
     }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -364,7 +364,7 @@
             evacuated: cached.evacuated().contains(&target.data_centre),
             cold_rate: cold_rate(&target),
             id: target.id,
-            born_ms: target.born_ms,
+            started_ms: target.started_ms,
             address: target.address,
             service: target.service,
             data_centre: target.data_centre,
--- a/crates/gateway/src/incarnations.rs
+++ b/crates/gateway/src/incarnations.rs
@@ -37,7 +37,7 @@
     /// drained, or is an older incarnation of an instance that was removed.
     pub(crate) fn in_force<'a>(&'a self, listed: &'a TargetEntry) -> Option<&'a TargetEntry> {
         let entry = match self.restarted.get(&listed.id) {
-            Some(newest) if newest.entry.born_ms <= listed.born_ms => listed,
+            Some(newest) if newest.entry.started_ms <= listed.started_ms => listed,
             Some(newest) if newest.is_listed => &newest.entry,
             Some(_) => return None,
             None => listed,
@@ -47,14 +47,14 @@
 
     /// Returns whether this incarnation of the target or a newer one was seen draining.
     pub(crate) fn has_drained(&self, target: &TargetEntry) -> bool {
-        self.drained.get(&target.id).is_some_and(|born_ms| target.born_ms <= *born_ms)
+        self.drained.get(&target.id).is_some_and(|started_ms| target.started_ms <= *started_ms)
     }
 
     /// Records that an incarnation drains. Returns whether that was not recorded before.
     pub(crate) fn record_draining(&mut self, target: &TargetEntry) -> bool {
         let is_new = !self.has_drained(target);
         if is_new {
-            self.drained.insert(target.id.clone(), target.born_ms);
+            self.drained.insert(target.id.clone(), target.started_ms);
         }
         is_new
     }
@@ -66,13 +66,13 @@
         before: Option<&TargetEntry>,
         target: &TargetEntry,
     ) -> bool {
-        let other = before.filter(|before| before.born_ms != target.born_ms);
+        let other = before.filter(|before| before.started_ms != target.started_ms);
         if let Some(newest) = self.restarted.get_mut(&target.id) {
-            if newest.entry.born_ms <= target.born_ms {
+            if newest.entry.started_ms <= target.started_ms {
                 *newest = NewestIncarnation { entry: target.clone(), is_listed: true };
             }
         } else if let Some(before) = other {
-            let newer = if before.born_ms > target.born_ms { before } else { target };
+            let newer = if before.started_ms > target.started_ms { before } else { target };
             let newest = NewestIncarnation { entry: newer.clone(), is_listed: true };
             self.restarted.insert(target.id.clone(), newest);
         }
--- a/crates/gateway/src/target_table.rs
+++ b/crates/gateway/src/target_table.rs
@@ -308,7 +308,7 @@
     }
     hash.update(&target.slots.to_le_bytes());
     hash.update(&[u8::from(target.draining), u8::from(target.is_cold)]);
-    hash.update(&target.born_ms.to_le_bytes());
+    hash.update(&target.started_ms.to_le_bytes());
     hash.digest()
 }
 
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -40,7 +40,7 @@
     /// Whether the target reports that it is still slow after its start.
     pub is_cold: bool,
     /// Start of this incarnation in milliseconds since 1970; 0 if the target does not report it.
-    pub born_ms: u64,
+    pub started_ms: u64,
 }
 
 impl TargetEntry {
@@ -53,7 +53,7 @@
 
     /// Returns the key that identifies this incarnation of the target between boxes.
     pub(crate) fn key(&self) -> TargetKey {
-        TargetKey::of_incarnation(&self.id, self.born_ms)
+        TargetKey::of_incarnation(&self.id, self.started_ms)
     }
 }
 
--- a/crates/gateway/src/view_exchange.rs
+++ b/crates/gateway/src/view_exchange.rs
@@ -219,7 +219,7 @@
         slots: target.slots,
         draining: target.draining,
         cold_ms: millis(view.cold_time(&target.id, Instant::now())),
-        born_ms: target.born_ms,
+        started_ms: target.started_ms,
         is_cold: target.is_cold,
     }
 }
@@ -259,7 +259,7 @@
         slots: record.slots,
         draining: record.draining,
         cold_time: Duration::from_millis(record.cold_ms),
-        born_ms: record.born_ms,
+        started_ms: record.started_ms,
         is_cold: record.is_cold,
     }
 }
--- a/crates/gateway/tests/harness/target.rs
+++ b/crates/gateway/tests/harness/target.rs
@@ -189,7 +189,7 @@
         draining: false,
         cold_time: Duration::ZERO,
         is_cold: false,
-        born_ms: 0,
+        started_ms: 0,
     }
 }
 
--- a/crates/gateway/tests/notices.rs
+++ b/crates/gateway/tests/notices.rs
@@ -315,7 +315,7 @@
         pair.notifier.set_answer_headers("");
         pair.notifier.set_script(Script::Good);
         let entry = &pair.notifier.entry;
-        let same_id = TargetEntry { born_ms: 5, ..entry.clone() };
+        let same_id = TargetEntry { started_ms: 5, ..entry.clone() };
         let same_address = TargetEntry { id: "next".into(), ..entry.clone() };
         for listed in [same_id, same_address] {
             let before = pair.received();
--- a/crates/gateway/tests/view_deltas.rs
+++ b/crates/gateway/tests/view_deltas.rs
@@ -159,9 +159,9 @@
         let mut cached = CachedView::default();
         let mut used: BTreeMap<TargetKey, TargetEntry> = BTreeMap::new();
         for (number, listing) in listings.iter().enumerate() {
-            let target = |(id, (draining, born_ms)): (&u8, &(bool, u64))| TargetEntry {
+            let target = |(id, (draining, started_ms)): (&u8, &(bool, u64))| TargetEntry {
                 draining: *draining,
-                born_ms: *born_ms,
+                started_ms: *started_ms,
                 ..entry(&format!("{id:02}"), "s", "10.0.0.1:80")
             };
             let targets = listing.iter().map(target).collect();
@@ -181,7 +181,7 @@
 }
 
 fn key_of(target: &TargetEntry) -> TargetKey {
-    TargetKey::of_incarnation(&target.id, target.born_ms)
+    TargetKey::of_incarnation(&target.id, target.started_ms)
 }
 
 /// The ages of the listing and of the configuration are independent.
--- a/crates/gateway/tests/views.rs
+++ b/crates/gateway/tests/views.rs
@@ -159,9 +159,9 @@
     );
 }
 
-/// Returns the entry of the incarnation of a target that started at `born_ms`.
-fn incarnation(id: &str, born_ms: u64) -> TargetEntry {
-    TargetEntry { born_ms, ..named(id) }
+/// Returns the entry of the incarnation of a target that started at `started_ms`.
+fn incarnation(id: &str, started_ms: u64) -> TargetEntry {
+    TargetEntry { started_ms, ..named(id) }
 }
 
 fn draining(target: TargetEntry) -> TargetEntry {
@@ -230,18 +230,18 @@
     for case in INCARNATIONS {
         let (mut cached, start) = (CachedView::default(), Instant::now());
         for (number, listed) in case.listed.iter().enumerate() {
-            let entry = |(born_ms, is_draining): &(u64, bool)| {
+            let entry = |(started_ms, is_draining): &(u64, bool)| {
                 if *is_draining {
-                    draining(incarnation("a", *born_ms))
+                    draining(incarnation("a", *started_ms))
                 } else {
-                    incarnation("a", *born_ms)
+                    incarnation("a", *started_ms)
                 }
             };
             let listed: Vec<TargetEntry> = listed.iter().map(entry).collect();
             let at = start + Duration::from_millis(300 * number as u64);
             cached.apply(view(number as u64 + 1, &listed), at, &*port);
         }
-        let used: Vec<u64> = cached.usable(start).iter().map(|target| target.born_ms).collect();
+        let used: Vec<u64> = cached.usable(start).iter().map(|target| target.started_ms).collect();
         assert_eq!(used, case.used.into_iter().collect::<Vec<_>>(), "{}", case.name);
     }
 }
@@ -260,5 +260,5 @@
     );
     assert_eq!((change.targets_changed, change.restarted.len()), (true, 1));
     let delta = cached.delta_from(before).expect("the change is in the history");
-    assert_eq!(delta.changed[0].born_ms, 200);
+    assert_eq!(delta.changed[0].started_ms, 200);
 }
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -220,7 +220,7 @@
             data_centre: format!("centre-{}", index % 2),
             address: relay.address().to_string(),
             slots: SLOTS,
-            born_ms: self.instances,
+            started_ms: self.instances,
         };
         self.store.put_target(&spec, EntryState::Ready, 1);
         Ok(TargetSlot { relay, service, spec, target })
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -441,7 +441,7 @@
     pub cold_ms: u64,
     /// Start of the instance in milliseconds since 1970, by its own clock; 0 if it did not report it.
     #[prost(uint64, tag = "8")]
-    pub born_ms: u64,
+    pub started_ms: u64,
     /// Whether the instance reported that it is still slow after its start.
     #[prost(bool, tag = "9")]
     pub is_cold: bool,
