--- a/crates/demo/src/bin/wingbridge-demo.rs
+++ b/crates/demo/src/bin/wingbridge-demo.rs
@@ -15,7 +15,7 @@
 use wingctl::output::table;
 
 /// Between two looks at the time line.
-const EVENTS_PERIOD: Duration = Duration::from_secs(1);
+const EVENTS_INTERVAL: Duration = Duration::from_secs(1);
 
 fn main() -> ExitCode {
     exit_code("wingbridge-demo", start())
@@ -29,11 +29,11 @@
     start_io_pool(1);
     let mut system = SmallSystem::start(demo_setup())?;
     if !json {
-        introduce(&system);
+        print_addresses(&system);
     }
     if seconds == 0 {
         let stop = stop_on_signals()?;
-        async_std::task::block_on(tell_events(&system, &stop));
+        async_std::task::block_on(print_events(&system, &stop));
         return Ok(Outcome::Done);
     }
     let report = run_experiment(&mut system, seconds.max(4))?;
@@ -46,7 +46,7 @@
 }
 
 /// Prints what happens, as it happens, until the stop.
-async fn tell_events(system: &SmallSystem, stop: &StopSignal) {
+async fn print_events(system: &SmallSystem, stop: &StopSignal) {
     let fleet = system.fleet();
     let mut last = 0;
     while !stop.is_stopped() {
@@ -56,11 +56,11 @@
             last = news.last().map_or(last, |event| event.stamp);
             print!("{}", render_text(&news));
         }
-        let _ = async_std::future::timeout(EVENTS_PERIOD, stop.wait()).await;
+        let _ = async_std::future::timeout(EVENTS_INTERVAL, stop.wait()).await;
     }
 }
 
-fn introduce(system: &SmallSystem) {
+fn print_addresses(system: &SmallSystem) {
     println!("store      {}", system.store_address);
     for one in &system.boxes {
         println!("{:<10} callers {}  agent {}", one.box_id, one.proxy.callers, one.agent.admin);
--- a/crates/demo/src/caller.rs
+++ b/crates/demo/src/caller.rs
@@ -10,7 +10,7 @@
 use wingbridge_http::{HttpError, MessageLimits, MessageReader, ResponseBody};
 
 /// Longest answer that is looked at, in bytes.
-const ANSWER_BYTES: usize = 64 << 20;
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 
 /// A request to make.
 #[derive(Debug, Clone)]
@@ -105,8 +105,8 @@
         };
         writer.write_all(&bytes).await?;
         let limits = MessageLimits {
-            max_body_bytes: ANSWER_BYTES,
-            max_chunked_body_bytes: ANSWER_BYTES,
+            max_body_bytes: MAX_ANSWER_BYTES,
+            max_chunked_body_bytes: MAX_ANSWER_BYTES,
             ..MessageLimits::default()
         };
         let answer = reader.read_response(request.method.as_ref(), &limits).await?;
--- a/crates/demo/src/experiment.rs
+++ b/crates/demo/src/experiment.rs
@@ -17,16 +17,16 @@
 use crate::ledger::CallerLedger;
 use crate::system::SmallSystem;
 
-const CALL_TIME: Duration = Duration::from_secs(20);
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 /// Callers of each kind.
-const BROWSERS: usize = 24;
-const KEEPERS: usize = 6;
-const CLUBS: usize = 2;
+const BROWSING_CALLERS: usize = 24;
+const ORDERING_CALLERS: usize = 6;
+const DOWNLOADING_CALLERS: usize = 2;
 /// Pause of a caller between two requests.
-const THINK: Duration = Duration::from_millis(40);
-const WATCH_STEP: Duration = Duration::from_millis(5);
+const THINK_TIME: Duration = Duration::from_millis(40);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// A target that got nothing for so long is taken to be found failing.
-const QUIET: Duration = Duration::from_millis(700);
+const QUIET_TIME: Duration = Duration::from_millis(700);
 
 /// What the experiment found.
 #[derive(Debug, Clone, Serialize)]
@@ -67,12 +67,12 @@
     let latency = Arc::new(LatencyPair::new());
     let callers = start_callers(system, &entry, &ledger, &latency);
     let quarter = Duration::from_secs(seconds) / 4;
-    let faulty = fault_targets(system);
+    let faulty = choose_fault_targets(system);
     task::block_on(task::sleep(quarter));
     latency.closed.store(true, Ordering::Release);
     let stalled = system.targets[faulty.stalled].handle.clone();
     stalled.set_faults(TargetFaults { stall: true, ..TargetFaults::default() });
-    let detection = task::block_on(watch_quiet(&stalled, quarter));
+    let detection = task::block_on(wait_until_quiet(&stalled, quarter));
     let cut_from = vec![system.boxes[1].box_id.clone()];
     let cut = system.targets[faulty.cut].handle.clone();
     cut.set_faults(TargetFaults { cut_from, ..TargetFaults::default() });
@@ -97,7 +97,7 @@
     cut: usize,
 }
 
-fn fault_targets(system: &SmallSystem) -> FaultTargets {
+fn choose_fault_targets(system: &SmallSystem) -> FaultTargets {
     let service = system.setup.services[0].name;
     let of_service = |index: &usize| system.targets[*index].service == service;
     let mut indices = (0..system.targets.len()).filter(of_service);
@@ -155,7 +155,7 @@
         LatencyPair { proxied: histogram(), direct: histogram(), closed: AtomicBool::new(false) }
     }
 
-    fn note(&self, direct: bool, took: Duration) {
+    fn record(&self, direct: bool, took: Duration) {
         if self.closed.load(Ordering::Acquire) {
             return;
         }
@@ -185,9 +185,9 @@
     let direct: Vec<SocketAddr> =
         system.targets_of(first).iter().skip(2).map(|target| target.address).collect();
     let mut callers = Vec::new();
-    for number in 0..BROWSERS {
+    for number in 0..BROWSING_CALLERS {
         let direct = direct[number % direct.len()];
-        let state = BrowserState {
+        let state = BrowsingCaller {
             entry: Arc::clone(entry),
             ledger: ledger.clone(),
             latency: Arc::clone(latency),
@@ -197,17 +197,17 @@
         };
         callers.push(task::spawn(browse(state)));
     }
-    for number in 0..KEEPERS {
+    for number in 0..ORDERING_CALLERS {
         callers.push(task::spawn(order(Arc::clone(entry), ledger.clone(), routes[1], number)));
     }
     let length = system.setup.services[2].download_bytes;
-    for _ in 0..CLUBS {
+    for _ in 0..DOWNLOADING_CALLERS {
         callers.push(task::spawn(download(Arc::clone(entry), ledger.clone(), routes[2], length)));
     }
     callers
 }
 
-struct BrowserState {
+struct BrowsingCaller {
     entry: Arc<BalancerView>,
     ledger: CallerLedger,
     latency: Arc<LatencyPair>,
@@ -216,7 +216,7 @@
     number: usize,
 }
 
-async fn browse(state: BrowserState) {
+async fn browse(state: BrowsingCaller) {
     let mut proxied = LoadCaller::new(state.entry.pick());
     let mut direct = LoadCaller::new(state.direct);
     let mut count = 0u64;
@@ -227,20 +227,20 @@
             CallerRequest::get(&format!("{}/{count}", state.route)).with("x-token", &token);
         proxied.move_to(state.entry.pick());
         let started = Instant::now();
-        match proxied.call(&request, CALL_TIME).await {
+        match proxied.call(&request, CALL_TIMEOUT).await {
             Ok(answer) => {
-                state.latency.note(false, started.elapsed());
-                state.ledger.note_answer(&token, &answer);
+                state.latency.record(false, started.elapsed());
+                state.ledger.record_answer(&token, &answer);
             }
-            Err(_) => state.ledger.note_cut(),
+            Err(_) => state.ledger.record_cut(),
         }
-        task::sleep(THINK).await;
+        task::sleep(THINK_TIME).await;
         if count.is_multiple_of(4) && !state.latency.closed.load(Ordering::Acquire) {
             // A new connection each time, as moving between boxes makes one.
             direct = LoadCaller::new(state.direct);
             let started = Instant::now();
-            if direct.call(&request, CALL_TIME).await.is_ok() {
-                state.latency.note(true, started.elapsed());
+            if direct.call(&request, CALL_TIMEOUT).await.is_ok() {
+                state.latency.record(true, started.elapsed());
             }
         }
     }
@@ -260,11 +260,11 @@
             body: b"one bunk".to_vec(),
         };
         caller.move_to(entry.pick());
-        match caller.call(&request, CALL_TIME).await {
-            Ok(answer) => ledger.note_order(&name, &answer),
-            Err(_) => ledger.note_cut(),
+        match caller.call(&request, CALL_TIMEOUT).await {
+            Ok(answer) => ledger.record_order(&name, &answer),
+            Err(_) => ledger.record_cut(),
         }
-        task::sleep(THINK).await;
+        task::sleep(THINK_TIME).await;
     }
 }
 
@@ -277,16 +277,16 @@
     let mut caller = LoadCaller::new(entry.pick());
     while !entry.is_stopped() {
         caller.move_to(entry.pick());
-        match caller.call(&CallerRequest::get(route), CALL_TIME).await {
-            Ok(answer) => ledger.note_download(length, &answer),
-            Err(_) => ledger.note_cut(),
+        match caller.call(&CallerRequest::get(route), CALL_TIMEOUT).await {
+            Ok(answer) => ledger.record_download(length, &answer),
+            Err(_) => ledger.record_cut(),
         }
-        task::sleep(THINK * 4).await;
+        task::sleep(THINK_TIME * 4).await;
     }
 }
 
 /// Waits until a target that stalls gets no more requests, and says how long it got some.
-async fn watch_quiet(
+async fn wait_until_quiet(
     target: &wingbridge_standin::TargetHandle,
     most: Duration,
 ) -> Option<Duration> {
@@ -295,13 +295,13 @@
     let mut last = Duration::ZERO;
     let mut found = None;
     while started.elapsed() < most {
-        task::sleep(WATCH_STEP).await;
+        task::sleep(POLL_INTERVAL).await;
         let now = target.log().received;
         if now != received {
             received = now;
             last = started.elapsed();
         }
-        if found.is_none() && started.elapsed() - last > QUIET {
+        if found.is_none() && started.elapsed() - last > QUIET_TIME {
             found = Some(last);
         }
     }
@@ -324,17 +324,17 @@
     detection: Option<Duration>,
     events: &[TraceEvent],
 ) -> ExperimentReport {
-    let tally = ledger.tally();
+    let counts = ledger.counts();
     let audit = ledger.audit(&system.targets);
-    let guilty =
+    let faulty_addresses =
         [faulty.stalled, faulty.cut].map(|index| system.targets[index].address.to_string());
     let ejections = events.iter().filter(|event| event.kind == "target-ejected");
-    let mut false_ones: Vec<(u64, String)> = ejections
+    let mut false_ejections: Vec<(u64, String)> = ejections
         .map(|event| (event.stamp, event.fields.get("target").cloned().unwrap_or_default()))
-        .filter(|(_, target)| !guilty.contains(target))
+        .filter(|(_, target)| !faulty_addresses.contains(target))
         .collect();
-    false_ones.sort();
-    false_ones.dedup();
+    false_ejections.sort();
+    false_ejections.dedup();
     let mut broken = Vec::new();
     let mut check = |holds: bool, what: &str| {
         if !holds {
@@ -344,21 +344,21 @@
     check(audit.doubled == 0, "an order ran twice");
     check(audit.not_run_ran == 0, "an order ran that was said not to have run");
     check(audit.answered_not_ran == 0, "an order was answered that did not run");
-    check(tally.cut == 0, "a request was cut");
-    check(tally.wrong_answer == 0, "an answer was wrong or in part");
+    check(counts.cut == 0, "a request was cut");
+    check(counts.wrong_answer == 0, "an answer was wrong or in part");
     check(detection.is_some(), "the stalled target was not found");
-    check(false_ones.is_empty(), "a healthy target was ejected");
-    check(tally.whole > 0, "nothing was answered");
+    check(false_ejections.is_empty(), "a healthy target was ejected");
+    check(counts.whole > 0, "nothing was answered");
     ExperimentReport {
-        requests: tally.requests,
-        whole: tally.whole,
-        not_run: tally.not_run,
-        unknown: tally.unknown,
+        requests: counts.requests,
+        whole: counts.whole,
+        not_run: counts.not_run,
+        unknown: counts.unknown,
         doubled: audit.doubled,
-        cut: tally.cut,
-        wrong_answer: tally.wrong_answer,
+        cut: counts.cut,
+        wrong_answer: counts.wrong_answer,
         detection_ms: detection.map(|span| span.as_millis() as u64),
-        false_ejections: false_ones.len() as u64,
+        false_ejections: false_ejections.len() as u64,
         added_p50_ms: latency.added(0.5),
         added_p99_ms: latency.added(0.99),
         broken,
--- a/crates/demo/src/ledger.rs
+++ b/crates/demo/src/ledger.rs
@@ -11,7 +11,7 @@
 
 /// Counts of answers.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
-pub struct Tally {
+pub struct AnswerCounts {
     /// Requests made.
     pub requests: u64,
     /// Whole answers of targets.
@@ -34,13 +34,13 @@
 
 #[derive(Debug, Default)]
 struct LedgerState {
-    tally: Tally,
-    orders: BTreeMap<String, OrderWord>,
+    counts: AnswerCounts,
+    orders: BTreeMap<String, ReportedOutcome>,
 }
 
 /// What a caller was told of its order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum OrderWord {
+enum ReportedOutcome {
     Answered,
     NotRun,
     Unknown,
@@ -59,59 +59,59 @@
 
 impl CallerLedger {
     /// Books an answer to a request with `token`.
-    pub fn note_answer(&self, token: &str, answer: &CallerAnswer) {
+    pub fn record_answer(&self, token: &str, answer: &CallerAnswer) {
         let mut state = self.state();
-        state.tally.requests += 1;
+        state.counts.requests += 1;
         match answer.outcome.as_str() {
             "answered" => {
-                state.tally.whole += 1;
-                if answer.status == 200 && !speaks_of(answer, token) {
-                    state.tally.wrong_answer += 1;
+                state.counts.whole += 1;
+                if answer.status == 200 && !repeats_token(answer, token) {
+                    state.counts.wrong_answer += 1;
                 }
             }
-            "not-run" => state.tally.not_run += 1,
-            _ => state.tally.unknown += 1,
+            "not-run" => state.counts.not_run += 1,
+            _ => state.counts.unknown += 1,
         }
     }
 
     /// Books an answer to a download of `length` bytes.
-    pub fn note_download(&self, length: u64, answer: &CallerAnswer) {
+    pub fn record_download(&self, length: u64, answer: &CallerAnswer) {
         let mut state = self.state();
-        state.tally.requests += 1;
+        state.counts.requests += 1;
         match answer.outcome.as_str() {
             "answered" if answer.status == 200 => {
-                state.tally.whole += 1;
+                state.counts.whole += 1;
                 let whole = answer.body.len() as u64 == length
                     && answer.body.iter().zip(0..).all(|(byte, at)| *byte == download_byte(at));
-                state.tally.wrong_answer += u64::from(!whole);
+                state.counts.wrong_answer += u64::from(!whole);
             }
-            "answered" => state.tally.whole += 1,
-            "not-run" => state.tally.not_run += 1,
-            _ => state.tally.unknown += 1,
+            "answered" => state.counts.whole += 1,
+            "not-run" => state.counts.not_run += 1,
+            _ => state.counts.unknown += 1,
         }
     }
 
     /// Books an order that was answered.
-    pub fn note_order(&self, order: &str, answer: &CallerAnswer) {
-        self.note_answer(order, answer);
+    pub fn record_order(&self, order: &str, answer: &CallerAnswer) {
+        self.record_answer(order, answer);
         let word = match answer.outcome.as_str() {
-            "answered" => OrderWord::Answered,
-            "not-run" => OrderWord::NotRun,
-            _ => OrderWord::Unknown,
+            "answered" => ReportedOutcome::Answered,
+            "not-run" => ReportedOutcome::NotRun,
+            _ => ReportedOutcome::Unknown,
         };
         self.state().orders.insert(order.to_string(), word);
     }
 
     /// Books a connection that broke.
-    pub fn note_cut(&self) {
+    pub fn record_cut(&self) {
         let mut state = self.state();
-        state.tally.requests += 1;
-        state.tally.cut += 1;
+        state.counts.requests += 1;
+        state.counts.cut += 1;
     }
 
     /// The counts so far.
-    pub fn tally(&self) -> Tally {
-        self.state().tally.clone()
+    pub fn counts(&self) -> AnswerCounts {
+        self.state().counts.clone()
     }
 
     /// Compares what callers of orders were told with what targets ran.
@@ -123,14 +123,15 @@
             }
         }
         let state = self.state();
-        let told = |word: OrderWord| {
+        let told = |word: ReportedOutcome| {
             let orders = state.orders.iter().filter(move |(_, told)| **told == word);
             orders.map(|(order, _)| ran.get(order).copied().unwrap_or(0))
         };
         OrderAudit {
             doubled: ran.values().filter(|count| **count > 1).count() as u64,
-            not_run_ran: told(OrderWord::NotRun).filter(|count| *count > 0).count() as u64,
-            answered_not_ran: told(OrderWord::Answered).filter(|count| *count == 0).count() as u64,
+            not_run_ran: told(ReportedOutcome::NotRun).filter(|count| *count > 0).count() as u64,
+            answered_not_ran: told(ReportedOutcome::Answered).filter(|count| *count == 0).count()
+                as u64,
         }
     }
 
@@ -140,7 +141,7 @@
 }
 
 /// Whether the answer repeats the request's token, which no other request has.
-fn speaks_of(answer: &CallerAnswer, token: &str) -> bool {
+fn repeats_token(answer: &CallerAnswer, token: &str) -> bool {
     let body: serde_json::Value = match serde_json::from_slice(&answer.body) {
         Ok(body) => body,
         Err(_) => return false,
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -8,5 +8,5 @@
 pub mod system;
 
 pub use caller::LoadCaller;
-pub use ledger::{CallerLedger, Tally};
+pub use ledger::{AnswerCounts, CallerLedger};
 pub use system::{BoxHandle, ServicePlan, SmallSystem, SystemSetup};
--- a/crates/demo/src/system.rs
+++ b/crates/demo/src/system.rs
@@ -20,7 +20,7 @@
 
 /// The secret of demonstration fleets.
 pub const DEMO_KEY: &str = "a demonstration key, not for use";
-const READY_TIME: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A service to set up.
 #[derive(Debug, Clone)]
@@ -82,17 +82,17 @@
     pub proxy: ProxyAddresses,
     /// Cuts its agent off from others.
     pub cuts: LinkFaults,
-    agent_run: Option<RunningPart>,
-    proxy_run: Option<RunningPart>,
+    agent_run: Option<RunningComponent>,
+    proxy_run: Option<RunningComponent>,
 }
 
 #[derive(Debug)]
-struct RunningPart {
+struct RunningComponent {
     stop: StopHandle,
     thread: JoinHandle<eyre::Result<Outcome>>,
 }
 
-impl RunningPart {
+impl RunningComponent {
     fn end(self) -> eyre::Result<Outcome> {
         self.stop.stop();
         self.thread.join().map_err(|_| eyre!("a part ended by a broken invariant"))?
@@ -172,8 +172,8 @@
     pub fn stop_box(&mut self, index: usize) -> eyre::Result<()> {
         let mut leaving = self.boxes.remove(index);
         self.list_box(&leaving.box_id, &leaving.data_centre, &leaving.agent, "leaving");
-        let proxy = leaving.proxy_run.take().map(RunningPart::end).transpose()?;
-        leaving.agent_run.take().map(RunningPart::end).transpose()?;
+        let proxy = leaving.proxy_run.take().map(RunningComponent::end).transpose()?;
+        leaving.agent_run.take().map(RunningComponent::end).transpose()?;
         self.list_box(&leaving.box_id, &leaving.data_centre, &leaving.agent, "gone");
         eyre::ensure!(proxy != Some(Outcome::CheckFailed), "{} cut a request", leaving.box_id);
         Ok(())
@@ -185,7 +185,7 @@
     /// It ended badly.
     pub fn stop_agent(&mut self, index: usize) -> eyre::Result<()> {
         let agent = self.boxes[index].agent_run.take();
-        agent.map(RunningPart::end).transpose()?;
+        agent.map(RunningComponent::end).transpose()?;
         Ok(())
     }
 
@@ -277,7 +277,7 @@
         box_id: &str,
         data_centre: &str,
         cuts: &LinkFaults,
-    ) -> eyre::Result<(AgentAddresses, RunningPart)> {
+    ) -> eyre::Result<(AgentAddresses, RunningComponent)> {
         let settings = AgentSettings {
             box_id: box_id.to_string(),
             data_centre: data_centre.to_string(),
@@ -293,7 +293,7 @@
             log_level: "off".into(),
         };
         let cuts = cuts.clone();
-        start_part(&format!("{box_id} agent"), move |stop, started| {
+        start_component(&format!("{box_id} agent"), move |stop, started| {
             wingbridge_agent::run_with(&settings, stop, &cuts, started)
         })
     }
@@ -303,7 +303,7 @@
         box_id: &str,
         data_centre: &str,
         agent: SocketAddr,
-    ) -> eyre::Result<(ProxyAddresses, RunningPart)> {
+    ) -> eyre::Result<(ProxyAddresses, RunningComponent)> {
         let settings = ProxySettings {
             box_id: box_id.to_string(),
             data_centre: data_centre.to_string(),
@@ -322,7 +322,7 @@
             io_threads: 1,
             log_level: "off".into(),
         };
-        start_part(&format!("{box_id} proxy"), move |stop, started| {
+        start_component(&format!("{box_id} proxy"), move |stop, started| {
             wingbridge_proxy::run(&settings, stop, started)
         })
     }
@@ -339,19 +339,19 @@
     }
 }
 
-fn start_part<A: Send + 'static>(
+fn start_component<A: Send + 'static>(
     name: &str,
     run: impl FnOnce(&wingbridge_process::StopSignal, Box<dyn FnOnce(A)>) -> eyre::Result<Outcome>
     + Send
     + 'static,
-) -> eyre::Result<(A, RunningPart)> {
+) -> eyre::Result<(A, RunningComponent)> {
     let (stop, signal) = stop_channel();
     let (sender, addresses) = mpsc::channel();
     let thread = thread::Builder::new()
         .name(name.to_string())
         .spawn(move || run(&signal, Box::new(move |address| drop(sender.send(address)))))?;
     match addresses.recv() {
-        Ok(address) => Ok((address, RunningPart { stop, thread })),
+        Ok(address) => Ok((address, RunningComponent { stop, thread })),
         Err(_) => {
             let result = thread.join().map_err(|_| eyre!("{name} ended by a broken invariant"))?;
             Err(result.err().unwrap_or_else(|| eyre!("{name} ended before it started")))
@@ -388,7 +388,7 @@
             task::sleep(Duration::from_millis(20)).await;
         }
     };
-    Ok(async_std::future::timeout(READY_TIME, ready).await?)
+    Ok(async_std::future::timeout(READY_TIMEOUT, ready).await?)
 }
 
 fn any_port() -> SocketAddr {
--- a/crates/demo/tests/failures.rs
+++ b/crates/demo/tests/failures.rs
@@ -13,7 +13,7 @@
 use wingbridge_store::StoredValue;
 use wingctl::overrides;
 
-use crate::small::{CALL_TIME, Load, eventually, kept_out_everywhere, small_system};
+use crate::small::{CALL_TIMEOUT, Load, eventually, excluded_everywhere, small_system};
 
 const POLICY: &str = "fn plan(request) { route(\"availability\").repeatable().attempts(3) }";
 
@@ -25,12 +25,12 @@
     system.store.set_faults(StoreFaults { outage: true, ..StoreFaults::default() });
     let target = system.targets_of("availability")[0].clone();
     target.handle.set_faults(TargetFaults { stall: true, ..TargetFaults::default() });
-    eventually("ejected everywhere", || kept_out_everywhere(&system, &target.address.to_string()));
+    eventually("ejected everywhere", || excluded_everywhere(&system, &target.address.to_string()));
     // It comes back by real requests alone: nobody tells the boxes that it is well.
     target.handle.set_faults(TargetFaults::default());
-    eventually("back everywhere", || !kept_out_everywhere(&system, &target.address.to_string()));
-    let tally = load.stop();
-    assert_eq!((tally.cut, tally.wrong_answer), (0, 0), "{tally:?}");
+    eventually("back everywhere", || !excluded_everywhere(&system, &target.address.to_string()));
+    let counts = load.stop();
+    assert_eq!((counts.cut, counts.wrong_answer), (0, 0), "{counts:?}");
 }
 
 #[test]
@@ -41,7 +41,7 @@
     system.wait_ready().expect("its peers tell it all");
     let mut caller = LoadCaller::new(system.boxes[2].proxy.callers);
     let request = CallerRequest::get("/availability/1").with("x-token", "t");
-    let answer = task::block_on(caller.call(&request, CALL_TIME)).expect("an answer");
+    let answer = task::block_on(caller.call(&request, CALL_TIMEOUT)).expect("an answer");
     assert_eq!((answer.status, answer.outcome.as_str()), (200, "answered"));
 }
 
@@ -60,8 +60,8 @@
         load.wait_for(150);
         received() == before
     });
-    let tally = load.stop();
-    assert_eq!((tally.cut, tally.wrong_answer), (0, 0), "{tally:?}");
+    let counts = load.stop();
+    assert_eq!((counts.cut, counts.wrong_answer), (0, 0), "{counts:?}");
 }
 
 #[test]
@@ -77,8 +77,8 @@
     }
     load.wait_for(150);
     let audit = load.audit(&system);
-    let tally = load.stop();
-    assert_eq!((tally.cut, tally.wrong_answer), (0, 0), "{tally:?}");
+    let counts = load.stop();
+    assert_eq!((counts.cut, counts.wrong_answer), (0, 0), "{counts:?}");
     assert_eq!((audit.doubled, audit.not_run_ran, audit.answered_not_ran), (0, 0, 0));
 }
 
@@ -92,7 +92,7 @@
     let callers = system.boxes[0].proxy.callers;
     let in_flight = task::spawn(async move {
         let request = CallerRequest { method: Method::Post, ..CallerRequest::get("/orders") };
-        LoadCaller::new(callers).call(&request.with("x-token", "t"), CALL_TIME).await
+        LoadCaller::new(callers).call(&request.with("x-token", "t"), CALL_TIMEOUT).await
     });
     let received =
         || system.targets_of("orders").iter().any(|target| target.handle.log().received > 0);
@@ -181,9 +181,9 @@
             headers: vec![("x-order", name.clone()), ("x-token", name.clone())],
             body: b"one bunk".to_vec(),
         };
-        let answer = task::block_on(caller.call(&request, CALL_TIME)).expect("an answer");
+        let answer = task::block_on(caller.call(&request, CALL_TIMEOUT)).expect("an answer");
         unknown += usize::from(answer.outcome == "unknown");
-        ledger.note_order(&name, &answer);
+        ledger.record_order(&name, &answer);
     }
     let audit = ledger.audit(&system.targets);
     assert!(unknown > 0);
@@ -202,14 +202,14 @@
     let ledger = CallerLedger::default();
     let mut caller = LoadCaller::new(system.boxes[0].proxy.callers);
     for _ in 0..6 {
-        match task::block_on(caller.call(&CallerRequest::get("/download"), CALL_TIME)) {
-            Ok(answer) => ledger.note_download(length, &answer),
-            Err(_) => ledger.note_cut(),
+        match task::block_on(caller.call(&CallerRequest::get("/download"), CALL_TIMEOUT)) {
+            Ok(answer) => ledger.record_download(length, &answer),
+            Err(_) => ledger.record_cut(),
         }
     }
-    let tally = ledger.tally();
-    assert_eq!(tally.wrong_answer, 0, "{tally:?}");
-    assert!(tally.whole >= 4, "{tally:?}");
+    let counts = ledger.counts();
+    assert_eq!(counts.wrong_answer, 0, "{counts:?}");
+    assert!(counts.whole >= 4, "{counts:?}");
 }
 
 #[test]
@@ -241,8 +241,8 @@
         load.wait_for(200);
         received() == before
     });
-    let tally = load.stop();
-    assert_eq!((tally.cut, tally.wrong_answer, tally.unknown), (0, 0, 0), "{tally:?}");
+    let counts = load.stop();
+    assert_eq!((counts.cut, counts.wrong_answer, counts.unknown), (0, 0, 0), "{counts:?}");
 }
 
 #[test]
@@ -271,10 +271,10 @@
     let changer = system.changer();
     let report = task::block_on(overrides::set_override(&changer, "availability", &target, eject));
     assert_eq!(report.expect("accepted").in_force, 2);
-    eventually("kept out", || kept_out_everywhere(&system, &target));
+    eventually("kept out", || excluded_everywhere(&system, &target));
     let report = task::block_on(overrides::set_override(&changer, "availability", &target, None));
     assert_eq!(report.expect("accepted").in_force, 2);
-    eventually("back", || !kept_out_everywhere(&system, &target));
+    eventually("back", || !excluded_everywhere(&system, &target));
 }
 
 #[test]
--- a/crates/demo/tests/programs/mod.rs
+++ b/crates/demo/tests/programs/mod.rs
@@ -67,7 +67,7 @@
 
 /// A box's proxy, as a caller and the balancer see it.
 #[derive(Debug, Clone, Copy)]
-pub struct ProxyPlace {
+pub struct BoxEndpoints {
     pub callers: SocketAddr,
     pub admin: SocketAddr,
 }
@@ -78,7 +78,7 @@
     pub targets: Vec<Program>,
     pub agents: Vec<Program>,
     pub proxies: Vec<std::cell::RefCell<Program>>,
-    places: Vec<ProxyPlace>,
+    places: Vec<BoxEndpoints>,
 }
 
 impl ProgramFleet {
@@ -115,7 +115,7 @@
         let proxy = [common.to_vec(), vec![place, "--leave-ms=100".into()]].concat();
         let proxy = Program::start("wingbridge-proxy", &proxy);
         let place =
-            ProxyPlace { callers: proxy.address("callers="), admin: proxy.address("admin=") };
+            BoxEndpoints { callers: proxy.address("callers="), admin: proxy.address("admin=") };
         self.places.push(place);
         self.agents.push(agent);
         self.proxies.push(std::cell::RefCell::new(proxy));
@@ -141,7 +141,7 @@
         self.store.address("")
     }
 
-    pub fn proxies(&self) -> &[ProxyPlace] {
+    pub fn proxies(&self) -> &[BoxEndpoints] {
         &self.places
     }
 
@@ -179,7 +179,7 @@
         child.wait().expect("it ends").code()
     }
 
-    pub fn wait_ready(&self, place: &ProxyPlace) {
+    pub fn wait_ready(&self, place: &BoxEndpoints) {
         let client = HttpClient::new(&place.admin.to_string(), Duration::from_secs(5));
         while !matches!(task::block_on(client.get("/ready")), Ok(reply) if reply.status == 200) {
             thread::sleep(Duration::from_millis(10));
--- a/crates/demo/tests/separate_processes.rs
+++ b/crates/demo/tests/separate_processes.rs
@@ -11,7 +11,7 @@
 
 use crate::programs::ProgramFleet;
 
-const CALL_TIME: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[test]
 fn a_request_goes_from_caller_to_target_and_back() {
@@ -23,14 +23,14 @@
         fleet.wait_ready(proxy);
         let mut caller = LoadCaller::new(proxy.callers);
         let request = CallerRequest::get("/huts/7?bed=2").with("x-token", "t-1");
-        let answer = task::block_on(caller.call(&request, CALL_TIME)).expect("an answer");
+        let answer = task::block_on(caller.call(&request, CALL_TIMEOUT)).expect("an answer");
         assert_eq!(answer.status, 200);
         assert_eq!(answer.outcome, "answered");
         let body: serde_json::Value = serde_json::from_slice(&answer.body).expect("JSON");
         assert_eq!(body["path"], "/huts/7");
         assert_eq!(body["token"], "t-1");
         let missing = CallerRequest { method: Method::Get, ..CallerRequest::get("/nowhere") };
-        let answer = task::block_on(caller.call(&missing, CALL_TIME)).expect("an answer");
+        let answer = task::block_on(caller.call(&missing, CALL_TIMEOUT)).expect("an answer");
         assert_eq!((answer.status, answer.outcome.as_str()), (404, "not-run"));
     }
     fleet.stop_proxy_as_planned(0);
@@ -55,7 +55,7 @@
     let mut ask = |number: usize| {
         let token = format!("t-{number}");
         let request = CallerRequest::get("/huts/1").with("x-token", token.as_str());
-        let answer = task::block_on(caller.call(&request, CALL_TIME)).expect("an answer");
+        let answer = task::block_on(caller.call(&request, CALL_TIMEOUT)).expect("an answer");
         if answer.outcome == "answered" {
             let body: serde_json::Value = serde_json::from_slice(&answer.body).expect("JSON");
             assert_eq!(body["token"], token, "somebody else's answer");
--- a/crates/demo/tests/small/mod.rs
+++ b/crates/demo/tests/small/mod.rs
@@ -11,13 +11,13 @@
 use wingbridge_demo::caller::CallerRequest;
 use wingbridge_demo::ledger::OrderAudit;
 use wingbridge_demo::settings::demo_setup;
-use wingbridge_demo::{CallerLedger, LoadCaller, SmallSystem, SystemSetup, Tally};
+use wingbridge_demo::{AnswerCounts, CallerLedger, LoadCaller, SmallSystem, SystemSetup};
 use wingctl::boxes::TargetView;
 use wingctl::fleet::BoxReply;
 
-pub const CALL_TIME: Duration = Duration::from_secs(30);
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 /// Nothing here takes this long; what does never comes.
-const NEVER: Duration = Duration::from_secs(90);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(90);
 const CALLERS: usize = 12;
 
 pub fn small_system(boxes: usize) -> SmallSystem {
@@ -29,7 +29,7 @@
 pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
     let started = Instant::now();
     while !holds() {
-        assert!(started.elapsed() < NEVER, "never came: {what}");
+        assert!(started.elapsed() < EVENT_TIMEOUT, "never came: {what}");
         thread::sleep(Duration::from_millis(20));
     }
 }
@@ -44,7 +44,7 @@
 }
 
 /// Whether all boxes send a target nothing.
-pub fn kept_out_everywhere(system: &SmallSystem, target: &str) -> bool {
+pub fn excluded_everywhere(system: &SmallSystem, target: &str) -> bool {
     let out =
         |views: &Vec<TargetView>| views.iter().any(|view| view.target == target && view.excluded);
     targets_of_all(system).iter().all(out)
@@ -67,7 +67,7 @@
             callers: Vec::new(),
         };
         for number in 0..CALLERS {
-            let call = call_on(
+            let call = run_caller(
                 number,
                 load.ledger.clone(),
                 Arc::clone(&load.stopped),
@@ -85,24 +85,24 @@
 
     /// Waits until so many more requests have ended.
     pub fn wait_for(&self, requests: u64) {
-        let wanted = self.ledger.tally().requests + requests;
-        eventually("requests", || self.ledger.tally().requests >= wanted);
+        let wanted = self.ledger.counts().requests + requests;
+        eventually("requests", || self.ledger.counts().requests >= wanted);
     }
 
     pub fn audit(&self, system: &SmallSystem) -> OrderAudit {
         self.ledger.audit(&system.targets)
     }
 
-    pub fn stop(self) -> Tally {
+    pub fn stop(self) -> AnswerCounts {
         self.stopped.store(true, Ordering::Release);
         for caller in self.callers {
             task::block_on(caller);
         }
-        self.ledger.tally()
+        self.ledger.counts()
     }
 }
 
-async fn call_on(
+async fn run_caller(
     number: usize,
     ledger: CallerLedger,
     stopped: Arc<AtomicBool>,
@@ -125,10 +125,10 @@
             request.path = "/orders".into();
             request.headers.push(("x-order", name.clone()));
         }
-        match caller.call(&request, CALL_TIME).await {
-            Ok(answer) if order => ledger.note_order(&name, &answer),
-            Ok(answer) => ledger.note_answer(&name, &answer),
-            Err(_) => ledger.note_cut(),
+        match caller.call(&request, CALL_TIMEOUT).await {
+            Ok(answer) if order => ledger.record_order(&name, &answer),
+            Ok(answer) => ledger.record_answer(&name, &answer),
+            Err(_) => ledger.record_cut(),
         }
         task::sleep(Duration::from_millis(5)).await;
     }
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: requests over connections that they keep until the process is gone.
+//! Callers, which make requests over connections that they may use until the box's process has ended.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,136 +11,140 @@
 use rand::{Rng, SeedableRng};
 use wingbridge_platform_standins::{AnswerCheck, check_answer};
 
-use crate::fleet::{BoxPlace, is_ready};
+use crate::environment::{HOST, KEY};
+use crate::fleet::{BoxLocation, is_ready};
 use crate::lock;
-use crate::plan::DeadlyRound;
-use crate::world::{HOST, KEY};
+use crate::plan::PoisonRound;
 
-/// Time that a caller waits for its answer.
-const CALLER_TIME: Duration = Duration::from_secs(5);
-/// Time for a connection to come up.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
-/// Pause of a caller between two requests, on average.
-const PAUSE: Duration = Duration::from_millis(150);
-/// Time between two questions of the balancer, and how long it waits.
-const BALANCER_PERIOD: Duration = Duration::from_secs(1);
-const BALANCER_TIME: Duration = Duration::from_millis(500);
-/// Share of requests that their caller gives up early, and after how long.
-const GIVE_UP_SHARE: f64 = 0.02;
-const GIVE_UP_AFTER: Duration = Duration::from_millis(20);
-/// Share of requests that go on a connection kept from the one before.
-const KEEP_SHARE: f64 = 0.6;
+/// Time that a caller waits for an answer.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Average pause of a caller between two requests.
+const MEAN_PAUSE: Duration = Duration::from_millis(150);
+/// Interval at which the balancer checks the readiness of a box.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Time that the balancer waits for the answer to a readiness check.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
+/// Share of requests whose caller hangs up early.
+const HANG_UP_SHARE: f64 = 0.02;
+/// Time after which these callers hang up.
+const HANG_UP_DELAY: Duration = Duration::from_millis(20);
+/// Probability that a caller reuses its connection for the next request.
+const KEEP_ALIVE_SHARE: f64 = 0.6;
 
-/// How a request ended for its caller.
+/// How a request ended for its caller. Reports contain the `Debug` form.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallerEnd {
-    /// An answer of this status; a success is checked to be whole and the request's own.
+    /// An answer with this status came. A success is checked to be complete and to belong to the
+    /// request.
     Answered(u16, AnswerCheck),
-    /// The connection closed without a whole answer.
+    /// The connection closed without a complete answer.
     Closed,
-    /// No connection came up, or it closed before the request was sent.
+    /// No connection was established, or it closed before the request was sent.
     NotSent,
-    /// The caller closed its connection on purpose.
+    /// The caller hung up on purpose.
     GivenUp,
-    /// No answer came in the caller's time.
+    /// No complete answer came within the caller's timeout.
     TimedOut,
 }
 
-/// One request, as its caller saw it.
+/// A request as its caller observed it.
 #[derive(Debug, Clone)]
 pub struct CallerRecord {
-    /// Its id, which begins with the index of the box that took it.
+    /// Id of the request, which begins with the index of the box that received it.
     pub id: String,
-    /// The box that took it.
+    /// Index of the box that received it.
     pub index: usize,
-    /// Its path.
+    /// Path of the request.
     pub path: String,
-    /// When its last byte was sent.
+    /// When the last byte was sent.
     pub sent: Instant,
-    /// When it ended.
+    /// When the request ended.
     pub ended: Instant,
-    /// How.
+    /// How the request ended.
     pub end: CallerEnd,
 }
 
-/// A request on a connection of its own, of which the status alone counts.
+/// A request on a connection of its own, of whose answer only the status is used.
 #[derive(Debug)]
 pub struct RawRequest {
-    /// Where it goes.
+    /// Address to which the request is sent.
     pub address: SocketAddr,
-    /// Its whole head.
+    /// Complete head of the request.
     pub head: String,
-    /// Until when an answer counts.
-    pub until: Instant,
+    /// Time by which the answer must be complete.
+    pub deadline: Instant,
 }
 
 impl RawRequest {
-    /// Sends it; returns the status of the answer, if one comes.
+    /// Sends the request and returns the status of the answer, if a complete one comes in time.
     pub fn status(&self) -> Option<u16> {
         let mut connection = Connection::open(self.address)?;
         connection.stream.write_all(self.head.as_bytes()).ok()?;
-        match connection.read_answer(self.until) {
-            ReadEnd::Answer(answer) => Some(answer.status),
-            ReadEnd::Closed | ReadEnd::TimedOut => None,
+        match connection.read_answer(self.deadline) {
+            ReadOutcome::Answer(answer) => Some(answer.status),
+            ReadOutcome::Closed | ReadOutcome::TimedOut => None,
         }
     }
 }
 
-/// Callers at work, with a balancer that tells them which boxes are in.
+/// Running callers, and a balancer that selects the boxes to which they connect.
 #[derive(Debug)]
-pub struct CallerCrowd {
-    shared: Arc<CrowdShared>,
+pub struct CallerPool {
+    shared: Arc<PoolState>,
     threads: Vec<JoinHandle<()>>,
 }
 
 #[derive(Debug)]
-struct CrowdShared {
-    places: Vec<BoxPlace>,
+struct PoolState {
+    locations: Vec<BoxLocation>,
     ready: Vec<AtomicBool>,
     records: Mutex<Vec<CallerRecord>>,
     numbers: AtomicU64,
     stopped: AtomicBool,
 }
 
-impl CallerCrowd {
-    /// Starts `count` callers of the boxes at `places`.
+impl CallerPool {
+    /// Starts `count` callers of the boxes at `locations`, and one caller per poison round.
     pub fn start(
-        places: &[BoxPlace],
+        locations: &[BoxLocation],
         count: usize,
         seed: u64,
-        deadly: &[DeadlyRound],
-    ) -> CallerCrowd {
-        let shared = Arc::new(CrowdShared {
-            places: places.to_vec(),
-            ready: places.iter().map(|_| AtomicBool::new(true)).collect(),
+        poison_rounds: &[PoisonRound],
+    ) -> CallerPool {
+        let shared = Arc::new(PoolState {
+            locations: locations.to_vec(),
+            ready: locations.iter().map(|_| AtomicBool::new(true)).collect(),
             records: Mutex::default(),
             numbers: AtomicU64::new(0),
             stopped: AtomicBool::new(false),
         });
         let mut threads = Vec::new();
-        for index in 0..places.len() {
+        for index in 0..locations.len() {
             let balancer = Arc::clone(&shared);
-            threads.push(thread::spawn(move || balance(index, &balancer)));
+            threads.push(thread::spawn(move || run_health_checks(index, &balancer)));
         }
         for number in 0..count as u64 {
             let caller = Arc::clone(&shared);
             let random = StdRng::seed_from_u64(seed ^ (number << 32));
-            threads.push(thread::spawn(move || call(random, &caller)));
+            threads.push(thread::spawn(move || run_caller(random, &caller)));
         }
-        for (number, round) in deadly.iter().enumerate() {
+        for (number, round) in poison_rounds.iter().enumerate() {
             let (caller, round) = (Arc::clone(&shared), round.clone());
             let random = StdRng::seed_from_u64(!seed ^ ((number as u64) << 32));
-            threads.push(thread::spawn(move || call_deadly(random, &caller, &round)));
+            threads.push(thread::spawn(move || run_poison_caller(random, &caller, &round)));
         }
-        CallerCrowd { shared, threads }
+        CallerPool { shared, threads }
     }
 
-    /// Requests that have ended so far.
+    /// Returns the number of requests that have ended so far.
     pub fn ended(&self) -> usize {
         lock(&self.shared.records).len()
     }
 
-    /// Share of the last `count` repeatable requests that were answered well.
+    /// Returns the share of the last `count` repeatable requests that got a complete and correct
+    /// answer of status 200.
     pub fn served_share(&self, count: usize) -> f64 {
         let records = lock(&self.shared.records);
         let reads = records.iter().rev().filter(|record| record.path.starts_with("/read/"));
@@ -150,7 +154,7 @@
         served as f64 / last.len().max(1) as f64
     }
 
-    /// Ends all callers; returns what they saw.
+    /// Stops all callers and returns the records of their requests.
     pub fn finish(self) -> Vec<CallerRecord> {
         self.shared.stopped.store(true, Ordering::Release);
         for thread in self.threads {
@@ -160,37 +164,44 @@
     }
 }
 
-/// Asks a box each second; two misses take it out, as at the users' balancer.
-fn balance(index: usize, shared: &CrowdShared) {
-    let mut misses = 0;
+/// Checks the readiness of a box each second. Two failed checks in a row exclude it, as with the
+/// users' balancer.
+fn run_health_checks(index: usize, shared: &PoolState) {
+    let mut failed_checks = 0;
     while !shared.stopped.load(Ordering::Acquire) {
-        misses = if is_ready(&shared.places[index], BALANCER_TIME) { 0 } else { misses + 1 };
-        shared.ready[index].store(misses < 2, Ordering::Release);
-        thread::sleep(BALANCER_PERIOD);
+        failed_checks = if is_ready(&shared.locations[index], HEALTH_CHECK_TIMEOUT) {
+            0
+        } else {
+            failed_checks + 1
+        };
+        shared.ready[index].store(failed_checks < 2, Ordering::Release);
+        thread::sleep(HEALTH_CHECK_INTERVAL);
     }
 }
 
-fn call(mut random: StdRng, shared: &CrowdShared) {
-    let mut kept: Option<(usize, Connection)> = None;
+fn run_caller(mut random: StdRng, shared: &PoolState) {
+    let mut reusable: Option<(usize, Connection)> = None;
     while !shared.stopped.load(Ordering::Acquire) {
-        let (index, connection) = match kept.take() {
+        let (index, connection) = match reusable.take() {
             Some((index, connection)) => (index, Some(connection)),
             None => {
                 let index = choose_box(&mut random, shared);
-                (index, Connection::open(shared.places[index].callers()))
+                (index, Connection::open(shared.locations[index].callers()))
             }
         };
         let number = shared.numbers.fetch_add(1, Ordering::Relaxed);
         let request = draw_request(&mut random, index, number);
         let (record, connection) = send(request, connection);
         lock(&shared.records).push(record);
-        kept = connection.filter(|_| random.random_bool(KEEP_SHARE)).map(|held| (index, held));
-        thread::sleep(PAUSE.mul_f64(2.0 * random.random::<f64>()));
+        reusable = connection
+            .filter(|_| random.random_bool(KEEP_ALIVE_SHARE))
+            .map(|connection| (index, connection));
+        thread::sleep(MEAN_PAUSE.mul_f64(2.0 * random.random::<f64>()));
     }
 }
 
-/// Asks for a deadly request, at one box after the other.
-fn call_deadly(mut random: StdRng, shared: &CrowdShared, round: &DeadlyRound) {
+/// Makes a poison request repeatedly, at a random box each time.
+fn run_poison_caller(mut random: StdRng, shared: &PoolState, round: &PoisonRound) {
     thread::sleep(round.at);
     let until = Instant::now() + round.time;
     while !shared.stopped.load(Ordering::Acquire) && Instant::now() < until {
@@ -202,19 +213,19 @@
             path: round.path.clone(),
             method: if round.path.starts_with("/order/") { "POST" } else { "GET" },
             body: "",
-            gives_up: round.hangs_up,
+            hangs_up: round.hangs_up,
         };
-        let (record, _) = send(request, Connection::open(shared.places[index].callers()));
+        let (record, _) = send(request, Connection::open(shared.locations[index].callers()));
         lock(&shared.records).push(record);
         thread::sleep(round.pause);
     }
 }
 
-fn choose_box(random: &mut StdRng, shared: &CrowdShared) -> usize {
+fn choose_box(random: &mut StdRng, shared: &PoolState) -> usize {
     let ready = |index: &usize| shared.ready[*index].load(Ordering::Acquire);
-    let ready: Vec<usize> = (0..shared.places.len()).filter(ready).collect();
+    let ready: Vec<usize> = (0..shared.locations.len()).filter(ready).collect();
     match ready.is_empty() {
-        true => random.random_range(0..shared.places.len()),
+        true => random.random_range(0..shared.locations.len()),
         false => ready[random.random_range(0..ready.len())],
     }
 }
@@ -225,7 +236,7 @@
     path: String,
     method: &'static str,
     body: &'static str,
-    gives_up: bool,
+    hangs_up: bool,
 }
 
 fn draw_request(random: &mut StdRng, index: usize, number: u64) -> CallerRequest {
@@ -240,7 +251,7 @@
         path: format!("/{kind}/{number}"),
         method,
         body,
-        gives_up: random.random_bool(GIVE_UP_SHARE),
+        hangs_up: random.random_bool(HANG_UP_SHARE),
     }
 }
 
@@ -248,7 +259,7 @@
     request: CallerRequest,
     connection: Option<Connection>,
 ) -> (CallerRecord, Option<Connection>) {
-    let CallerRequest { id, index, path, method, body, gives_up } = request;
+    let CallerRequest { id, index, path, method, body, hangs_up } = request;
     let head = request_head(&id, method, &path, body.len());
     let record = |sent: Instant, end: CallerEnd| CallerRecord {
         id: id.clone(),
@@ -265,29 +276,29 @@
         return (record(Instant::now(), CallerEnd::NotSent), None);
     }
     let sent = Instant::now();
-    if gives_up {
-        thread::sleep(GIVE_UP_AFTER);
+    if hangs_up {
+        thread::sleep(HANG_UP_DELAY);
         drop(connection);
         return (record(sent, CallerEnd::GivenUp), None);
     }
-    match connection.read_answer(sent + CALLER_TIME) {
-        ReadEnd::Closed => (record(sent, CallerEnd::Closed), None),
-        ReadEnd::TimedOut => (record(sent, CallerEnd::TimedOut), None),
-        ReadEnd::Answer(answer) => {
+    match connection.read_answer(sent + CALLER_TIMEOUT) {
+        ReadOutcome::Closed => (record(sent, CallerEnd::Closed), None),
+        ReadOutcome::TimedOut => (record(sent, CallerEnd::TimedOut), None),
+        ReadOutcome::Answer(answer) => {
             let check = match answer.status {
                 200 => check_answer(&id, &path, &answer.headers, &answer.body),
                 _ => AnswerCheck::Whole,
             };
             let end = CallerEnd::Answered(answer.status, check);
-            let kept = (!answer.closes()).then_some(connection);
-            (record(sent, end), kept)
+            let reusable = (!answer.closes()).then_some(connection);
+            (record(sent, end), reusable)
         }
     }
 }
 
-/// The head of a request that names its id and its caller's time.
+/// Returns the head of a request, with its id, its caller's deadline and the API key.
 pub fn request_head(id: &str, method: &str, path: &str, length: usize) -> String {
-    let millis = CALLER_TIME.as_millis();
+    let millis = CALLER_TIMEOUT.as_millis();
     let length = match length {
         0 => String::new(),
         length => format!("Content-Length: {length}\r\n"),
@@ -314,7 +325,7 @@
     }
 }
 
-enum ReadEnd {
+enum ReadOutcome {
     Answer(Answer),
     Closed,
     TimedOut,
@@ -323,27 +334,27 @@
 #[derive(Debug)]
 struct Connection {
     stream: TcpStream,
-    ahead: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl Connection {
     fn open(address: SocketAddr) -> Option<Connection> {
-        let stream = TcpStream::connect_timeout(&address, CONNECT_TIME).ok()?;
+        let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()?;
         stream.set_nodelay(true).ok()?;
-        Some(Connection { stream, ahead: Vec::new() })
+        Some(Connection { stream, buffer: Vec::new() })
     }
 
-    fn read_answer(&mut self, until: Instant) -> ReadEnd {
+    fn read_answer(&mut self, deadline: Instant) -> ReadOutcome {
         let end = loop {
-            if let Some(end) = self.ahead.windows(4).position(|window| window == b"\r\n\r\n") {
+            if let Some(end) = self.buffer.windows(4).position(|window| window == b"\r\n\r\n") {
                 break end;
             }
-            if let Some(end) = self.read_more(until) {
+            if let Some(end) = self.read_more(deadline) {
                 return end;
             }
         };
-        let head = String::from_utf8_lossy(&self.ahead[..end]).into_owned();
-        self.ahead.drain(..end + 4);
+        let head = String::from_utf8_lossy(&self.buffer[..end]).into_owned();
+        self.buffer.drain(..end + 4);
         let mut lines = head.lines();
         let status = lines.next().and_then(|line| line.split(' ').nth(1)?.parse().ok());
         let pairs = lines.filter_map(|line| line.split_once(':'));
@@ -352,34 +363,36 @@
             .collect();
         let mut answer = Answer { status: status.unwrap_or(0), headers, body: Vec::new() };
         let length = answer.header("content-length").and_then(|text| text.parse::<usize>().ok());
-        // Boxes hold answers of these sizes whole, and so always tell their length.
+        // Boxes buffer answers of these sizes completely, so they always state their length.
         let Some(length) = length else {
-            return ReadEnd::Closed;
+            return ReadOutcome::Closed;
         };
-        while self.ahead.len() < length {
-            if let Some(end) = self.read_more(until) {
+        while self.buffer.len() < length {
+            if let Some(end) = self.read_more(deadline) {
                 return end;
             }
         }
-        answer.body = self.ahead.drain(..length).collect();
-        ReadEnd::Answer(answer)
+        answer.body = self.buffer.drain(..length).collect();
+        ReadOutcome::Answer(answer)
     }
 
-    /// Reads some bytes; returns how the reading ended if none come.
-    fn read_more(&mut self, until: Instant) -> Option<ReadEnd> {
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() || self.stream.set_read_timeout(Some(left)).is_err() {
-            return Some(ReadEnd::TimedOut);
+    /// Reads more bytes into the buffer. Returns how the read ended if there are none.
+    fn read_more(&mut self, deadline: Instant) -> Option<ReadOutcome> {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() || self.stream.set_read_timeout(Some(remaining)).is_err() {
+            return Some(ReadOutcome::TimedOut);
         }
         let mut chunk = [0; 16 << 10];
         match self.stream.read(&mut chunk) {
-            Ok(0) => Some(ReadEnd::Closed),
+            Ok(0) => Some(ReadOutcome::Closed),
             Ok(count) => {
-                self.ahead.extend_from_slice(&chunk[..count]);
+                self.buffer.extend_from_slice(&chunk[..count]);
                 None
             }
-            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => Some(ReadEnd::TimedOut),
-            Err(_) => Some(ReadEnd::Closed),
+            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {
+                Some(ReadOutcome::TimedOut)
+            }
+            Err(_) => Some(ReadOutcome::Closed),
         }
     }
 }
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,8 +1,8 @@
-//! The promises, held against what callers and targets saw.
+//! Checks the promises against what callers and targets observed.
 //!
-//! Bounds on times hold for boxes that were in touch, as the users' pages define it, and
-//! are stretched by how late this program itself was woken, so that a busy machine makes
-//! no false finding.
+//! Time bounds apply to boxes that were connected, which means undisturbed for `CONNECTED_AFTER`.
+//! They are extended in proportion to the lateness of this program's own threads, so that a busy
+//! machine causes no false violations.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -10,81 +10,86 @@
 use wingbridge_platform_standins::{AnswerCheck, Arrival, NoticeRecord, POISON_PATH};
 
 use crate::callers::{CallerEnd, CallerRecord};
+use crate::environment::{CUSTOMER, ConfigHistory, ROUTE_TIMEOUT, service_of};
 use crate::fleet::RETRY_SLACK;
 use crate::limits::above_limit;
-use crate::notices::{after_word, sent_in_rest};
+use crate::notices::{sent_during_backoff, sent_to_draining};
 use crate::report::Violation;
 use crate::spans::{SpanLog, SpanScope};
-use crate::world::{CUSTOMER, ConfigBoard, ROUTE_TIME, service_of};
 
-/// A target that leaves gets no new work after this long, and a configuration is in force.
-/// Source: the users' pages.
-pub(crate) const CHANGE_TIME: Duration = Duration::from_secs(2);
-/// A box counts as in touch after so long without a disturbance. Source: the users' pages.
-const CONTACT: Duration = Duration::from_secs(3);
-/// Handling by an older configuration is excused for so long after a newer one was seen.
-const BACK: Duration = Duration::from_millis(250);
-/// A connection that closes within this of a request's last byte crossed it on its way.
-const LOSS_SLACK: Duration = Duration::from_millis(200);
-/// A caller's hang-up reaches the target within this.
-const GONE_TIME: Duration = Duration::from_millis(500);
-/// A request is answered within this after its route's time.
-const HELD_TIME: Duration = Duration::from_millis(500);
-/// Requests of callers that have gone, which may still arrive. Source: "a few".
-const GONE_MOST: usize = 3;
-/// Sends of a request that may reach targets once so many have ended under it, and boxes had the time
-/// to tell each other. Source: the users' pages.
-const SENDS_AFTER: usize = 3;
-const ENDED_BEFORE: usize = 3;
-/// Retries for each request, and the window in which both count. Source: the users' pages.
-const RETRY_RATIO: f64 = 0.2;
+/// Time after which a target that leaves must get no new work, and after which a new configuration
+/// must be in force.
+pub(crate) const MAX_CHANGE_TIME: Duration = Duration::from_secs(2);
+/// Time without a disturbance after which a box counts as connected.
+const CONNECTED_AFTER: Duration = Duration::from_secs(3);
+/// Time for which requests may still be handled by an older configuration after a newer one was
+/// observed.
+const REVERT_GRACE: Duration = Duration::from_millis(250);
+/// Time after a request's last byte within which the closing of its connection counts as having
+/// crossed the request on the network.
+const CROSSING_TIME: Duration = Duration::from_millis(200);
+/// Time within which a caller's hang-up must reach the target.
+const HANG_UP_TIME: Duration = Duration::from_millis(500);
+/// Time beyond its route's timeout within which a request must be answered.
+const ANSWER_GRACE: Duration = Duration::from_millis(500);
+/// Maximum number of requests per run that may still reach targets after their callers hung up. The
+/// promise allows "a few".
+const MAX_AFTER_HANG_UP: usize = 3;
+/// Maximum number of times that a poison request may reach targets after [`POISON_THRESHOLD`] of
+/// them have ended and the boxes had time to report it to each other.
+const MAX_SENDS_AFTER: usize = 3;
+/// Number of targets that end before a request has to count as a poison request.
+const POISON_THRESHOLD: usize = 3;
+/// Maximum number of retries per request.
+const MAX_RETRY_RATIO: f64 = 0.2;
+/// Time window in which requests and retries are counted.
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
 
-/// A question which configuration is in force at a box.
+/// A probe of a box for the configuration that is in force there.
 #[derive(Debug, Clone)]
 pub struct ProbeRecord {
-    /// Its id.
+    /// Request id of the probe.
     pub id: String,
-    /// The box.
+    /// Index of the box.
     pub index: usize,
-    /// The number of its life.
-    pub life: u32,
-    /// The version whose route was asked for: the newest one then.
+    /// Number of the box's incarnation.
+    pub incarnation: u32,
+    /// The version whose route was requested, which was the newest one at that time.
     pub version: u32,
-    /// When it was asked.
-    pub asked: Instant,
-    /// When the answer came.
+    /// When the probe was sent.
+    pub sent: Instant,
+    /// When the answer was complete.
     pub ended: Instant,
-    /// The status.
+    /// Status of the answer.
     pub status: u16,
 }
 
-/// All that a run saw.
+/// All observations of a run.
 #[derive(Debug)]
 pub struct SoakEvidence {
-    /// Callers' requests.
+    /// Requests of callers.
     pub records: Vec<CallerRecord>,
-    /// What reached targets.
+    /// Requests that reached targets.
     pub arrivals: Vec<Arrival>,
-    /// What targets said of themselves in answers.
+    /// Notices of targets in their answers.
     pub notices: Vec<NoticeRecord>,
-    /// Questions for the configuration.
+    /// Probes for the configuration in force.
     pub probes: Vec<ProbeRecord>,
-    /// Targets that left, and when that was acknowledged.
+    /// Targets that were marked as draining or removed, and when the store acknowledged it.
     pub departures: Vec<(String, Instant)>,
-    /// Configurations.
-    pub board: ConfigBoard,
-    /// Disturbances.
+    /// Acknowledged configurations.
+    pub config_history: ConfigHistory,
+    /// Disturbances of boxes and of the store.
     pub spans: SpanLog,
-    /// What bounds are stretched by.
+    /// Time by which bounds are extended.
     pub margin: Duration,
-    /// Processes that ended on their own, or did not.
-    pub strays: Vec<String>,
-    /// Whether all was served again in time after the last fault.
+    /// Processes that ended unexpectedly or did not end in time when they were stopped.
+    pub process_faults: Vec<String>,
+    /// Whether service recovered in time after the last fault.
     pub recovered: bool,
 }
 
-/// Checks all promises.
+/// Checks all promises and returns those that were broken.
 pub fn check_all(evidence: &SoakEvidence) -> Vec<Violation> {
     let runs = runs_of(&evidence.arrivals);
     let not_recovered = match evidence.recovered {
@@ -95,20 +100,32 @@
         Violation::of("an order runs once at most", run_twice(evidence, &runs), 0),
         Violation::of("what is refused has not run", refused_and_run(evidence, &runs), 0),
         Violation::of("a success is the target's whole answer", wrong_answers(evidence), 0),
-        Violation::of("targets get what callers sent, at the right service", unasked(evidence), 0),
-        Violation::of("targets are told the customer and no key", unnamed(evidence), 0),
-        Violation::of("a planned stop cuts nothing", lost(evidence), 0),
+        Violation::of(
+            "targets get what callers sent, at the right service",
+            unexpected_arrivals(evidence),
+            0,
+        ),
+        Violation::of("targets are told the customer and no key", wrong_credentials(evidence), 0),
+        Violation::of("a planned stop cuts nothing", cut_requests(evidence), 0),
         Violation::of("a request is answered in its time", held_too_long(evidence), 0),
-        Violation::of("a leaving target gets no new work", late_at_leaving(evidence), 0),
-        Violation::of("a target that says that it leaves is left alone", after_word(evidence), 0),
-        Violation::of("a target that asks for rest gets it", sent_in_rest(evidence), 0),
+        Violation::of("a leaving target gets no new work", ran_after_departure(evidence), 0),
+        Violation::of(
+            "a target that says that it leaves is left alone",
+            sent_to_draining(evidence),
+            0,
+        ),
+        Violation::of("a target that asks for rest gets it", sent_during_backoff(evidence), 0),
         Violation::of("a target that names a limit gets no more", above_limit(evidence), 0),
         Violation::of("a configuration is in force in time", late_config(evidence), 0),
-        Violation::of("a configuration never reverts", reverted(evidence), 0),
-        Violation::of("a hang-up cancels", after_hang_up(evidence), GONE_MOST),
-        Violation::of("retries stay within the budget", over_budget(evidence), 0),
-        Violation::of("a request under which targets end reaches few more", deadly(evidence), 0),
-        Violation::of("processes run until they are stopped", evidence.strays.clone(), 0),
+        Violation::of("a configuration never reverts", reverted_config(evidence), 0),
+        Violation::of("a hang-up cancels", arrived_after_hang_up(evidence), MAX_AFTER_HANG_UP),
+        Violation::of("retries stay within the budget", retries_over_budget(evidence), 0),
+        Violation::of(
+            "a request under which targets end reaches few more",
+            poison_over_limit(evidence),
+            0,
+        ),
+        Violation::of("processes run until they are stopped", evidence.process_faults.clone(), 0),
         Violation::of("service returns after faults", not_recovered, 0),
     ];
     found.into_iter().flatten().collect()
@@ -135,7 +152,7 @@
     ran.map(|record| format!("{} {:?}", record.id, record.end)).collect()
 }
 
-/// Whether an answer promises that the request has not run and will not.
+/// Returns whether an answer promises that the request has not run and will not run.
 pub fn is_refusal(end: CallerEnd) -> bool {
     matches!(end, CallerEnd::Answered(408 | 421 | 429 | 503, _))
 }
@@ -143,70 +160,73 @@
 fn wrong_answers(evidence: &SoakEvidence) -> Vec<String> {
     let wrong = |record: &&CallerRecord| {
         matches!(record.end, CallerEnd::Answered(_, AnswerCheck::Wrong))
-            // A 404 is a box's own, and callers ask for what every configuration has.
+            // Only boxes answer 404, and callers request routes that every configuration has.
             || matches!(record.end, CallerEnd::Answered(0 | 400..=407 | 409..=420, _))
     };
     evidence.records.iter().filter(wrong).map(describe).collect()
 }
 
-fn unasked(evidence: &SoakEvidence) -> Vec<String> {
+fn unexpected_arrivals(evidence: &SoakEvidence) -> Vec<String> {
     let mut known: HashMap<&str, &str> = HashMap::new();
     known.extend(evidence.records.iter().map(|record| (record.id.as_str(), record.path.as_str())));
     let probes: HashSet<&str> = evidence.probes.iter().map(|probe| probe.id.as_str()).collect();
-    let odd = evidence.arrivals.iter().filter(|arrival| {
+    let unexpected = evidence.arrivals.iter().filter(|arrival| {
         let path = arrival.line.split(' ').nth(1).unwrap_or_default();
-        // Probes that were not answered left no record; their ids tell them.
-        let probe = arrival.request.starts_with('p') || probes.contains(arrival.request.as_str());
-        let asked = known.get(arrival.request.as_str()).is_some_and(|asked| *asked == path);
-        (!asked && !probe) || (arrival.ran && service_of(path) != arrival.service)
+        // Probes without an answer left no record; they are recognized by their ids.
+        let is_probe =
+            arrival.request.starts_with('p') || probes.contains(arrival.request.as_str());
+        let requested = known.get(arrival.request.as_str()).is_some_and(|sent| *sent == path);
+        (!requested && !is_probe) || (arrival.ran && service_of(path) != arrival.service)
     });
-    odd.map(|arrival| format!("{} {} at {}", arrival.request, arrival.line, arrival.service))
+    unexpected
+        .map(|arrival| format!("{} {} at {}", arrival.request, arrival.line, arrival.service))
         .collect()
 }
 
-/// Requests that ran without their customer's name, or that showed a target a key.
-fn unnamed(evidence: &SoakEvidence) -> Vec<String> {
+/// Finds requests that reached a target without the name of their customer or with an API key.
+fn wrong_credentials(evidence: &SoakEvidence) -> Vec<String> {
     let named = |arrival: &&Arrival| arrival.customer.as_deref() == Some(CUSTOMER);
-    let odd = evidence.arrivals.iter().filter(|arrival| !named(arrival) || arrival.has_key);
-    odd.map(|arrival| format!("{} at {}", arrival.request, arrival.target)).collect()
+    let wrong = evidence.arrivals.iter().filter(|arrival| !named(arrival) || arrival.has_key);
+    wrong.map(|arrival| format!("{} at {}", arrival.request, arrival.target)).collect()
 }
 
-fn lost(evidence: &SoakEvidence) -> Vec<String> {
+fn cut_requests(evidence: &SoakEvidence) -> Vec<String> {
     let arrived: HashSet<&str> =
         evidence.arrivals.iter().map(|arrival| arrival.request.as_str()).collect();
     let closed = evidence.records.iter().filter(|record| record.end == CallerEnd::Closed);
     let lost = closed.filter(|record| {
         let crossed = !arrived.contains(record.id.as_str())
-            && record.ended - record.sent <= LOSS_SLACK + evidence.margin;
+            && record.ended - record.sent <= CROSSING_TIME + evidence.margin;
         !crossed && was_undisturbed(evidence, record)
     });
     lost.map(describe).collect()
 }
 
 fn held_too_long(evidence: &SoakEvidence) -> Vec<String> {
-    let most = ROUTE_TIME + HELD_TIME + evidence.margin;
-    let long = evidence.records.iter().filter(|record| record.ended - record.sent > most);
+    let max_time = ROUTE_TIMEOUT + ANSWER_GRACE + evidence.margin;
+    let long = evidence.records.iter().filter(|record| record.ended - record.sent > max_time);
     let long = long.filter(|record| was_undisturbed(evidence, record));
     long.map(describe).collect()
 }
 
-/// Whether nothing unplanned disturbed a request's box from a while before it until its end.
+/// Returns whether nothing except planned stops disturbed the box of a request, from
+/// [`CONNECTED_AFTER`] before the request until its end.
 fn was_undisturbed(evidence: &SoakEvidence, record: &CallerRecord) -> bool {
-    let from = record.sent.checked_sub(CONTACT).unwrap_or(record.sent);
-    !evidence.spans.touches(&SpanScope::Box(record.index), from, record.ended)
+    let from = record.sent.checked_sub(CONNECTED_AFTER).unwrap_or(record.sent);
+    !evidence.spans.overlaps(&SpanScope::Box(record.index), from, record.ended)
 }
 
-fn late_at_leaving(evidence: &SoakEvidence) -> Vec<String> {
+fn ran_after_departure(evidence: &SoakEvidence) -> Vec<String> {
     let mut cases = Vec::new();
     for (target, acknowledged) in &evidence.departures {
-        let until = *acknowledged + CHANGE_TIME + evidence.margin;
+        let until = *acknowledged + MAX_CHANGE_TIME + evidence.margin;
         let late = evidence
             .arrivals
             .iter()
             .filter(|arrival| arrival.ran && arrival.target == *target && arrival.at > until);
         for arrival in late {
             let Some(index) = box_of(&arrival.request) else { continue };
-            if evidence.spans.in_touch(index, *acknowledged, arrival.at, CONTACT) {
+            if evidence.spans.was_connected(index, *acknowledged, arrival.at, CONNECTED_AFTER) {
                 let after = (arrival.at - *acknowledged).as_millis();
                 cases.push(format!("{} at {target} {after} ms after it left", arrival.request));
             }
@@ -217,32 +237,32 @@
 
 fn late_config(evidence: &SoakEvidence) -> Vec<String> {
     let late = evidence.probes.iter().filter(|probe| {
-        let Some(acknowledged) = evidence.board.acknowledged(probe.version) else {
+        let Some(acknowledged) = evidence.config_history.acknowledged(probe.version) else {
             return false;
         };
         probe.status == 404
-            && probe.asked > acknowledged + CHANGE_TIME + evidence.margin
-            && evidence.spans.in_touch(probe.index, acknowledged, probe.ended, CONTACT)
+            && probe.sent > acknowledged + MAX_CHANGE_TIME + evidence.margin
+            && evidence.spans.was_connected(probe.index, acknowledged, probe.ended, CONNECTED_AFTER)
             && !replaced_meanwhile(evidence, probe)
     });
     late.map(|probe| format!("box {} lacks version {}", probe.index, probe.version)).collect()
 }
 
-fn reverted(evidence: &SoakEvidence) -> Vec<String> {
+fn reverted_config(evidence: &SoakEvidence) -> Vec<String> {
     let mut seen: HashMap<(usize, u32), (u32, Instant)> = HashMap::new();
     let mut cases = Vec::new();
     for probe in &evidence.probes {
-        let life = (probe.index, probe.life);
+        let incarnation = (probe.index, probe.incarnation);
         if probe.status == 200 {
-            let newest = seen.entry(life).or_insert((probe.version, probe.ended));
+            let newest = seen.entry(incarnation).or_insert((probe.version, probe.ended));
             if probe.version > newest.0 {
                 *newest = (probe.version, probe.ended);
             }
         }
-        let Some((version, at)) = seen.get(&life) else { continue };
+        let Some((version, at)) = seen.get(&incarnation) else { continue };
         let reverts = probe.status == 404
             && probe.version <= *version
-            && probe.asked > *at + BACK + evidence.margin
+            && probe.sent > *at + REVERT_GRACE + evidence.margin
             && !replaced_meanwhile(evidence, probe);
         if reverts {
             cases.push(format!("box {} is back before version {version}", probe.index));
@@ -251,32 +271,38 @@
     cases
 }
 
-/// Whether two newer versions came while the question was asked: the route is gone then.
+/// Returns whether two newer versions were acknowledged before the probe ended, as its route no
+/// longer exists then.
 fn replaced_meanwhile(evidence: &SoakEvidence, probe: &ProbeRecord) -> bool {
-    let later = evidence.board.acknowledged(probe.version + 2);
+    let later = evidence.config_history.acknowledged(probe.version + 2);
     later.is_some_and(|later| later <= probe.ended + evidence.margin)
 }
 
-fn after_hang_up(evidence: &SoakEvidence) -> Vec<String> {
-    let gone = evidence.records.iter().filter(|record| record.end == CallerEnd::GivenUp);
-    let gone: HashMap<&str, &CallerRecord> =
-        gone.map(|record| (record.id.as_str(), record)).collect();
+fn arrived_after_hang_up(evidence: &SoakEvidence) -> Vec<String> {
+    let hung_up = evidence.records.iter().filter(|record| record.end == CallerEnd::GivenUp);
+    let hung_up: HashMap<&str, &CallerRecord> =
+        hung_up.map(|record| (record.id.as_str(), record)).collect();
     let late = evidence.arrivals.iter().filter(|arrival| {
-        gone.get(arrival.request.as_str()).is_some_and(|record| {
-            arrival.at > record.ended + GONE_TIME + evidence.margin
-                && evidence.spans.in_touch(record.index, record.sent, arrival.at, CONTACT)
+        hung_up.get(arrival.request.as_str()).is_some_and(|record| {
+            arrival.at > record.ended + HANG_UP_TIME + evidence.margin
+                && evidence.spans.was_connected(
+                    record.index,
+                    record.sent,
+                    arrival.at,
+                    CONNECTED_AFTER,
+                )
         })
     });
     late.map(|arrival| arrival.request.clone()).collect()
 }
 
-fn over_budget(evidence: &SoakEvidence) -> Vec<String> {
+fn retries_over_budget(evidence: &SoakEvidence) -> Vec<String> {
     let mut requests: HashMap<&str, Vec<Instant>> = HashMap::new();
     for record in &evidence.records {
         requests.entry(service_of(&record.path)).or_default().push(record.sent);
     }
     for probe in &evidence.probes {
-        requests.entry("reads").or_default().push(probe.asked);
+        requests.entry("reads").or_default().push(probe.sent);
     }
     let mut firsts = HashSet::new();
     let mut repeats: HashMap<&str, Vec<Instant>> = HashMap::new();
@@ -287,15 +313,15 @@
     }
     let mut cases = Vec::new();
     for (service, times) in repeats {
-        let asked = requests.remove(service).unwrap_or_default();
+        let sent = requests.remove(service).unwrap_or_default();
         let within = |times: &[Instant], from: Instant| {
             times.iter().filter(|at| **at >= from && **at < from + RETRY_WINDOW).count()
         };
         let over = times.iter().find_map(|from| {
             let earlier = [Duration::ZERO, RETRY_WINDOW / 2, RETRY_WINDOW];
             let earlier = earlier.iter().filter_map(|before| from.checked_sub(*before));
-            let most = earlier.map(|from| within(&asked, from)).max().unwrap_or(0);
-            let allowed = RETRY_RATIO * most as f64 + f64::from(RETRY_SLACK);
+            let max_requests = earlier.map(|from| within(&sent, from)).max().unwrap_or(0);
+            let allowed = MAX_RETRY_RATIO * max_requests as f64 + f64::from(RETRY_SLACK);
             let count = within(&times, *from);
             (count as f64 > allowed)
                 .then(|| format!("{service}: {count} repeats, {allowed:.0} allowed"))
@@ -305,8 +331,9 @@
     cases
 }
 
-/// Requests that reached targets long after three had ended under them, more often than they may.
-fn deadly(evidence: &SoakEvidence) -> Vec<String> {
+/// Finds poison requests that reached targets more than [`MAX_SENDS_AFTER`] times once
+/// [`POISON_THRESHOLD`] targets had ended and the boxes had time to report it to each other.
+fn poison_over_limit(evidence: &SoakEvidence) -> Vec<String> {
     let mut by_path: HashMap<&str, Vec<&Arrival>> = HashMap::new();
     for arrival in evidence.arrivals.iter().filter(|arrival| arrival.line.contains(POISON_PATH)) {
         by_path.entry(arrival.line.as_str()).or_default().push(arrival);
@@ -314,21 +341,23 @@
     let mut cases = Vec::new();
     for (line, arrivals) in by_path {
         let mut runs = arrivals.iter().filter(|arrival| arrival.ran).map(|arrival| arrival.at);
-        let Some(third) = runs.nth(ENDED_BEFORE - 1) else { continue };
-        let known = third + CONTACT + evidence.margin;
+        let Some(threshold_run) = runs.nth(POISON_THRESHOLD - 1) else { continue };
+        let reported_by = threshold_run + CONNECTED_AFTER + evidence.margin;
         let late = arrivals.iter().filter(|arrival| {
-            let in_touch = |index| evidence.spans.in_touch(index, arrival.at, arrival.at, CONTACT);
-            arrival.at > known && box_of(&arrival.request).is_some_and(in_touch)
+            let was_connected = |index| {
+                evidence.spans.was_connected(index, arrival.at, arrival.at, CONNECTED_AFTER)
+            };
+            arrival.at > reported_by && box_of(&arrival.request).is_some_and(was_connected)
         });
         let late = late.count();
-        if late > SENDS_AFTER {
+        if late > MAX_SENDS_AFTER {
             cases.push(format!("{line}: {late} sends of {} later than that", arrivals.len()));
         }
     }
     cases
 }
 
-/// The box that took a request, by its id.
+/// Returns the index of the box that received a request, which the request's id contains.
 pub(crate) fn box_of(request: &str) -> Option<usize> {
     request.split_once('-')?.0.parse().ok()
 }
--- a/crates/soak/src/driver.rs
+++ b/crates/soak/src/driver.rs
@@ -1,4 +1,4 @@
-//! Carries out a plan: begins each fault at its time, and ends it.
+//! Executes a fault plan: begins and ends each fault at its time and supervises the boxes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,30 +8,31 @@
 
 use wingbridge_platform_standins::{StoreMode, TargetMode};
 
-use crate::fleet::{BoxProcess, BoxSetup, STOP_TIME};
+use crate::environment::SoakEnvironment;
+use crate::fleet::{BoxProcess, BoxSetup, STOP_TIMEOUT};
 use crate::plan::{FaultPlan, PlannedFault};
 use crate::relay::RelayMode;
 use crate::spans::{SpanLog, SpanScope};
-use crate::starvation::{STARVED_FROM, StarvationWatch};
-use crate::world::SoakWorld;
+use crate::starvation::{STARVATION_THRESHOLD, StarvationMonitor};
 
-/// Time between two looks at what is due.
-const STEP: Duration = Duration::from_millis(10);
-/// Time between two looks at how long boxes waited for a processor.
-const STARVATION_PERIOD: Duration = Duration::from_millis(100);
-/// A killed or stopped process is started again after this long.
-const RESTART_AFTER: Duration = Duration::from_millis(500);
-/// A process that has not ended so long after its time is killed.
-const OVERTIME: Duration = Duration::from_millis(1500);
-/// A target that said that it leaves serves on for this long. Source: the users' pages,
-/// 2 s and a little longer.
-const SERVES_ON: Duration = Duration::from_millis(3500);
-/// An address is used again after this long. Source: the users' pages.
-const REUSE_AFTER: Duration = Duration::from_secs(2);
-/// The entry of a target that ended without a word goes after this long: three heartbeats.
-const LAPSE_AFTER: Duration = Duration::from_millis(4500);
+/// Interval at which due steps and the processes of boxes are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval at which the time that boxes waited for a processor is measured.
+const STARVATION_INTERVAL: Duration = Duration::from_millis(100);
+/// Time after which a killed or stopped process is started again.
+const RESTART_DELAY: Duration = Duration::from_millis(500);
+/// Time beyond [`STOP_TIMEOUT`] after which a process that has not ended is killed.
+const KILL_GRACE: Duration = Duration::from_millis(1500);
+/// Time for which a target continues to serve after it announced that it is draining. Targets must
+/// do so for 2 s; this is a little longer.
+const DRAINING_TIME: Duration = Duration::from_millis(3500);
+/// Time after which the address of a target that has ended may be used by another one.
+const ADDRESS_REUSE_DELAY: Duration = Duration::from_secs(2);
+/// Time after which the entry of a target that ended without an announcement is removed: three
+/// heartbeats.
+const ENTRY_LAPSE_DELAY: Duration = Duration::from_millis(4500);
 
-/// What is to be done at some time.
+/// A scheduled step. Its `Debug` form is written to the event trace.
 #[derive(Debug, Clone, Copy)]
 enum DriverStep {
     Begin(PlannedFault),
@@ -48,7 +49,7 @@
     ReplaceTarget(usize, bool),
 }
 
-/// What a box's process is doing.
+/// The state of a box's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BoxState {
     Running,
@@ -56,163 +57,166 @@
     Down { span: usize },
 }
 
-/// The numbers of the boxes' lives, for whoever asks them. Clones share them.
+/// The numbers of the current incarnations of all boxes; 0 while a box does not run. Clones share
+/// them.
 #[derive(Debug, Clone)]
-pub struct LifeCounts {
-    lives: Arc<[AtomicU32]>,
+pub struct CurrentIncarnations {
+    incarnations: Arc<[AtomicU32]>,
 }
 
-impl LifeCounts {
-    /// The number of a box's life, or `None` while it does not run.
+impl CurrentIncarnations {
+    /// Returns the number of the incarnation of box `index`, or `None` while it does not run.
     pub fn of(&self, index: usize) -> Option<u32> {
-        Some(self.lives[index].load(Ordering::Acquire)).filter(|life| *life > 0)
+        Some(self.incarnations[index].load(Ordering::Acquire))
+            .filter(|incarnation| *incarnation > 0)
     }
 }
 
-/// Boxes and world under a plan.
+/// Executes a plan on the boxes and their environment.
 #[derive(Debug)]
 pub struct FaultDriver {
     setup: BoxSetup,
     boxes: Vec<BoxProcess>,
     states: Vec<BoxState>,
-    /// Spans of boxes that stand still.
+    /// Numbers of the spans of boxes that are suspended.
     pauses: Vec<Option<usize>>,
-    lives: LifeCounts,
-    world: SoakWorld,
+    incarnations: CurrentIncarnations,
+    environment: SoakEnvironment,
     spans: SpanLog,
-    agenda: BTreeMap<(Duration, u64), DriverStep>,
-    steps: u64,
-    began: Instant,
-    /// What was done, each with its time.
-    pub time_line: Vec<String>,
-    /// The longest time that the machine kept a box from running within one look.
-    pub longest_wait: Duration,
-    starvation: StarvationWatch,
-    looked: Instant,
-    /// Processes that ended when nobody wanted them to, or did not when they should.
-    pub strays: Vec<String>,
+    schedule: BTreeMap<(Duration, u64), DriverStep>,
+    step_count: u64,
+    started: Instant,
+    /// Executed steps and observed events, each with its time.
+    pub event_trace: Vec<String>,
+    /// Longest time that a thread of a box waited for a processor between two measurements.
+    pub longest_cpu_wait: Duration,
+    starvation: StarvationMonitor,
+    last_starvation_check: Instant,
+    /// Processes that ended unexpectedly or did not end in time when they were stopped.
+    pub process_faults: Vec<String>,
 }
 
 impl FaultDriver {
     /// Starts all boxes.
     ///
     /// # Errors
-    /// A process or a relay can't be started.
+    /// Returns an error if a process or a relay can't be started.
     pub fn start(
         setup: BoxSetup,
-        world: SoakWorld,
+        environment: SoakEnvironment,
         spans: SpanLog,
     ) -> std::io::Result<FaultDriver> {
-        let count = setup.places.len();
+        let count = setup.locations.len();
         let mut boxes = Vec::with_capacity(count);
         for index in 0..count {
             let mut process = BoxProcess::new(&setup, index)?;
             process.start(&setup)?;
             boxes.push(process);
         }
-        let lives = LifeCounts { lives: (0..count).map(|_| AtomicU32::new(1)).collect() };
+        let incarnations =
+            CurrentIncarnations { incarnations: (0..count).map(|_| AtomicU32::new(1)).collect() };
         Ok(FaultDriver {
             setup,
             boxes,
             states: vec![BoxState::Running; count],
             pauses: vec![None; count],
-            lives,
-            world,
+            incarnations,
+            environment,
             spans,
-            agenda: BTreeMap::new(),
-            steps: 0,
-            began: Instant::now(),
-            time_line: Vec::new(),
-            longest_wait: Duration::ZERO,
-            starvation: StarvationWatch::default(),
-            looked: Instant::now(),
-            strays: Vec::new(),
+            schedule: BTreeMap::new(),
+            step_count: 0,
+            started: Instant::now(),
+            event_trace: Vec::new(),
+            longest_cpu_wait: Duration::ZERO,
+            starvation: StarvationMonitor::default(),
+            last_starvation_check: Instant::now(),
+            process_faults: Vec::new(),
         })
     }
 
-    /// The numbers of the boxes' lives.
-    pub fn lives(&self) -> LifeCounts {
-        self.lives.clone()
+    /// Returns the numbers of the current incarnations of all boxes.
+    pub fn incarnations(&self) -> CurrentIncarnations {
+        self.incarnations.clone()
     }
 
-    /// Store, targets and configuration.
-    pub fn world(&self) -> &SoakWorld {
-        &self.world
+    /// Returns the store, the targets and the configuration.
+    pub fn environment(&self) -> &SoakEnvironment {
+        &self.environment
     }
 
-    /// Carries out a plan, and returns once the last fault has ended and `time` is over.
+    /// Executes a plan. Returns once the last fault has ended, all boxes run and `time` has passed.
     ///
     /// # Errors
-    /// A process can't be started or signalled.
-    pub fn carry_out(&mut self, plan: &FaultPlan, time: Duration) -> std::io::Result<()> {
-        self.began = Instant::now();
+    /// Returns an error if a process can't be started or signalled.
+    pub fn run_plan(&mut self, plan: &FaultPlan, time: Duration) -> std::io::Result<()> {
+        self.started = Instant::now();
         for (at, fault) in plan.faults.iter().chain(&plan.notices).chain(&plan.limits) {
-            self.put(*at, DriverStep::Begin(*fault));
+            self.schedule_at(*at, DriverStep::Begin(*fault));
         }
-        while !self.agenda.is_empty() || !self.all_run() || self.began.elapsed() < time {
-            let now = self.began.elapsed();
-            while let Some(entry) = self.agenda.first_entry()
+        while !self.schedule.is_empty() || !self.all_running() || self.started.elapsed() < time {
+            let now = self.started.elapsed();
+            while let Some(entry) = self.schedule.first_entry()
                 && entry.key().0 <= now
             {
                 let step = entry.remove();
-                self.take(step)?;
+                self.execute(step)?;
             }
-            self.mind_boxes()?;
+            self.supervise_boxes()?;
         }
         Ok(())
     }
 
-    /// Goes on watching over processes, while `check` says that it must.
+    /// Supervises the processes as long as `check` returns true.
     ///
     /// # Errors
-    /// A process can't be started again.
-    pub fn watch_while(&mut self, mut check: impl FnMut() -> bool) -> std::io::Result<()> {
+    /// Returns an error if the state of a process can't be read or a process can't be killed.
+    pub fn supervise_while(&mut self, mut check: impl FnMut() -> bool) -> std::io::Result<()> {
         while check() {
-            self.mind_boxes()?;
+            self.supervise_boxes()?;
         }
         Ok(())
     }
 
-    /// Ends all boxes as planned and waits for them.
+    /// Stops all boxes as planned and waits for their end.
     ///
     /// # Errors
-    /// A process can't be signalled.
+    /// Returns an error if a process can't be signalled.
     pub fn finish(&mut self) -> std::io::Result<()> {
         for process in &self.boxes {
             process.signal("TERM")?;
         }
-        let until = Instant::now() + STOP_TIME + OVERTIME;
+        let until = Instant::now() + STOP_TIMEOUT + KILL_GRACE;
         for index in 0..self.boxes.len() {
             while self.boxes[index].is_running() {
-                if self.boxes[index].take_end()?.is_none() && Instant::now() >= until {
-                    self.strays.push(format!("box {index} did not end in its time"));
+                if self.boxes[index].take_exit_status()?.is_none() && Instant::now() >= until {
+                    self.process_faults.push(format!("box {index} did not end in its time"));
                     self.boxes[index].kill()?;
                 }
-                thread::sleep(STEP);
+                thread::sleep(POLL_INTERVAL);
             }
         }
         Ok(())
     }
 
-    fn all_run(&self) -> bool {
+    fn all_running(&self) -> bool {
         self.states.iter().all(|state| *state == BoxState::Running)
     }
 
-    fn put(&mut self, at: Duration, step: DriverStep) {
-        self.steps += 1;
-        self.agenda.insert((at, self.steps), step);
+    fn schedule_at(&mut self, at: Duration, step: DriverStep) {
+        self.step_count += 1;
+        self.schedule.insert((at, self.step_count), step);
     }
 
-    fn put_in(&mut self, wait: Duration, step: DriverStep) {
-        self.put(self.began.elapsed() + wait, step);
+    fn schedule_in(&mut self, wait: Duration, step: DriverStep) {
+        self.schedule_at(self.started.elapsed() + wait, step);
     }
 
-    fn note(&mut self, what: &str) {
-        self.time_line.push(format!("{:>7} ms {what}", self.began.elapsed().as_millis()));
+    fn record_event(&mut self, event: &str) {
+        self.event_trace.push(format!("{:>7} ms {event}", self.started.elapsed().as_millis()));
     }
 
-    fn take(&mut self, step: DriverStep) -> std::io::Result<()> {
-        self.note(&format!("{step:?}"));
+    fn execute(&mut self, step: DriverStep) -> std::io::Result<()> {
+        self.record_event(&format!("{step:?}"));
         match step {
             DriverStep::Begin(fault) => self.begin(fault)?,
             DriverStep::StartBox(index) => self.start_box(index)?,
@@ -223,29 +227,38 @@
                 }
             }
             DriverStep::EndStore(span) => {
-                self.world.store.set_mode(StoreMode::Serving);
+                self.environment.store.set_mode(StoreMode::Serving);
                 self.spans.end(span);
             }
             DriverStep::EndStorePath(index, span) => {
-                self.boxes[index].set_store_path(RelayMode::Open);
+                self.boxes[index].set_store_relay_mode(RelayMode::Open);
                 self.spans.end(span);
             }
-            DriverStep::EndTargetPath(index) => self.world.set_path(index, RelayMode::Open),
-            DriverStep::EndTarget(index) => self.world.set_mode(index, TargetMode::Healthy),
+            DriverStep::EndTargetPath(index) => {
+                self.environment.set_target_relay_mode(index, RelayMode::Open)
+            }
+            DriverStep::EndTarget(index) => {
+                self.environment.set_target_mode(index, TargetMode::Healthy)
+            }
             DriverStep::EndRest(index) => {
-                self.world.set_backoff(index, None);
-                self.world.set_mode(index, TargetMode::Healthy);
+                self.environment.set_backoff(index, None);
+                self.environment.set_target_mode(index, TargetMode::Healthy);
             }
-            DriverStep::EndLimit(index) => self.world.set_limit(index, None),
-            DriverStep::EndLeaving(index, other) => {
-                self.world.end_target(index, true);
-                self.put_in(REUSE_AFTER, DriverStep::ReplaceTarget(index, other));
+            DriverStep::EndLimit(index) => self.environment.set_limit(index, None),
+            DriverStep::EndLeaving(index, other_service) => {
+                self.environment.end_target(index, true);
+                self.schedule_in(
+                    ADDRESS_REUSE_DELAY,
+                    DriverStep::ReplaceTarget(index, other_service),
+                );
             }
             DriverStep::LapseEntry(index) => {
-                self.world.lapse_entry(index);
-                self.put_in(Duration::ZERO, DriverStep::ReplaceTarget(index, false));
+                self.environment.remove_lapsed_entry(index);
+                self.schedule_in(Duration::ZERO, DriverStep::ReplaceTarget(index, false));
+            }
+            DriverStep::ReplaceTarget(index, other_service) => {
+                self.environment.replace_target(index, other_service)?
             }
-            DriverStep::ReplaceTarget(index, other) => self.world.replace_target(index, other)?,
         }
         Ok(())
     }
@@ -262,55 +275,55 @@
             PlannedFault::StopInTurn(pause) => {
                 for index in 0..self.boxes.len() {
                     let step = DriverStep::Begin(PlannedFault::StopBox(index));
-                    self.put_in(pause * index as u32, step);
+                    self.schedule_in(pause * index as u32, step);
                 }
             }
             PlannedFault::PauseBox(index, time) => self.pause_box(index, time)?,
             PlannedFault::ReloadBox(index) => self.boxes[index].signal("HUP")?,
             PlannedFault::Store(mode, time) => {
-                self.world.store.set_mode(mode);
+                self.environment.store.set_mode(mode);
                 let span = self.spans.begin(SpanScope::Store);
-                self.put_in(time, DriverStep::EndStore(span));
+                self.schedule_in(time, DriverStep::EndStore(span));
             }
             PlannedFault::StorePath(index, mode, time) => {
-                self.boxes[index].set_store_path(mode);
+                self.boxes[index].set_store_relay_mode(mode);
                 let span = self.spans.begin(SpanScope::Box(index));
-                self.put_in(time, DriverStep::EndStorePath(index, span));
+                self.schedule_in(time, DriverStep::EndStorePath(index, span));
             }
             PlannedFault::TargetPath(index, mode, time) => {
-                self.world.set_path(index, mode);
-                self.put_in(time, DriverStep::EndTargetPath(index));
+                self.environment.set_target_relay_mode(index, mode);
+                self.schedule_in(time, DriverStep::EndTargetPath(index));
             }
             PlannedFault::Target(index, mode, time) => {
-                self.world.set_mode(index, mode);
-                self.put_in(time, DriverStep::EndTarget(index));
+                self.environment.set_target_mode(index, mode);
+                self.schedule_in(time, DriverStep::EndTarget(index));
             }
-            PlannedFault::ReplaceTarget(index, other) => {
-                self.world.announce_leaving(index);
-                self.put_in(SERVES_ON, DriverStep::EndLeaving(index, other));
+            PlannedFault::ReplaceTarget(index, other_service) => {
+                self.environment.announce_draining(index);
+                self.schedule_in(DRAINING_TIME, DriverStep::EndLeaving(index, other_service));
             }
             PlannedFault::CrashTarget(index) => {
-                self.world.end_target(index, false);
-                self.put_in(LAPSE_AFTER, DriverStep::LapseEntry(index));
+                self.environment.end_target(index, false);
+                self.schedule_in(ENTRY_LAPSE_DELAY, DriverStep::LapseEntry(index));
             }
-            PlannedFault::AskRest(index, share, rest, time) => {
-                self.world.set_backoff(index, Some(rest));
-                self.world.set_mode(index, TargetMode::Refuses(share));
-                self.put_in(time, DriverStep::EndRest(index));
+            PlannedFault::AskRest(index, share, backoff, time) => {
+                self.environment.set_backoff(index, Some(backoff));
+                self.environment.set_target_mode(index, TargetMode::Refuses(share));
+                self.schedule_in(time, DriverStep::EndRest(index));
             }
             PlannedFault::NameLimit(index, limit, time) => {
-                self.world.set_limit(index, Some(limit));
-                self.put_in(time, DriverStep::EndLimit(index));
+                self.environment.set_limit(index, Some(limit));
+                self.schedule_in(time, DriverStep::EndLimit(index));
             }
             PlannedFault::LeaveByAnswers(index) => {
-                self.world.signal_draining(index);
-                self.put_in(SERVES_ON, DriverStep::EndLeaving(index, false));
+                self.environment.signal_draining(index);
+                self.schedule_in(DRAINING_TIME, DriverStep::EndLeaving(index, false));
             }
             PlannedFault::ChangeConfig(count, pause) => {
-                self.world.change_config();
+                self.environment.change_config();
                 if count > 1 {
                     let step = DriverStep::Begin(PlannedFault::ChangeConfig(count - 1, pause));
-                    self.put_in(pause, step);
+                    self.schedule_in(pause, step);
                 }
             }
         }
@@ -346,7 +359,7 @@
         }
         self.pauses[index] = Some(self.spans.begin(SpanScope::Box(index)));
         self.boxes[index].signal("STOP")?;
-        self.put_in(time, DriverStep::ContinueBox(index));
+        self.schedule_in(time, DriverStep::ContinueBox(index));
         Ok(())
     }
 
@@ -355,67 +368,71 @@
             return Ok(());
         };
         self.boxes[index].start(&self.setup)?;
-        self.lives.lives[index].store(self.boxes[index].lives(), Ordering::Release);
+        self.incarnations.incarnations[index]
+            .store(self.boxes[index].incarnations(), Ordering::Release);
         self.spans.end(span);
         self.states[index] = BoxState::Running;
         Ok(())
     }
 
     fn set_down(&mut self, index: usize, span: usize) {
-        self.lives.lives[index].store(0, Ordering::Release);
+        self.incarnations.incarnations[index].store(0, Ordering::Release);
         self.states[index] = BoxState::Down { span };
-        self.put_in(RESTART_AFTER, DriverStep::StartBox(index));
+        self.schedule_in(RESTART_DELAY, DriverStep::StartBox(index));
     }
 
-    /// Looks after all boxes once, and waits for the next look.
-    fn mind_boxes(&mut self) -> std::io::Result<()> {
-        self.mind_processes()?;
-        for index in self.world.take_deaths() {
-            self.note(&format!("target {index} ended by a request"));
-            self.put_in(LAPSE_AFTER, DriverStep::LapseEntry(index));
+    /// Checks processes, targets and starvation once, and then waits for one poll interval.
+    fn supervise_boxes(&mut self) -> std::io::Result<()> {
+        self.check_processes()?;
+        for index in self.environment.take_crashed_targets() {
+            self.record_event(&format!("target {index} ended by a request"));
+            self.schedule_in(ENTRY_LAPSE_DELAY, DriverStep::LapseEntry(index));
         }
-        self.mind_starvation();
-        thread::sleep(STEP);
+        self.check_starvation();
+        thread::sleep(POLL_INTERVAL);
         Ok(())
     }
 
-    /// Notes boxes that the machine kept from running since the last look.
-    fn mind_starvation(&mut self) {
-        let since = self.looked.elapsed();
-        if since < STARVATION_PERIOD {
+    /// Records a disturbance of each box that waited long for a processor since the last measurement.
+    fn check_starvation(&mut self) {
+        let since = self.last_starvation_check.elapsed();
+        if since < STARVATION_INTERVAL {
             return;
         }
-        self.looked = Instant::now();
-        let own = self.starvation.look(std::process::id());
+        self.last_starvation_check = Instant::now();
+        let own_wait = self.starvation.measure(std::process::id());
         for index in 0..self.boxes.len() {
             let process = self.boxes[index].process_id();
-            let waited = process.map_or(Duration::ZERO, |process| self.starvation.look(process));
-            let waited = waited.max(own);
-            self.longest_wait = self.longest_wait.max(waited);
-            if waited >= STARVED_FROM {
-                self.note(&format!("box {index} waited {} ms for a processor", waited.as_millis()));
-                self.spans.note_past(SpanScope::Box(index), since + waited);
+            let waited = process.map_or(Duration::ZERO, |process| self.starvation.measure(process));
+            let waited = waited.max(own_wait);
+            self.longest_cpu_wait = self.longest_cpu_wait.max(waited);
+            if waited >= STARVATION_THRESHOLD {
+                self.record_event(&format!(
+                    "box {index} waited {} ms for a processor",
+                    waited.as_millis()
+                ));
+                self.spans.record_past(SpanScope::Box(index), since + waited);
             }
         }
     }
 
-    /// Notes processes that have ended, and ends those that are over their time.
-    fn mind_processes(&mut self) -> std::io::Result<()> {
+    /// Records processes that have ended, and kills those that did not end within their stop time.
+    fn check_processes(&mut self) -> std::io::Result<()> {
         for index in 0..self.boxes.len() {
-            let ended = self.boxes[index].take_end()?;
+            let ended = self.boxes[index].take_exit_status()?;
             match (self.states[index], ended) {
                 (BoxState::Stopping { span, .. }, Some(_)) => self.set_down(index, span),
                 (BoxState::Running, Some(status)) => {
-                    self.strays.push(format!("box {index} ended by itself: {status}"));
+                    self.process_faults.push(format!("box {index} ended by itself: {status}"));
                     let span = self.spans.begin(SpanScope::Box(index));
                     self.set_down(index, span);
                 }
                 (BoxState::Stopping { since, .. }, None)
-                    if since.elapsed() >= STOP_TIME + OVERTIME =>
+                    if since.elapsed() >= STOP_TIMEOUT + KILL_GRACE =>
                 {
-                    // One that stood still meanwhile can't have ended in time.
-                    if !self.spans.touches(&SpanScope::Box(index), since, Instant::now()) {
-                        self.strays.push(format!("box {index} did not end in its time"));
+                    // A process that was suspended meanwhile could not have ended in time.
+                    if !self.spans.overlaps(&SpanScope::Box(index), since, Instant::now()) {
+                        self.process_faults.push(format!("box {index} did not end in its time"));
                     }
                     self.kill_box(index)?;
                 }
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/environment.rs
@@ -1,4 +1,4 @@
-//! What boxes work with: the store, targets behind relays, and the configuration.
+//! The environment of the boxes: the store, targets behind relays, and the configuration.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex};
@@ -12,31 +12,33 @@
 use crate::lock;
 use crate::relay::{LoopbackRelay, RelayMode};
 
-/// The services: repeatable requests, orders, downloads.
+/// Names of the services for repeatable requests, orders and downloads.
 pub const SERVICES: [&str; 3] = ["reads", "orders", "loads"];
-/// The host that callers name.
+/// Host name in the requests of callers.
 pub const HOST: &str = "soak.example";
-/// How long a request is held, at most.
-pub const ROUTE_TIME: Duration = Duration::from_secs(3);
+/// Timeout of each route.
+pub const ROUTE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Number of requests that a target works on concurrently.
 const SLOTS: u32 = 4;
-const WORK: Duration = Duration::from_millis(40);
+/// Time that a target works on a request.
+const WORK_TIME: Duration = Duration::from_millis(40);
 
-/// Store, targets and configuration.
+/// The store, the targets and the configuration of a run.
 #[derive(Debug)]
-pub struct SoakWorld {
-    /// The store.
+pub struct SoakEnvironment {
+    /// Stand-in for the store.
     pub store: StoreStandin,
-    /// What reached targets.
+    /// Requests that reached targets.
     pub arrivals: ArrivalLog,
     slots: Vec<TargetSlot>,
     instances: u64,
-    config: ConfigBoard,
-    /// Routes in each configuration beside those that callers use.
-    routes: usize,
+    config: ConfigHistory,
+    /// Number of routes in each configuration that callers do not use.
+    extra_routes: usize,
     departures: Vec<(String, Instant)>,
 }
 
-/// An address at which one target after another listens.
+/// An address that is used by one target after another.
 #[derive(Debug)]
 struct TargetSlot {
     relay: LoopbackRelay,
@@ -45,9 +47,9 @@
     target: TargetStandin,
 }
 
-/// The versions of the configuration that were acknowledged. Clones share them.
+/// The acknowledged versions of the configuration. Clones share the same history.
 #[derive(Debug, Clone, Default)]
-pub struct ConfigBoard {
+pub struct ConfigHistory {
     state: Arc<Mutex<ConfigState>>,
 }
 
@@ -57,93 +59,94 @@
     acknowledged: HashMap<u32, Instant>,
 }
 
-impl ConfigBoard {
-    /// The newest version; 0 before the first.
+impl ConfigHistory {
+    /// Returns the newest version, or 0 before the first one.
     pub fn newest(&self) -> u32 {
         lock(&self.state).version
     }
 
-    /// When a version was acknowledged.
+    /// Returns when the store acknowledged `version`.
     pub fn acknowledged(&self, version: u32) -> Option<Instant> {
         lock(&self.state).acknowledged.get(&version).copied()
     }
 }
 
-impl SoakWorld {
-    /// Starts store and targets and writes the first configuration.
+impl SoakEnvironment {
+    /// Starts the store and the targets and writes the first configuration.
     ///
     /// # Errors
-    /// No port is to be had.
-    pub fn start(targets: usize, routes: usize) -> std::io::Result<SoakWorld> {
-        let mut world = SoakWorld {
+    /// Returns an error if no port can be bound.
+    pub fn start(targets: usize, extra_routes: usize) -> std::io::Result<SoakEnvironment> {
+        let mut environment = SoakEnvironment {
             store: StoreStandin::start("127.0.0.1")?,
             arrivals: ArrivalLog::default(),
             slots: Vec::new(),
             instances: 0,
-            config: ConfigBoard::default(),
-            routes,
+            config: ConfigHistory::default(),
+            extra_routes,
             departures: Vec::new(),
         };
         for index in 0..targets {
-            // Orders get half of them, as most requests are orders.
+            // Half of the targets serve orders, as most requests are orders.
             let service = SERVICES[[1, 0, 1, 2][index % 4]];
             let relay = LoopbackRelay::start("127.0.0.1", None)?;
-            let slot = world.start_target(relay, service, index)?;
-            world.slots.push(slot);
+            let slot = environment.start_target(relay, service, index)?;
+            environment.slots.push(slot);
         }
-        world.change_config();
-        Ok(world)
+        environment.change_config();
+        Ok(environment)
     }
 
-    /// Writes the next configuration: each has a route of its own beside the usual ones,
-    /// and that of the one before.
+    /// Writes the next configuration. Beside the usual routes, each has a route of its own and that
+    /// of the version before.
     pub fn change_config(&self) {
         let mut config = lock(&self.config.state);
         let version = config.version + 1;
-        let acknowledged = self.store.put_config(&config_entry(version, self.routes));
+        let acknowledged = self.store.put_config(&config_entry(version, self.extra_routes));
         config.version = version;
         config.acknowledged.insert(version, acknowledged);
     }
 
-    /// The versions that were acknowledged.
-    pub fn board(&self) -> ConfigBoard {
+    /// Returns the acknowledged versions of the configuration.
+    pub fn config_history(&self) -> ConfigHistory {
         self.config.clone()
     }
 
-    /// Disturbs the path to a target.
-    pub fn set_path(&self, index: usize, mode: RelayMode) {
+    /// Sets how connections to the target are relayed.
+    pub fn set_target_relay_mode(&self, index: usize, mode: RelayMode) {
         self.slots[index].relay.set_mode(mode);
     }
 
-    /// Lets a target behave so.
-    pub fn set_mode(&self, index: usize, mode: TargetMode) {
+    /// Sets the fault mode of the target.
+    pub fn set_target_mode(&self, index: usize, mode: TargetMode) {
         self.slots[index].target.set_mode(mode);
     }
 
-    /// The target says in its answers that it leaves, and its entry doesn't.
+    /// Makes the target announce in its answers that it is draining. Its entry stays as it is.
     pub fn signal_draining(&self, index: usize) {
         self.slots[index].target.signal_draining();
     }
 
-    /// The target's refusals ask for that much rest, or for none.
-    pub fn set_backoff(&self, index: usize, rest: Option<Duration>) {
-        self.slots[index].target.set_backoff(rest);
+    /// Sets the back-off that the target asks for in its refusals; `None` for no back-off.
+    pub fn set_backoff(&self, index: usize, backoff: Option<Duration>) {
+        self.slots[index].target.set_backoff(backoff);
     }
 
-    /// The target names a limit in its answers, in millionths of a request a second, or none.
+    /// Sets the limit that the target announces in its answers, in millionths of a request per
+    /// second; `None` for no limit.
     pub fn set_limit(&self, index: usize, limit: Option<u64>) {
         self.slots[index].target.set_limit(limit);
     }
 
-    /// The target says that it leaves, in its entry and in its answers.
-    pub fn announce_leaving(&mut self, index: usize) {
+    /// Makes the target announce in its entry and in its answers that it is draining.
+    pub fn announce_draining(&mut self, index: usize) {
         self.signal_draining(index);
         let spec = &self.slots[index].spec;
         let acknowledged = self.store.put_target(spec, EntryState::Draining, 2);
         self.departures.push((spec.id.clone(), acknowledged));
     }
 
-    /// The target ends; its entry goes only if it said so.
+    /// Ends the target. Its entry is removed only if `removes_entry` is set.
     pub fn end_target(&mut self, index: usize, removes_entry: bool) {
         let slot = &mut self.slots[index];
         slot.target.end();
@@ -153,28 +156,29 @@
         }
     }
 
-    /// Targets that have ended by a request since the last call: nobody listens at their addresses.
-    pub fn take_deaths(&self) -> Vec<usize> {
-        let dead = |index: &usize| self.slots[*index].target.take_crash();
-        let dead: Vec<usize> = (0..self.slots.len()).filter(dead).collect();
-        for index in &dead {
+    /// Returns the targets that a poison request has ended since the last call, and stops the relays
+    /// at their addresses.
+    pub fn take_crashed_targets(&self) -> Vec<usize> {
+        let crashed = |index: &usize| self.slots[*index].target.take_crash();
+        let crashed: Vec<usize> = (0..self.slots.len()).filter(crashed).collect();
+        for index in &crashed {
             self.slots[*index].relay.stop();
         }
-        dead
+        crashed
     }
 
-    /// The entry of a target that ended without a word goes.
-    pub fn lapse_entry(&mut self, index: usize) {
+    /// Removes the entry of a target that ended without an announcement.
+    pub fn remove_lapsed_entry(&mut self, index: usize) {
         let id = self.slots[index].spec.id.clone();
         let acknowledged = self.store.remove_target(&id);
         self.departures.push((id, acknowledged));
     }
 
-    /// Another target takes the address, of another service if so and if this one keeps
-    /// two more.
+    /// Starts another target at the address. With `other_service` it belongs to another service,
+    /// provided that more than two targets serve the present one.
     ///
     /// # Errors
-    /// No port is to be had.
+    /// Returns an error if no port can be bound.
     pub fn replace_target(&mut self, index: usize, other_service: bool) -> std::io::Result<()> {
         let service = self.slots[index].service;
         let siblings = self.slots.iter().filter(|slot| slot.service == service).count();
@@ -183,7 +187,7 @@
             false => service,
         };
         let relay = LoopbackRelay::start("127.0.0.1", None)?;
-        // Nobody comes back at an address that listens no more.
+        // A relay that has stopped can't listen again, so the target gets a new address.
         let relay = match self.slots[index].relay.has_stopped() {
             true => relay,
             false => std::mem::replace(&mut self.slots[index].relay, relay),
@@ -192,7 +196,7 @@
         Ok(())
     }
 
-    /// Targets that left, and when that was acknowledged.
+    /// Returns the targets that were marked as draining or removed, and when the store acknowledged it.
     pub fn departures(&self) -> &[(String, Instant)] {
         &self.departures
     }
@@ -210,7 +214,7 @@
             service: service.to_string(),
             host: "127.0.0.1".into(),
             slots: SLOTS,
-            work: WORK,
+            work: WORK_TIME,
         };
         let target = TargetStandin::start(setup, self.arrivals.clone())?;
         relay.set_upstream(Some(target.address()));
@@ -227,12 +231,12 @@
     }
 }
 
-/// The customer whose key all callers carry.
+/// The customer to whom all callers belong.
 pub const CUSTOMER: &str = "hikers";
-/// The key that all callers carry.
+/// The key that all callers send.
 pub const KEY: &str = "key-of-the-hikers";
 
-/// Which service a path may reach.
+/// Returns the service to which requests for `path` are routed.
 pub fn service_of(path: &str) -> &'static str {
     match path.split('/').nth(1) {
         Some("order") => "orders",
@@ -241,19 +245,19 @@
     }
 }
 
-/// The path of the route that only `version` and the next one have.
+/// Returns the path of the route that exists only in configurations `version` and `version + 1`.
 pub fn version_path(version: u32) -> String {
     format!("/v{version}/x")
 }
 
-fn config_entry(version: u32, more: usize) -> ConfigEntry {
+fn config_entry(version: u32, extra_routes: usize) -> ConfigEntry {
     let route = |name: &str, service: &str, mode: RouteMode| RouteEntry {
         name: name.to_string(),
         host: HOST.into(),
         prefix: format!("/{name}/"),
         mode,
         services: vec![(service.to_string(), 1)],
-        timeout: ROUTE_TIME,
+        timeout: ROUTE_TIMEOUT,
     };
     let mut routes = vec![
         route("read", "reads", RouteMode::Repeatable),
@@ -265,14 +269,16 @@
         routes.push(route(&format!("v{version}"), "reads", RouteMode::Repeatable));
     }
     routes.extend(
-        (0..more).map(|number| route(&format!("more-{number}"), "reads", RouteMode::Repeatable)),
+        (0..extra_routes)
+            .map(|number| route(&format!("more-{number}"), "reads", RouteMode::Repeatable)),
     );
     let customer = |name: &str, key: &str| CustomerEntry {
         name: name.to_string(),
         keys: vec![key.to_string()],
         rate: 0,
     };
-    // The second one's key is given back and withdrawn again, from version to version.
+    // The second customer is present in every other version, so that its key is alternately granted
+    // and withdrawn.
     let mut customers = vec![customer(CUSTOMER, KEY)];
     if version.is_multiple_of(2) {
         customers.push(customer("now and then", "key-now-and-then"));
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Boxes as processes: started, signalled and ended by their ids.
+//! Runs boxes as separate processes, which are started, signalled and ended by process id.
 
 use std::fs::File;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -8,112 +8,122 @@
 
 use crate::relay::{LoopbackRelay, RelayMode};
 
-/// Ports of a box; each has an address of its own.
-const CALLERS: u16 = 7101;
-const READINESS: u16 = 7102;
-const EXCHANGE: u16 = 7103;
-const GOSSIP: u16 = 7104;
-/// Time for a planned stop, as the users' platform gives it.
-pub const STOP_TIME: Duration = Duration::from_secs(6);
-/// Retries ahead of what was earned, of all boxes together. Smaller than the users', as
-/// What boxes are told of their links, in turn: those with more read the store for the others.
-const LINKS_MBPS: [u32; 3] = [200, 10, 10];
-/// the fleet is.
+/// Port for callers. All boxes use the same ports, each on a loopback address of its own.
+const CALLER_PORT: u16 = 7101;
+/// Port of the readiness end point.
+const READINESS_PORT: u16 = 7102;
+/// Port for connections of other boxes.
+const EXCHANGE_PORT: u16 = 7103;
+/// Port for gossip datagrams.
+const GOSSIP_PORT: u16 = 7104;
+/// Time that a box gets for a planned stop. It is the same as on the users' platform.
+pub const STOP_TIMEOUT: Duration = Duration::from_secs(6);
+/// Link capacities that boxes are started with, assigned in turn. Boxes with a faster link read the
+/// store on behalf of the others.
+const LINK_MBPS: [u32; 3] = [200, 10, 10];
+/// Retries that all boxes together may spend before requests have earned them. The value is lower
+/// than the users', as this fleet is smaller than theirs.
 pub const RETRY_SLACK: u32 = 20;
-/// Boxes that each box is told of at its start.
-const SEEDS: usize = 3;
+/// Number of boxes whose addresses each box gets as bootstrap addresses at its start.
+const SEED_COUNT: usize = 3;
 
-/// Where a box is reached.
+/// The identity of a box and the address at which it listens.
 #[derive(Debug, Clone)]
-pub struct BoxPlace {
-    /// Its index.
+pub struct BoxLocation {
+    /// Index of the box, from 0.
     pub index: usize,
-    /// Its address.
+    /// Loopback address that only this box uses.
     pub host: IpAddr,
-    /// Its data centre.
+    /// Name of the data centre of the box.
     pub data_centre: String,
 }
 
-impl BoxPlace {
-    /// The place of the box with that index, in a run of its own.
-    pub fn new(run: u32, index: usize) -> BoxPlace {
+impl BoxLocation {
+    /// Returns the location of box `index`. The address also depends on `run`, so that runs on one
+    /// machine do not collide.
+    pub fn new(run: u32, index: usize) -> BoxLocation {
         let [high, low] = [(run >> 8) as u8 | 0x80, run as u8];
-        BoxPlace {
+        BoxLocation {
             index,
             host: Ipv4Addr::new(127, high, low, index as u8 + 1).into(),
             data_centre: format!("centre-{}", index % 2),
         }
     }
 
-    /// Where callers connect.
+    /// Returns the address for callers.
     pub fn callers(&self) -> SocketAddr {
-        SocketAddr::new(self.host, CALLERS)
+        SocketAddr::new(self.host, CALLER_PORT)
     }
 
-    /// Where readiness is asked for.
+    /// Returns the address of the readiness end point.
     pub fn readiness(&self) -> SocketAddr {
-        SocketAddr::new(self.host, READINESS)
+        SocketAddr::new(self.host, READINESS_PORT)
     }
 }
 
-/// A box's process and its path to the store.
+/// The process of a box and the relay between it and the store.
 #[derive(Debug)]
 pub struct BoxProcess {
-    place: BoxPlace,
-    store_path: LoopbackRelay,
+    location: BoxLocation,
+    store_relay: LoopbackRelay,
     child: Option<Child>,
-    lives: u32,
+    incarnations: u32,
 }
 
-/// What boxes are started with.
+/// Settings that all boxes are started with.
 #[derive(Debug, Clone)]
 pub struct BoxSetup {
-    /// The program.
+    /// Path of the box's program.
     pub program: PathBuf,
-    /// All boxes.
-    pub places: Vec<BoxPlace>,
-    /// The store.
+    /// Locations of all boxes.
+    pub locations: Vec<BoxLocation>,
+    /// Address of the store.
     pub store: SocketAddr,
-    /// Where their logs go.
+    /// Directory for the log files of the boxes.
     pub directory: PathBuf,
 }
 
 impl BoxProcess {
-    /// A box that does not run yet.
+    /// Creates a box without starting its process.
     ///
     /// # Errors
-    /// No relay can be started.
+    /// Returns an error if the relay to the store can't be started.
     pub fn new(setup: &BoxSetup, index: usize) -> std::io::Result<BoxProcess> {
-        let store_path = LoopbackRelay::start("127.0.0.1", Some(setup.store))?;
-        Ok(BoxProcess { place: setup.places[index].clone(), store_path, child: None, lives: 0 })
+        let store_relay = LoopbackRelay::start("127.0.0.1", Some(setup.store))?;
+        Ok(BoxProcess {
+            location: setup.locations[index].clone(),
+            store_relay,
+            child: None,
+            incarnations: 0,
+        })
     }
 
-    /// Starts its process.
+    /// Starts the process, with a log file for this incarnation.
     ///
     /// # Errors
-    /// The program can't be started, or its log not be written.
+    /// Returns an error if the program can't be started or its log file can't be created.
     pub fn start(&mut self, setup: &BoxSetup) -> std::io::Result<()> {
-        self.lives += 1;
-        let log = File::create(log_path(&setup.directory, self.place.index, self.lives))?;
+        self.incarnations += 1;
+        let log = File::create(log_path(&setup.directory, self.location.index, self.incarnations))?;
         let seeds: Vec<String> = setup
-            .places
+            .locations
             .iter()
-            .take(SEEDS)
-            .map(|place| SocketAddr::new(place.host, EXCHANGE).to_string())
+            .take(SEED_COUNT)
+            .map(|location| SocketAddr::new(location.host, EXCHANGE_PORT).to_string())
             .collect();
-        let host = self.place.host;
+        let host = self.location.host;
         let arguments = [
-            format!("--box-id=box-{}", self.place.index),
-            format!("--data-centre={}", self.place.data_centre),
-            format!("--listen={}", self.place.callers()),
-            format!("--ready-listen={}", self.place.readiness()),
-            format!("--exchange-listen={}", SocketAddr::new(host, EXCHANGE)),
-            format!("--gossip-port={GOSSIP}"),
+            format!("--box-id=box-{}", self.location.index),
+            format!("--data-centre={}", self.location.data_centre),
+            format!("--listen={}", self.location.callers()),
+            format!("--ready-listen={}", self.location.readiness()),
+            format!("--exchange-listen={}", SocketAddr::new(host, EXCHANGE_PORT)),
+            format!("--gossip-port={GOSSIP}", GOSSIP = GOSSIP_PORT),
             format!("--seeds={}", seeds.join(",")),
-            format!("--store={}", self.store_path.address()),
-            format!("--stop-time={}ms", STOP_TIME.as_millis()),
+            format!("--store={}", self.store_relay.address()),
+            format!("--stop-time={}ms", STOP_TIMEOUT.as_millis()),
             format!("--retry-slack={RETRY_SLACK}"),
-            format!("--link-mbps={}", LINKS_MBPS[self.place.index % LINKS_MBPS.len()]),
+            format!("--link-mbps={}", LINK_MBPS[self.location.index % LINK_MBPS.len()]),
         ];
         let child = Command::new(&setup.program)
             .args(arguments)
@@ -125,25 +135,25 @@
         Ok(())
     }
 
-    /// How often it was started.
-    pub fn lives(&self) -> u32 {
-        self.lives
+    /// Returns how often the process was started, which is the number of its current incarnation.
+    pub fn incarnations(&self) -> u32 {
+        self.incarnations
     }
 
-    /// Its process's id, while it runs.
+    /// Returns the process id, or `None` if the process does not run.
     pub fn process_id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Whether its process runs.
+    /// Returns whether the process runs, as of the last call of [`BoxProcess::take_exit_status`].
     pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
-    /// Sends its process a signal by name; one that has ended gets none.
+    /// Sends the signal `name` to the process, unless it has ended.
     ///
     /// # Errors
-    /// `kill` can't be run.
+    /// Returns an error if the `kill` command can't be run.
     pub fn signal(&self, name: &str) -> std::io::Result<()> {
         let Some(child) = &self.child else {
             return Ok(());
@@ -151,10 +161,10 @@
         Command::new("kill").args(["-s", name, &child.id().to_string()]).status().map(drop)
     }
 
-    /// Kills its process.
+    /// Kills the process, if it runs, and waits for its end.
     ///
     /// # Errors
-    /// The system can't.
+    /// Returns an error if the system refuses to kill it or to wait for it.
     pub fn kill(&mut self) -> std::io::Result<()> {
         if let Some(mut child) = self.child.take() {
             child.kill()?;
@@ -163,11 +173,11 @@
         Ok(())
     }
 
-    /// How its process ended, if it has since the last look.
+    /// Returns the exit status if the process has ended since the last call.
     ///
     /// # Errors
-    /// The system can't tell.
-    pub fn take_end(&mut self) -> std::io::Result<Option<ExitStatus>> {
+    /// Returns an error if the state of the process can't be read.
+    pub fn take_exit_status(&mut self) -> std::io::Result<Option<ExitStatus>> {
         let Some(child) = &mut self.child else {
             return Ok(None);
         };
@@ -178,29 +188,29 @@
         Ok(status)
     }
 
-    /// Disturbs its path to the store.
-    pub fn set_store_path(&self, mode: RelayMode) {
-        self.store_path.set_mode(mode);
+    /// Sets how the connections of this box to the store are relayed.
+    pub fn set_store_relay_mode(&self, mode: RelayMode) {
+        self.store_relay.set_mode(mode);
     }
 }
 
 impl Drop for BoxProcess {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // An error means that the process has already ended.
         let _ = self.kill();
     }
 }
 
-fn log_path(directory: &Path, index: usize, life: u32) -> PathBuf {
-    directory.join(format!("box-{index}-life-{life}.log"))
+fn log_path(directory: &Path, index: usize, incarnation: u32) -> PathBuf {
+    directory.join(format!("box-{index}-life-{life}.log", life = incarnation))
 }
 
-/// Whether the box at `place` says that it is ready, within `time`.
-pub fn is_ready(place: &BoxPlace, time: Duration) -> bool {
+/// Returns whether the box at `location` reports within `timeout` that it is ready.
+pub fn is_ready(location: &BoxLocation, timeout: Duration) -> bool {
     let request = crate::callers::RawRequest {
-        address: place.readiness(),
+        address: location.readiness(),
         head: "GET /v1/ready HTTP/1.1\r\nHost: balancer\r\nConnection: close\r\n\r\n".into(),
-        until: Instant::now() + time,
+        deadline: Instant::now() + timeout,
     };
     request.status() == Some(200)
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,15 +1,16 @@
-//! A randomized soak of real boxes.
+//! A randomized soak test of real boxes.
 //!
-//! It starts `wingbridge-box` as separate processes on loopback, with stand-ins of the
-//! platform's store and of targets behind relays, puts load on them from callers that use
-//! their connections until the process is gone, and injects faults from outside, drawn
-//! from a seed: signals, relays that delay, cut or silence, and stand-ins that misbehave.
-//! What callers and targets saw is then held against the promises ([`checks`]). The same
-//! seed gives the same plan; the operating system still schedules as it likes.
+//! It starts `wingbridge-box` as separate processes on loopback, with stand-ins for the platform's
+//! store and for targets behind relays. Callers make requests and use their connections until the
+//! process has ended. Faults are drawn from a seed and injected from outside: signals, relays that
+//! delay, hold back or close connections, and faulty stand-ins. Afterwards the observations of
+//! callers and targets are checked against the promises ([`checks`]). The same seed gives the same
+//! plan; scheduling by the operating system still varies between runs.
 
 pub mod callers;
 pub mod checks;
 pub mod driver;
+pub mod environment;
 pub mod fleet;
 mod limits;
 mod notices;
@@ -20,7 +21,6 @@
 pub mod settings;
 pub mod spans;
 pub mod starvation;
-pub mod world;
 
 pub use report::SoakReport;
 pub use run::run_seed;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! The soak as a program.
+//! The `wingbridge-soak` program: runs a range of seeds and prints one report per seed.
 
 use std::process::ExitCode;
 
@@ -12,11 +12,11 @@
 
 fn start() -> eyre::Result<Outcome> {
     let settings = resolve(&soak_command().get_matches())?;
-    let mut kept = true;
+    let mut passed = true;
     for seed in settings.first_seed..settings.first_seed + settings.seeds {
         let report = run_seed(&settings, seed)?;
         println!("{}", serde_json::to_string(&report)?);
-        kept &= report.violations.is_empty();
+        passed &= report.violations.is_empty();
     }
-    Ok(if kept { Outcome::Done } else { Outcome::CheckFailed })
+    Ok(if passed { Outcome::Done } else { Outcome::CheckFailed })
 }
--- a/crates/soak/src/notices.rs
+++ b/crates/soak/src/notices.rs
@@ -1,7 +1,7 @@
-//! Checks of what targets said of themselves: that they leave, and for how long they want nothing.
+//! Checks that boxes obey the notices in targets' answers: draining and back-off.
 //!
-//! Both bind the box that got the answer, in touch or not; only what happened to that box itself
-//! excuses it.
+//! A notice binds the box that received the answer, whether that box was connected to the store or
+//! not. Only a disturbance of that box itself is an excuse.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -9,36 +9,38 @@
 use wingbridge_platform_standins::{Arrival, NoticeRecord, TargetNotice};
 
 use crate::callers::{CallerEnd, CallerRecord};
-use crate::checks::{CHANGE_TIME, SoakEvidence, box_of};
+use crate::checks::{MAX_CHANGE_TIME, SoakEvidence, box_of};
 use crate::spans::SpanScope;
 
-/// What was on its way when a target asked for rest, and how many more it may get. Source: the
-/// users' pages.
-const ON_THE_WAY: Duration = Duration::from_millis(500);
-const SENDS_IN_REST: usize = 2;
+/// Time after the notice within which a request may have been sent before the notice was received.
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
+/// Maximum number of requests that a box may send to the target after that and within the back-off.
+const MAX_SENDS_IN_BACKOFF: usize = 2;
 
-/// Requests that reached a target long after their box had passed on its word that it leaves.
-pub(crate) fn after_word(evidence: &SoakEvidence) -> Vec<String> {
+/// Finds requests that reached a target more than [`MAX_CHANGE_TIME`] after their box had relayed an
+/// answer in which the target announced that it was draining.
+pub(crate) fn sent_to_draining(evidence: &SoakEvidence) -> Vec<String> {
     let records = records_by_id(evidence);
-    let passed_on = |notice: &&NoticeRecord| {
+    let was_relayed = |notice: &&NoticeRecord| {
         notice.notice == TargetNotice::Draining
             && records.get(notice.request.as_str()).is_some_and(|record| was_answered(record))
     };
-    let mut firsts: HashMap<(usize, &str), Instant> = HashMap::new();
-    for notice in evidence.notices.iter().filter(passed_on) {
+    let mut first_notices: HashMap<(usize, &str), Instant> = HashMap::new();
+    for notice in evidence.notices.iter().filter(was_relayed) {
         let Some(index) = box_of(&notice.request) else { continue };
-        let first = firsts.entry((index, &notice.target)).or_insert(notice.at);
+        let first = first_notices.entry((index, &notice.target)).or_insert(notice.at);
         *first = notice.at.min(*first);
     }
     let mut cases = Vec::new();
     for arrival in &evidence.arrivals {
         let Some(index) = box_of(&arrival.request) else { continue };
-        let Some(told) = firsts.get(&(index, arrival.target.as_str())) else { continue };
-        let until = *told + CHANGE_TIME + evidence.margin;
+        let Some(notified) = first_notices.get(&(index, arrival.target.as_str())) else { continue };
+        let until = *notified + MAX_CHANGE_TIME + evidence.margin;
         let sent = records.get(arrival.request.as_str()).map(|record| record.sent);
-        if sent.is_some_and(|sent| sent > until) && !was_disturbed(evidence, index, *told, arrival)
+        if sent.is_some_and(|sent| sent > until)
+            && !was_disturbed(evidence, index, *notified, arrival)
         {
-            let after = (arrival.at - *told).as_millis();
+            let after = (arrival.at - *notified).as_millis();
             cases.push(format!(
                 "{} at {} {after} ms after its word",
                 arrival.request, arrival.target
@@ -48,28 +50,28 @@
     cases
 }
 
-/// Requests of a box that reached a target within the rest that it had asked that box for, beyond
-/// those that may.
-pub(crate) fn sent_in_rest(evidence: &SoakEvidence) -> Vec<String> {
+/// Finds back-offs during which a box sent more requests to the target than
+/// [`MAX_SENDS_IN_BACKOFF`].
+pub(crate) fn sent_during_backoff(evidence: &SoakEvidence) -> Vec<String> {
     let records = records_by_id(evidence);
     let mut cases = Vec::new();
     for notice in &evidence.notices {
-        let TargetNotice::Backoff(rest) = notice.notice else { continue };
+        let TargetNotice::Backoff(backoff) = notice.notice else { continue };
         let Some(index) = box_of(&notice.request) else { continue };
-        let from = notice.at + ON_THE_WAY;
+        let from = notice.at + IN_FLIGHT_TIME;
         let sent = evidence.arrivals.iter().filter(|arrival| {
-            let asked = records.get(arrival.request.as_str()).map(|record| record.sent);
+            let sent = records.get(arrival.request.as_str()).map(|record| record.sent);
             arrival.target == notice.target
                 && box_of(&arrival.request) == Some(index)
-                && arrival.at < notice.at + rest
-                // One that was sent before may have been held up on a disturbed path.
-                && asked.is_some_and(|asked| asked > from)
+                && arrival.at < notice.at + backoff
+                // A request that was sent earlier may have been delayed by a disturbed relay.
+                && sent.is_some_and(|sent| sent > from)
                 && !was_disturbed(evidence, index, notice.at, arrival)
         });
         let sent = sent.count();
-        if sent > SENDS_IN_REST {
-            let rest_ms = rest.as_millis();
-            cases.push(format!("{}: {sent} of box {index} within {rest_ms} ms", notice.target));
+        if sent > MAX_SENDS_IN_BACKOFF {
+            let backoff_ms = backoff.as_millis();
+            cases.push(format!("{}: {sent} of box {index} within {backoff_ms} ms", notice.target));
         }
     }
     cases
@@ -83,13 +85,13 @@
     matches!(record.end, CallerEnd::Answered(_, _))
 }
 
-/// Whether the box stood still or started anew between a notice and an arrival.
+/// Returns whether the box was disturbed or stopped between a notice and an arrival.
 pub(crate) fn was_disturbed(
     evidence: &SoakEvidence,
     index: usize,
-    told: Instant,
+    notified: Instant,
     arrival: &Arrival,
 ) -> bool {
     let scopes = [SpanScope::Box(index), SpanScope::PlannedStop(index)];
-    scopes.iter().any(|scope| evidence.spans.touches(scope, told, arrival.at))
+    scopes.iter().any(|scope| evidence.spans.overlaps(scope, notified, arrival.at))
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! What is done to the system, drawn from a seed.
+//! The fault plan of a run, drawn from a seed.
 
 use std::time::Duration;
 
@@ -8,98 +8,103 @@
 
 use crate::relay::RelayMode;
 
-/// One fault, or one piece of planned work.
+/// A fault or a planned operation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PlannedFault {
-    /// A box's process is killed and started again.
+    /// The process of one box is killed and started again.
     KillBox(usize),
-    /// All boxes' processes are killed and started again.
+    /// The processes of all boxes are killed and started again.
     KillAllBoxes,
-    /// A box is stopped as planned and started again.
+    /// One box gets a planned stop and is started again.
     StopBox(usize),
-    /// All boxes are stopped as planned, one after the other with this pause.
+    /// All boxes get a planned stop, one after the other with this pause between them.
     StopInTurn(Duration),
-    /// A box's process stands still for a while.
+    /// The process of a box is suspended for this time.
     PauseBox(usize, Duration),
-    /// A box is told to read its settings anew.
+    /// A box gets the signal to reload its settings.
     ReloadBox(usize),
-    /// The store misbehaves for a while.
+    /// The store has this fault for this time.
     Store(StoreMode, Duration),
-    /// A box's path to the store is disturbed for a while.
+    /// The relay between a box and the store has this mode for this time.
     StorePath(usize, RelayMode, Duration),
-    /// The path to a target is disturbed for a while.
+    /// The relay in front of a target has this mode for this time.
     TargetPath(usize, RelayMode, Duration),
-    /// A target misbehaves for a while.
+    /// A target has this fault for this time.
     Target(usize, TargetMode, Duration),
-    /// A target says that it leaves, serves on, ends, and another takes its address; of
-    /// another service, if so.
+    /// A target announces that it is draining, continues to serve for a while and ends; then another
+    /// target takes over its address. The flag says whether that one belongs to another service.
     ReplaceTarget(usize, bool),
-    /// A target ends without a word; its entry goes later, and another takes its address.
+    /// A target ends without an announcement. Its entry is removed later, and then another target
+    /// takes over its address.
     CrashTarget(usize),
-    /// So many configurations are written, with this pause between.
+    /// This number of configurations is written, with this pause between them.
     ChangeConfig(u32, Duration),
-    /// A target's refusals ask for that much rest, for a while, and it refuses that share.
+    /// A target refuses this share of requests and asks in the refusals for this back-off; the last
+    /// field is how long it does so.
     AskRest(usize, f64, Duration, Duration),
-    /// A target says that it leaves in its answers alone, and ends when it has.
+    /// A target announces in its answers only, not in its entry, that it is draining, and then ends.
     LeaveByAnswers(usize),
-    /// A target names that limit in its answers, in millionths of a request a second, for a while.
+    /// A target announces this limit in its answers, in millionths of a request per second, for this
+    /// time.
     NameLimit(usize, u64, Duration),
 }
 
-/// Faults with the times at which they begin.
+/// All faults of a run, with the times at which they begin.
 #[derive(Debug, Clone)]
 pub struct FaultPlan {
-    /// In the order of their times, from the start of the load.
+    /// Faults in the order of their begin, which counts from the start of the load.
     pub faults: Vec<(Duration, PlannedFault)>,
-    /// Targets that ask for rest, or leave by their answers alone, with the times at which they begin to.
+    /// Targets that ask for a back-off or drain with an announcement in answers only, with the times
+    /// at which they begin.
     pub notices: Vec<(Duration, PlannedFault)>,
-    /// Targets that name limits, with the times at which they begin to.
+    /// Targets that announce limits, with the times at which they begin.
     pub limits: Vec<(Duration, PlannedFault)>,
-    /// Requests under which targets end.
-    pub deadly: Vec<DeadlyRound>,
+    /// Poison requests.
+    pub poison_rounds: Vec<PoisonRound>,
 }
 
-/// A request under which each target ends that runs it, asked for again and again.
+/// A poison request, which ends each target that runs it, and its repetition by a caller.
 #[derive(Debug, Clone, PartialEq)]
-pub struct DeadlyRound {
-    /// When it is first asked for, from the start of the load.
+pub struct PoisonRound {
+    /// Time of the first request, from the start of the load.
     pub at: Duration,
-    /// For how long.
+    /// Time for which it is repeated.
     pub time: Duration,
-    /// The pause between two tries.
+    /// Pause between two requests.
     pub pause: Duration,
-    /// Its path.
+    /// Path of the request.
     pub path: String,
-    /// Whether its caller leaves before the target ends.
+    /// Whether the caller hangs up before the target ends.
     pub hangs_up: bool,
 }
 
-/// Deadly requests for each second of faults.
-const DEADLY_PER_S: f64 = 0.1;
-/// Targets that ask for rest or leave by their answers alone, for each second of faults.
+/// Poison requests per second of faults.
+const POISON_ROUNDS_PER_S: f64 = 0.1;
+/// Targets per second of faults that ask for a back-off or drain with an announcement in answers only.
 const NOTICES_PER_S: f64 = 0.2;
 const NOTICE_SEED: u64 = 0x1eaf;
-/// Targets that name limits, for each second of faults.
+/// Targets per second of faults that announce limits.
 const LIMITS_PER_S: f64 = 0.2;
 const LIMIT_SEED: u64 = 0x11c17;
-/// They are drawn from a seed of their own, so that a seed's other faults stay as they were without them.
-const DEADLY_SEED: u64 = 0xdead;
+/// Poison requests, like notices and limits, are drawn from a random source of their own, so that
+/// adding them left the other faults of each seed unchanged.
+const POISON_SEED: u64 = 0xdead;
 
-/// What a plan is drawn for.
+/// The dimensions for which a plan is drawn.
 #[derive(Debug, Clone, Copy)]
 pub struct PlanSize {
-    /// The time in which faults begin.
+    /// Time span in which faults begin.
     pub time: Duration,
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Targets.
+    /// Number of targets.
     pub targets: usize,
-    /// Faults a second, on average.
+    /// Average number of faults per second.
     pub faults_per_s: f64,
 }
 
 impl FaultPlan {
-    /// Draws a plan. Times are independent of each other, so that faults overlap.
+    /// Draws the plan of `seed`. Begin times are independent of each other, so that faults overlap.
     pub fn draw(seed: u64, size: &PlanSize) -> FaultPlan {
         let mut random = StdRng::seed_from_u64(seed);
         let count = (size.time.as_secs_f64() * size.faults_per_s).ceil() as usize;
@@ -107,8 +112,8 @@
             .map(|_| (size.time.mul_f64(random.random()), draw_fault(&mut random, size)))
             .collect();
         faults.sort_by_key(|(at, _)| *at);
-        let (notices, deadly) = (draw_notices(seed, size), draw_deadly(seed, size));
-        FaultPlan { faults, notices, limits: draw_limits(seed, size), deadly }
+        let (notices, poison_rounds) = (draw_notices(seed, size), draw_poison_rounds(seed, size));
+        FaultPlan { faults, notices, limits: draw_limits(seed, size), poison_rounds }
     }
 }
 
@@ -143,10 +148,10 @@
         let at = size.time.mul_f64(random.random());
         let target = random.random_range(0..size.targets);
         let share = random.random_range(0.3..1.0);
-        let rest = Duration::from_millis(random.random_range(200..3000));
+        let backoff = Duration::from_millis(random.random_range(200..3000));
         let time = Duration::from_millis(random.random_range(1000..5000));
         let fault = match random.random_bool(0.7) {
-            true => PlannedFault::AskRest(target, share, rest, time),
+            true => PlannedFault::AskRest(target, share, backoff, time),
             false => PlannedFault::LeaveByAnswers(target),
         };
         (at, fault)
@@ -158,7 +163,7 @@
     let mut random = StdRng::seed_from_u64(seed ^ LIMIT_SEED);
     let count = (size.time.as_secs_f64() * LIMITS_PER_S).ceil() as usize;
     let mut draw = |_| {
-        // Long enough for a window that counts.
+        // The limit stands longer than the window in which the check counts arrivals.
         let at = size.time.mul_f64(0.5 * random.random::<f64>());
         let time = Duration::from_millis(random.random_range(8_000..14_000));
         let limit = random.random_range(0..4_000_000);
@@ -167,10 +172,10 @@
     (0..count).map(&mut draw).collect()
 }
 
-fn draw_deadly(seed: u64, size: &PlanSize) -> Vec<DeadlyRound> {
-    let mut random = StdRng::seed_from_u64(seed ^ DEADLY_SEED);
-    let count = (size.time.as_secs_f64() * DEADLY_PER_S).ceil() as usize;
-    let draw = |number: usize| DeadlyRound {
+fn draw_poison_rounds(seed: u64, size: &PlanSize) -> Vec<PoisonRound> {
+    let mut random = StdRng::seed_from_u64(seed ^ POISON_SEED);
+    let count = (size.time.as_secs_f64() * POISON_ROUNDS_PER_S).ceil() as usize;
+    let draw = |number: usize| PoisonRound {
         at: size.time.mul_f64(0.5 * random.random::<f64>()),
         time: size.time.mul_f64(0.5),
         pause: Duration::from_millis(random.random_range(50..400)),
--- a/crates/soak/src/relay.rs
+++ b/crates/soak/src/relay.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that faults are injected with.
+//! A TCP relay on loopback that injects network faults: delays, silence and closed connections.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,26 +9,26 @@
 
 use crate::lock;
 
-/// Time between two looks of a path that is held up.
-const HOLD_PAUSE: Duration = Duration::from_millis(20);
+/// Interval at which a connection that passes no bytes checks whether the mode has changed.
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// How a relay passes bytes.
+/// How a relay forwards bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RelayMode {
-    /// As they come.
+    /// Bytes are forwarded at once.
     Open,
-    /// Each piece after this time.
+    /// Each chunk is forwarded after this delay.
     Delayed(Duration),
-    /// Not at all, in both directions, and connections stay.
+    /// Nothing is forwarded in either direction, and connections stay open.
     Silent,
-    /// Towards the server alone: answers are held up.
+    /// Bytes are forwarded to the server only; answers are held back.
     OneWay,
-    /// Not at all: connections are closed, also those that are open.
+    /// Connections are closed, those that are already open included.
     Closed,
 }
 
-/// A relay on a port of the system's choice.
+/// A relay that listens on a port chosen by the system.
 #[derive(Debug)]
 pub struct LoopbackRelay {
     shared: Arc<RelayShared>,
@@ -38,9 +38,9 @@
 #[derive(Debug)]
 struct RelayShared {
     mode: Mutex<RelayMode>,
-    /// Where connections lead; `None` while nobody listens there.
+    /// Address to which new connections are relayed; `None` while there is no server.
     upstream: Mutex<Option<SocketAddr>>,
-    /// Whether it has stopped to listen.
+    /// Whether the relay no longer listens.
     stopped: AtomicBool,
 }
 
@@ -48,7 +48,7 @@
     /// Starts a relay on `host`.
     ///
     /// # Errors
-    /// The host has no port to be had.
+    /// Returns an error if no port of `host` can be bound.
     pub fn start(host: &str, upstream: Option<SocketAddr>) -> std::io::Result<LoopbackRelay> {
         let listener = TcpListener::bind((host, 0))?;
         let address = listener.local_addr()?;
@@ -57,42 +57,43 @@
             upstream: Mutex::new(upstream),
             stopped: AtomicBool::new(false),
         });
-        let taken = Arc::clone(&shared);
+        let accepting = Arc::clone(&shared);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if taken.stopped.load(Ordering::Acquire) {
+                if accepting.stopped.load(Ordering::Acquire) {
                     return;
                 }
-                let taken = Arc::clone(&taken);
-                thread::spawn(move || pass(&stream, &taken));
+                let accepting = Arc::clone(&accepting);
+                thread::spawn(move || relay_connection(&stream, &accepting));
             }
         });
         Ok(LoopbackRelay { shared, address })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the relay listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Listens no more, for good: connections are refused, as those of a process that has ended.
+    /// Stops listening permanently. Connections are refused from then on, as with a process that has
+    /// ended.
     pub fn stop(&self) {
         self.shared.stopped.store(true, Ordering::Release);
-        // The listener looks at its next connection.
+        // The listener checks the flag at its next connection, which is made here.
         drop(TcpStream::connect(self.address));
     }
 
-    /// Whether it listens no more.
+    /// Returns whether the relay has stopped listening.
     pub fn has_stopped(&self) -> bool {
         self.shared.stopped.load(Ordering::Acquire)
     }
 
-    /// Passes so from now on, also on connections that are open.
+    /// Sets the mode, which also applies to open connections.
     pub fn set_mode(&self, mode: RelayMode) {
         *lock(&self.shared.mode) = mode;
     }
 
-    /// Leads new connections there from now on.
+    /// Sets the address to which new connections are relayed.
     pub fn set_upstream(&self, upstream: Option<SocketAddr>) {
         *lock(&self.shared.upstream) = upstream;
     }
@@ -104,30 +105,30 @@
     }
 }
 
-fn pass(near: &TcpStream, shared: &Arc<RelayShared>) {
+fn relay_connection(client: &TcpStream, shared: &Arc<RelayShared>) {
     let upstream = *lock(&shared.upstream);
     if shared.mode() == RelayMode::Closed {
         return;
     }
-    let Some(far) = upstream.and_then(|address| TcpStream::connect(address).ok()) else {
+    let Some(server) = upstream.and_then(|address| TcpStream::connect(address).ok()) else {
         return;
     };
-    let (Ok(near_out), Ok(far_out)) = (near.try_clone(), far.try_clone()) else {
+    let (Ok(client_out), Ok(server_out)) = (client.try_clone(), server.try_clone()) else {
         return;
     };
-    let back = Arc::clone(shared);
-    let answers = thread::spawn(move || copy(far, near_out, &back, true));
-    if let Ok(near_in) = near.try_clone() {
-        copy(near_in, far_out, shared, false);
+    let answer_shared = Arc::clone(shared);
+    let answers = thread::spawn(move || copy(server, client_out, &answer_shared, true));
+    if let Ok(client_in) = client.try_clone() {
+        copy(client_in, server_out, shared, false);
     }
-    // A panic in the copy would only have ended this connection.
+    // A panic in the copying thread affects this connection only.
     let _ = answers.join();
 }
 
-/// Copies one direction until its source ends, and tells the other side.
+/// Copies one direction until its source ends, and then closes that direction at the destination.
 fn copy(mut from: TcpStream, mut to: TcpStream, shared: &RelayShared, is_answer: bool) {
     let mut chunk = vec![0; CHUNK_BYTES];
-    if from.set_read_timeout(Some(HOLD_PAUSE)).is_err() {
+    if from.set_read_timeout(Some(HOLD_POLL_INTERVAL)).is_err() {
         return;
     }
     loop {
@@ -136,7 +137,7 @@
             break;
         }
         if mode == RelayMode::Silent || (mode == RelayMode::OneWay && is_answer) {
-            thread::sleep(HOLD_PAUSE);
+            thread::sleep(HOLD_POLL_INTERVAL);
             continue;
         }
         match from.read(&mut chunk) {
@@ -145,14 +146,14 @@
                 return;
             }
             Ok(count) => {
-                if let RelayMode::Delayed(time) = mode {
-                    thread::sleep(time);
+                if let RelayMode::Delayed(delay) = mode {
+                    thread::sleep(delay);
                 }
                 if to.write_all(&chunk[..count]).is_err() {
                     break;
                 }
             }
-            Err(error) if is_wait(&error) => {}
+            Err(error) if is_read_timeout(&error) => {}
             Err(_) => break,
         }
     }
@@ -160,6 +161,6 @@
     let _ = to.shutdown(Shutdown::Both);
 }
 
-fn is_wait(error: &std::io::Error) -> bool {
+fn is_read_timeout(error: &std::io::Error) -> bool {
     matches!(error.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut)
 }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,57 +1,57 @@
-//! What a run found.
+//! The report of a run.
 
 use serde::Serialize;
 
-/// A promise that was not kept.
+/// A promise that was broken, with the observed cases.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// Which promise.
+    /// Name of the promise.
     pub promise: &'static str,
-    /// How often.
+    /// Number of cases.
     pub count: usize,
-    /// The first few cases.
+    /// Descriptions of the first cases.
     pub cases: Vec<String>,
 }
 
 impl Violation {
-    /// Cases that are shown.
-    const SHOWN: usize = 5;
+    /// Number of cases that a report describes.
+    const MAX_CASES: usize = 5;
 
-    /// A violation by these cases, or `None` if there are no more than `allowed`.
+    /// Returns a violation with these cases, or `None` if there are at most `allowed`.
     pub fn of(promise: &'static str, cases: Vec<String>, allowed: usize) -> Option<Violation> {
         if cases.len() <= allowed {
             return None;
         }
         let count = cases.len();
-        Some(Violation { promise, count, cases: cases.into_iter().take(Self::SHOWN).collect() })
+        Some(Violation { promise, count, cases: cases.into_iter().take(Self::MAX_CASES).collect() })
     }
 }
 
-/// A run's report, one line of JSON.
+/// The report of a run, printed as one line of JSON.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct SoakReport {
-    /// The seed.
+    /// Seed of the plan.
     pub seed: u64,
-    /// Faults in the plan.
+    /// Number of faults in the plan.
     pub faults: usize,
-    /// Requests of callers.
+    /// Number of requests that callers made.
     pub requests: usize,
-    /// Those that were answered well.
+    /// Number of requests with a complete and correct answer of status 200.
     pub served: usize,
-    /// Those that were refused truly.
+    /// Number of requests that were refused with the promise that they have not run.
     pub refused: usize,
-    /// Questions which configuration is in force.
+    /// Number of answered probes for the configuration that is in force.
     pub probes: usize,
-    /// Configurations that were written.
+    /// Number of configurations that were written.
     pub configs: u32,
-    /// The longest time by which this program was woken late, in milliseconds: bounds are
-    /// stretched by it.
+    /// Longest delay with which a thread of this program was woken, in milliseconds. Time bounds
+    /// are extended in proportion to it.
     pub late_ms: u64,
-    /// The longest time by which the machine kept a box from running within one look, in
-    /// milliseconds. Boxes that waited long count as disturbed.
+    /// Longest time that a thread of a box waited for a processor between two measurements, in
+    /// milliseconds. A box counts as disturbed while it waited long.
     pub starved_ms: u64,
-    /// Promises that were not kept.
+    /// Promises that were broken.
     pub violations: Vec<Violation>,
-    /// Where logs and time line are, if they were kept.
+    /// Directory of the logs and the event trace, if they were kept.
     pub directory: Option<String>,
 }
--- a/crates/soak/src/settings.rs
+++ b/crates/soak/src/settings.rs
@@ -1,4 +1,4 @@
-//! The soak's flags, resolved into checked settings.
+//! The command line flags of the soak and their validation.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -7,65 +7,65 @@
 use wingbridge_process::SettingError;
 use wingbridge_process::settings::{self, raw_text, setting};
 
-/// Checked settings.
+/// Validated settings.
 #[derive(Debug, Clone)]
 pub struct SoakSettings {
-    /// The program of a box.
+    /// Path of the box's program.
     pub program: PathBuf,
-    /// The first seed.
+    /// First seed.
     pub first_seed: u64,
-    /// How many seeds, one after the other.
+    /// Number of consecutive seeds, which run one after the other.
     pub seeds: u64,
-    /// How long faults are injected.
+    /// Time for which faults are injected.
     pub time: Duration,
-    /// Boxes, in two data centres.
+    /// Number of boxes, spread over two data centres.
     pub boxes: usize,
-    /// Targets, in three services.
+    /// Number of targets, spread over three services.
     pub targets: usize,
-    /// Callers at once.
+    /// Number of concurrent callers.
     pub callers: usize,
-    /// Routes in each configuration beside those that callers use.
+    /// Number of routes in each configuration that callers do not use.
     pub routes: usize,
-    /// Faults a second, on average; they overlap.
+    /// Average number of faults per second. Faults overlap.
     pub faults_per_s: f64,
-    /// Where logs and time lines are kept.
+    /// Directory for logs and event traces.
     pub directory: PathBuf,
 }
 
-/// The command line of `wingbridge-soak`.
+/// Returns the command line of `wingbridge-soak`.
 pub fn soak_command() -> Command {
     Command::new("wingbridge-soak")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Runs real boxes under faults drawn from a seed, and checks what callers and targets saw")
+        .about("Runs real boxes under faults drawn from a seed, and checks what callers and targets observed")
         .arg(
-            setting("program", "Program of a box", "A path to wingbridge-box.")
+            setting("program", "Path of the box's program", "The path of a built wingbridge-box.")
                 .default_value("target/release/wingbridge-box"),
         )
         .arg(setting("seed", "First seed", "0 or more; the same seed plans the same faults.").default_value("1"))
-        .arg(setting("seeds", "Seeds, one after the other", "1 to 10000.").default_value("1"))
-        .arg(setting("seconds", "Time in which faults are injected", "1 to 3600.").default_value("20"))
+        .arg(setting("seeds", "Number of seeds, run one after the other", "1 to 10000.").default_value("1"))
+        .arg(setting("seconds", "Time for which faults are injected, in seconds", "1 to 3600.").default_value("20"))
         .arg(setting("boxes", "Boxes", "2 to 100, in two data centres.").default_value("5"))
         .arg(setting("targets", "Targets", "3 to 200, in three services.").default_value("9"))
-        .arg(setting("callers", "Callers at once", "1 to 200.").default_value("12"))
+        .arg(setting("callers", "Number of concurrent callers", "1 to 200.").default_value("12"))
         .arg(
             setting(
                 "routes",
-                "Routes in each configuration beside those that callers use",
-                "0 to 5000; 4000 make 0.7 MB, which boxes hand on as what is new in it.",
+                "Number of additional routes in each configuration that callers do not use",
+                "0 to 5000; with 4000 a configuration has 0.7 MB, and boxes transfer deltas of it.",
             )
             .default_value("0"),
         )
-        .arg(setting("faults", "Faults in ten seconds, on average", "1 to 100.").default_value("8"))
+        .arg(setting("faults", "Average number of faults in ten seconds", "1 to 100.").default_value("8"))
         .arg(
-            setting("directory", "Where logs and time lines are kept", "A path; it is made if missing.")
+            setting("directory", "Directory for logs and event traces", "A path; created if missing.")
                 .default_value("target/soak"),
         )
 }
 
-/// Checks the raw settings.
+/// Validates the command line.
 ///
 /// # Errors
-/// The first setting that is not allowed.
+/// Returns an error for the first setting whose value is not allowed.
 pub fn resolve(matches: &ArgMatches) -> Result<SoakSettings, SettingError> {
     let program = PathBuf::from(raw_text(matches, "program"));
     if !program.is_file() {
--- a/crates/soak/src/starvation.rs
+++ b/crates/soak/src/starvation.rs
@@ -1,28 +1,28 @@
-//! Whether the machine let a box run: how long its threads waited for a processor.
+//! Measures how long the threads of a box waited for a processor.
 //!
-//! A busy machine may leave one processor's threads waiting for seconds while others run on
-//! time, so the soak's own lateness does not show it. The kernel counts the waiting of each
-//! thread; a box that waited much within a look counts as disturbed then, and all boxes do
-//! where the soak itself waited: its callers and stand-ins stood still.
+//! On a busy machine the threads of one processor may wait for seconds while those of others run
+//! on time, so the lateness of the soak's own threads does not show it. The kernel counts the run
+//! queue time of each thread. A box with a long wait between two measurements counts as disturbed,
+//! and all boxes do if the soak itself waited, as its callers and stand-ins were not running then.
 
 use std::collections::HashMap;
 use std::fs;
 use std::path::Path;
 use std::time::Duration;
 
-/// Waiting within one look, of one thread, from which on a box counts as disturbed.
-pub const STARVED_FROM: Duration = Duration::from_millis(150);
+/// Run queue time of one thread between two measurements from which a box counts as disturbed.
+pub const STARVATION_THRESHOLD: Duration = Duration::from_millis(150);
 
-/// How long threads have waited so far, by process and thread.
+/// The run queue time of each thread at the last measurement, by process and thread.
 #[derive(Debug, Default)]
-pub struct StarvationWatch {
+pub struct StarvationMonitor {
     waits: HashMap<(u32, String), Duration>,
 }
 
-impl StarvationWatch {
-    /// The longest time that a thread of the process has waited since the last look; zero
-    /// where the kernel does not tell, or the process is gone.
-    pub fn look(&mut self, process: u32) -> Duration {
+impl StarvationMonitor {
+    /// Returns the longest time that a thread of `process` has waited since the last measurement.
+    /// Returns zero if the kernel does not report it or the process has ended.
+    pub fn measure(&mut self, process: u32) -> Duration {
         let Ok(threads) = fs::read_dir(format!("/proc/{process}/task")) else {
             return Duration::ZERO;
         };
@@ -39,7 +39,7 @@
     }
 }
 
-/// The second number of a thread's account: nanoseconds on a run queue.
+/// Reads the second number of the thread's `schedstat`: nanoseconds on a run queue.
 fn read_wait(thread: &Path) -> Option<Duration> {
     let text = fs::read_to_string(thread.join("schedstat")).ok()?;
     let waited = text.split_whitespace().nth(1)?.parse::<u64>().ok()?;
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -1,17 +1,17 @@
-//! Each check finds what it is there for, and nothing in a run without fault.
+//! Each check of the soak reports its violation and nothing else, and a run without faults has none.
 
 use std::time::{Duration, Instant};
 
 use wingbridge_platform_standins::{AnswerCheck, Arrival, NoticeRecord, TargetNotice};
 use wingbridge_soak::callers::{CallerEnd, CallerRecord};
 use wingbridge_soak::checks::{ProbeRecord, SoakEvidence, check_all};
+use wingbridge_soak::environment::{CUSTOMER, ConfigHistory};
 use wingbridge_soak::spans::{SpanLog, SpanScope};
-use wingbridge_soak::world::{CUSTOMER, ConfigBoard};
 
 const SERVED: CallerEnd = CallerEnd::Answered(200, AnswerCheck::Whole);
 
-/// A run of one order and one repeatable request, both served.
-fn quiet(start: Instant) -> SoakEvidence {
+/// Evidence of a run with one order and one repeatable request, both served.
+fn faultless_run(start: Instant) -> SoakEvidence {
     SoakEvidence {
         records: vec![
             record("0-1", "/order/1", start, 100, SERVED),
@@ -24,10 +24,10 @@
         notices: Vec::new(),
         probes: Vec::new(),
         departures: Vec::new(),
-        board: ConfigBoard::default(),
+        config_history: ConfigHistory::default(),
         spans: SpanLog::default(),
         margin: Duration::from_millis(500),
-        strays: Vec::new(),
+        process_faults: Vec::new(),
         recovered: true,
     }
 }
@@ -57,25 +57,25 @@
 }
 
 fn probe(start: Instant, millis: u64, version: u32, status: u16) -> ProbeRecord {
-    let asked = start + Duration::from_millis(millis);
+    let sent = start + Duration::from_millis(millis);
     ProbeRecord {
         id: format!("p0-{millis}"),
         index: 0,
-        life: 1,
+        incarnation: 1,
         version,
-        asked,
-        ended: asked,
+        sent,
+        ended: sent,
         status,
     }
 }
 
-/// What the target said of itself in its answer to the first repeatable request.
+/// A notice in the target's answer to the first repeatable request.
 fn notice(start: Instant, notice: TargetNotice) -> NoticeRecord {
     let at = start + Duration::from_millis(20);
     NoticeRecord { request: "0-2".into(), target: "t-1".into(), notice, at }
 }
 
-/// Has the same box send so many more requests to that target, from ten seconds later on.
+/// Adds `count` requests of the same box to that target, one per second from ten seconds later on.
 fn send_later(run: &mut SoakEvidence, start: Instant, count: u64) {
     for number in 0..count {
         let (id, sent) = (format!("0-l{number}"), start + Duration::from_secs(10 + number));
@@ -86,41 +86,45 @@
 
 struct CheckCase {
     promise: &'static str,
-    spoil: fn(&mut SoakEvidence, Instant),
+    break_promise: fn(&mut SoakEvidence, Instant),
 }
 
 const CASES: &[CheckCase] = &[
     CheckCase {
         promise: "targets are told the customer and no key",
-        spoil: |evidence, _| evidence.arrivals[0].has_key = true,
+        break_promise: |evidence, _| evidence.arrivals[0].has_key = true,
     },
     CheckCase {
         promise: "targets are told the customer and no key",
-        spoil: |evidence, _| evidence.arrivals[0].customer = Some("another".into()),
+        break_promise: |evidence, _| evidence.arrivals[0].customer = Some("another".into()),
     },
     CheckCase {
         promise: "an order runs once at most",
-        spoil: |run, start| run.arrivals.push(arrival("0-1", "/order/1", "orders", start, 50)),
+        break_promise: |run, start| {
+            run.arrivals.push(arrival("0-1", "/order/1", "orders", start, 50))
+        },
     },
     CheckCase {
         promise: "what is refused has not run",
-        spoil: |run, _| run.records[0].end = CallerEnd::Answered(503, AnswerCheck::Whole),
+        break_promise: |run, _| run.records[0].end = CallerEnd::Answered(503, AnswerCheck::Whole),
     },
     CheckCase {
         promise: "a success is the target's whole answer",
-        spoil: |run, _| run.records[1].end = CallerEnd::Answered(200, AnswerCheck::Wrong),
+        break_promise: |run, _| run.records[1].end = CallerEnd::Answered(200, AnswerCheck::Wrong),
     },
     CheckCase {
         promise: "targets get what callers sent, at the right service",
-        spoil: |run, start| run.arrivals.push(arrival("0-9", "/read/9", "reads", start, 50)),
+        break_promise: |run, start| {
+            run.arrivals.push(arrival("0-9", "/read/9", "reads", start, 50))
+        },
     },
     CheckCase {
         promise: "targets get what callers sent, at the right service",
-        spoil: |run, _| run.arrivals[0].service = "reads".into(),
+        break_promise: |run, _| run.arrivals[0].service = "reads".into(),
     },
     CheckCase {
         promise: "a request under which targets end reaches few more",
-        spoil: |run, start| {
+        break_promise: |run, start| {
             for number in 0..7 {
                 let (id, sent) = (format!("0-d{number}"), start + Duration::from_secs(10 * number));
                 let path = "/read/deadly-1";
@@ -132,21 +136,21 @@
     },
     CheckCase {
         promise: "a target that says that it leaves is left alone",
-        spoil: |run, start| {
+        break_promise: |run, start| {
             run.notices.push(notice(start, TargetNotice::Draining));
             send_later(run, start, 1);
         },
     },
     CheckCase {
         promise: "a target that asks for rest gets it",
-        spoil: |run, start| {
+        break_promise: |run, start| {
             run.notices.push(notice(start, TargetNotice::Backoff(Duration::from_secs(30))));
             send_later(run, start, 3);
         },
     },
     CheckCase {
         promise: "a target that names a limit gets no more",
-        spoil: |run, start| {
+        break_promise: |run, start| {
             let first = notice(start, TargetNotice::Limit(1_000_000));
             let last = NoticeRecord { at: start + Duration::from_secs(30), ..first.clone() };
             run.notices.extend([first, last]);
@@ -159,18 +163,18 @@
     },
     CheckCase {
         promise: "a planned stop cuts nothing",
-        spoil: |run, _| {
+        break_promise: |run, _| {
             run.spans.begin(SpanScope::PlannedStop(0));
             run.records[0].end = CallerEnd::Closed;
         },
     },
     CheckCase {
         promise: "a request is answered in its time",
-        spoil: |run, start| run.records[1].ended = start + Duration::from_millis(4200),
+        break_promise: |run, start| run.records[1].ended = start + Duration::from_millis(4200),
     },
     CheckCase {
         promise: "a leaving target gets no new work",
-        spoil: |run, start| {
+        break_promise: |run, start| {
             run.departures.push(("t-1".into(), start));
             run.records.push(record("0-3", "/read/3", start, 2700, SERVED));
             run.arrivals.push(arrival("0-3", "/read/3", "reads", start, 2600));
@@ -178,11 +182,13 @@
     },
     CheckCase {
         promise: "a configuration never reverts",
-        spoil: |run, start| run.probes = vec![probe(start, 0, 2, 200), probe(start, 900, 2, 404)],
+        break_promise: |run, start| {
+            run.probes = vec![probe(start, 0, 2, 200), probe(start, 900, 2, 404)]
+        },
     },
     CheckCase {
         promise: "a hang-up cancels",
-        spoil: |run, start| {
+        break_promise: |run, start| {
             for number in 10..14 {
                 let (id, path) = (format!("0-{number}"), format!("/read/{number}"));
                 run.records.push(record(&id, &path, start, 20, CallerEnd::GivenUp));
@@ -192,7 +198,7 @@
     },
     CheckCase {
         promise: "retries stay within the budget",
-        spoil: |run, start| {
+        break_promise: |run, start| {
             for millis in 20..60 {
                 run.arrivals.push(arrival("0-2", "/read/2", "reads", start, millis));
             }
@@ -200,18 +206,21 @@
     },
     CheckCase {
         promise: "processes run until they are stopped",
-        spoil: |run, _| run.strays.push("box 0 ended by itself".into()),
+        break_promise: |run, _| run.process_faults.push("box 0 ended by itself".into()),
+    },
+    CheckCase {
+        promise: "service returns after faults",
+        break_promise: |run, _| run.recovered = false,
     },
-    CheckCase { promise: "service returns after faults", spoil: |run, _| run.recovered = false },
 ];
 
 #[test]
-fn each_check_finds_what_it_is_there_for() {
+fn each_check_reports_its_violation_only() {
     let start = Instant::now();
-    assert_eq!(check_all(&quiet(start)), []);
+    assert_eq!(check_all(&faultless_run(start)), []);
     for case in CASES {
-        let mut run = quiet(start);
-        (case.spoil)(&mut run, start);
+        let mut run = faultless_run(start);
+        (case.break_promise)(&mut run, start);
         let found = check_all(&run);
         let promises: Vec<&str> = found.iter().map(|violation| violation.promise).collect();
         assert_eq!(promises, [case.promise]);
@@ -219,16 +228,16 @@
 }
 
 #[test]
-fn what_a_disturbed_box_does_is_excused() {
+fn time_bounds_do_not_apply_to_disturbed_boxes() {
     let start = Instant::now();
-    let mut run = quiet(start);
+    let mut run = faultless_run(start);
     run.spans.begin(SpanScope::Box(0));
     run.records[0].end = CallerEnd::Closed;
     run.records[1].ended = start + Duration::from_millis(4200);
     run.departures.push(("t-1".into(), start));
     run.arrivals.push(arrival("0-1", "/order/1", "orders", start, 10));
     let found = check_all(&run);
-    // What must hold at any time is not excused.
+    // Promises without a time bound apply to disturbed boxes as well.
     let promises: Vec<&str> = found.iter().map(|violation| violation.promise).collect();
     assert_eq!(promises, ["an order runs once at most"]);
 }
--- a/crates/standin/src/bin/standin-store.rs
+++ b/crates/standin/src/bin/standin-store.rs
@@ -1,4 +1,4 @@
-//! The stand-in as a program.
+//! The `standin-store` program: a stand-in for the platform's store.
 
 use std::process::ExitCode;
 
--- a/crates/standin/src/bin/standin-target.rs
+++ b/crates/standin/src/bin/standin-target.rs
@@ -1,4 +1,4 @@
-//! The stand-in as a program.
+//! The `standin-target` program: a stand-in for a target.
 
 use std::process::ExitCode;
 
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,6 @@
-//! Small stand-ins for what is around wingbridge: the platform's store and box
-//! list, and targets. They have the faults that the real ones have, switched by
-//! a handle in the same process or by `POST /v1/faults` from another one.
+//! Small stand-ins for the systems around wingbridge: the platform's store and box list, and
+//! targets. They can be given the faults of the real ones, through a handle within the process or
+//! by `POST /v1/faults` from another process.
 
 pub mod settings;
 pub mod store;
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as programs.
+//! Command lines and entry points of the stand-in programs.
 
 use std::time::Duration;
 
@@ -12,50 +12,50 @@
 use crate::store_state::StoreHandle;
 use crate::target::{TargetHandle, TargetSettings, serve_target};
 
-/// The command line of `standin-store`.
+/// Returns the command line of `standin-store`.
 pub fn store_command() -> Command {
     Command::new("standin-store")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("A stand-in for the platform's store and box list")
+        .about("Stand-in for the platform's store and box list")
         .arg(listen_setting())
 }
 
-/// The command line of `standin-target`.
+/// Returns the command line of `standin-target`.
 pub fn target_command() -> Command {
     Command::new("standin-target")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("A stand-in for a target, with faults")
+        .about("Stand-in for a target, with configurable faults")
         .arg(listen_setting())
         .arg(
             setting(
                 "slots",
-                "Requests worked on at once",
-                "More wait, and past 20 for each slot it sheds.",
+                "Number of requests processed concurrently",
+                "Further requests are queued; beyond 20 per slot they are shed.",
             )
             .default_value("3"),
         )
         .arg(
             setting(
                 "work-ms",
-                "Median time of the work, in milliseconds",
-                "The times are log-normal.",
+                "Median processing time, in milliseconds",
+                "Processing times have a log-normal distribution.",
             )
             .default_value("10"),
         )
         .arg(
             setting(
                 "download-bytes",
-                "Length of the body under /download",
-                "Its bytes are a fixed pattern.",
+                "Length of the body of /download, in bytes",
+                "The bytes follow a fixed pattern.",
             )
             .default_value("2000000"),
         )
 }
 
-/// Runs the store until `stop`.
+/// Runs the store until `stop` is signalled.
 ///
 /// # Errors
-/// A setting is not allowed, or the address can't be listened on.
+/// Returns an error if a setting is not allowed or the address can't be bound.
 pub fn run_store(matches: &ArgMatches, stop: &StopSignal) -> eyre::Result<Outcome> {
     let address = settings::address(matches, "listen")?;
     async_std::task::block_on(async {
@@ -66,10 +66,10 @@
     })
 }
 
-/// Runs a target until `stop`.
+/// Runs a target until `stop` is signalled.
 ///
 /// # Errors
-/// A setting is not allowed, or the address can't be listened on.
+/// Returns an error if a setting is not allowed or the address can't be bound.
 pub fn run_target(matches: &ArgMatches, stop: &StopSignal) -> eyre::Result<Outcome> {
     let address = settings::address(matches, "listen")?;
     let slots = settings::number(matches, "slots", 1..=10_000)?;
@@ -104,7 +104,7 @@
     setting(
         "listen",
         "Address to listen on",
-        "An IP number and a port; port 0 lets the system choose.",
+        "An IP address and a port; with port 0 the system chooses one.",
     )
     .default_value("127.0.0.1:0")
 }
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -1,4 +1,4 @@
-//! The store stand-in's end points; docs/STORE.md is their page.
+//! HTTP end points of the store stand-in. `docs/STORE.md` describes them.
 
 use std::time::{Duration, Instant};
 
@@ -10,14 +10,16 @@
 use wingbridge_http::{IncomingRequest, MessageLimits};
 use wingbridge_store::BoxRecord;
 
-use crate::store_state::{CallGate, StoreFaults, StoreHandle};
+use crate::store_state::{Admission, StoreFaults, StoreHandle};
 
-const VALUE_LIMIT: usize = 1 << 20;
-const WATCH_MOST: Duration = Duration::from_secs(60);
+/// Maximum length of a value.
+const MAX_VALUE_BYTES: usize = 1 << 20;
+/// Maximum time that a watch may wait for a change.
+const MAX_WATCH_TIME: Duration = Duration::from_secs(60);
 
 /// Serves the store's end points until the task is dropped.
 pub async fn serve_store(listener: TcpListener, handle: StoreHandle) {
-    let limits = MessageLimits { max_body_bytes: VALUE_LIMIT, ..MessageLimits::default() };
+    let limits = MessageLimits { max_body_bytes: MAX_VALUE_BYTES, ..MessageLimits::default() };
     let settings = ServerSettings { limits, ..ServerSettings::default() };
     serve(listener, settings, move |request| answer(handle.clone(), request.incoming)).await;
 }
@@ -30,10 +32,10 @@
     if path == "/v1/stats" {
         return to_json(&StoreStats { calls: handle.calls() });
     }
-    let delay = match handle.enter() {
-        CallGate::Outage => return text_response(503, "outage"),
-        CallGate::Limited => return text_response(429, "over the rate"),
-        CallGate::Open { delay } => delay,
+    let delay = match handle.admit() {
+        Admission::Outage => return text_response(503, "outage"),
+        Admission::Limited => return text_response(429, "over the rate"),
+        Admission::Accepted { delay } => delay,
     };
     if !delay.is_zero() {
         task::sleep(delay).await;
@@ -74,12 +76,14 @@
     keys: Option<u64>,
     boxes: Option<u64>,
 ) {
-    let wait = Duration::from_millis(query_number(incoming, "wait_ms")).min(WATCH_MOST);
+    let wait = Duration::from_millis(query_number(incoming, "wait_ms")).min(MAX_WATCH_TIME);
     let until = Instant::now() + wait;
-    // Keys and boxes share the wake-up, so the other's change wakes this one too.
+    // Changes of keys and of boxes wake the same watchers, so the condition is checked again.
     while let Some(changed) = handle.next_change(keys, boxes) {
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() || async_std::future::timeout(left, changed.recv()).await.is_err() {
+        let remaining = until.saturating_duration_since(Instant::now());
+        if remaining.is_zero()
+            || async_std::future::timeout(remaining, changed.recv()).await.is_err()
+        {
             return;
         }
     }
--- a/crates/standin/src/store_state.rs
+++ b/crates/standin/src/store_state.rs
@@ -1,4 +1,4 @@
-//! What the store stand-in holds, and its faults.
+//! Contents and faults of the store stand-in.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -9,25 +9,26 @@
 use serde::{Deserialize, Serialize};
 use wingbridge_store::{BoxListing, BoxRecord, CallBudget, KeyListing, KeyRecord, WriteReply};
 
-/// Faults of the store.
+/// Faults of the store, as set by `/v1/faults`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StoreFaults {
-    /// No call is answered well.
+    /// Every call fails.
     pub outage: bool,
-    /// Each answer is this much later.
+    /// Additional delay of each answer, in milliseconds.
     pub delay_ms: u64,
-    /// So many of the next writes take effect and are then not answered.
+    /// Number of next writes that take effect but whose answers are lost.
     pub lose_write_answers: u32,
-    /// So many of the next watch answers leave out what changed.
+    /// Number of next watch answers that omit the changes.
     pub skip_watch_answers: u32,
-    /// So many of the next watch answers repeat all there is.
+    /// Number of next watch answers that contain all keys, unchanged ones included.
     pub repeat_watch_answers: u32,
-    /// Calls a second beyond which it refuses; 0 for no limit.
+    /// Maximum rate of calls per second, beyond which calls are refused; 0 for no limit.
     pub calls_per_second: u32,
 }
 
-/// The store, shared between its server and who holds the handle.
+/// Handle of a store, shared by its server and by the code that sets its faults. Clones share the
+/// same store.
 #[derive(Debug, Clone, Default)]
 pub struct StoreHandle {
     shared: Arc<Mutex<StoreState>>,
@@ -43,23 +44,23 @@
     budget: Option<CallBudget>,
     started: Option<Instant>,
     calls: u64,
-    waiting: Vec<Sender<Infallible>>,
+    watchers: Vec<Sender<Infallible>>,
 }
 
-/// What a call meets before it is worked on.
-pub(crate) enum CallGate {
-    Open { delay: Duration },
+/// Whether a call is processed.
+pub(crate) enum Admission {
+    Accepted { delay: Duration },
     Limited,
     Outage,
 }
 
 impl StoreHandle {
-    /// An empty store.
+    /// Creates an empty store without faults.
     pub fn new() -> StoreHandle {
         StoreHandle::default()
     }
 
-    /// Sets all faults.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: StoreFaults) {
         let mut state = self.state();
         let rate = f64::from(faults.calls_per_second);
@@ -68,83 +69,83 @@
         state.faults = faults;
     }
 
-    /// The faults now.
+    /// Returns the current faults.
     pub fn faults(&self) -> StoreFaults {
         self.state().faults.clone()
     }
 
-    /// Calls that were made, waiting watches counted once each.
+    /// Returns the number of calls received. A watch counts once, however long it waits.
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
 
-    /// Adds a box to the list or changes it.
+    /// Adds a box to the box list, or replaces its record.
     pub fn set_box(&self, mut record: BoxRecord) {
         let mut state = self.state();
         state.box_revision += 1;
         record.revision = state.box_revision;
         state.boxes.insert(record.box_id.clone(), record);
-        state.waiting.clear();
+        state.watchers.clear();
     }
 
-    /// A copy of all keys, to go back to with [`StoreHandle::restore`].
+    /// Returns a copy of all keys for [`StoreHandle::restore`].
     pub fn snapshot(&self) -> Vec<KeyRecord> {
         self.state().keys.values().cloned().collect()
     }
 
-    /// Goes back to an older state, as after a restart from a backup.
+    /// Restores an older state, as a restart from a backup does.
     pub fn restore(&self, snapshot: Vec<KeyRecord>) {
         let mut state = self.state();
         state.revision = snapshot.iter().map(|record| record.revision).max().unwrap_or(0);
         state.keys = snapshot.into_iter().map(|record| (record.key.clone(), record)).collect();
-        state.waiting.clear();
+        state.watchers.clear();
     }
 
-    /// One key.
+    /// Returns the record of `key`, if it exists.
     pub fn read(&self, key: &str) -> Option<KeyRecord> {
         self.state().keys.get(key).cloned()
     }
 
-    /// Writes `value` if the key's revision is `expected`.
+    /// Writes `value` if the revision of `key` is `expected`, where 0 means that it does not exist.
     pub fn write(&self, key: &str, expected: u64, value: &str) -> WriteReply {
         let mut state = self.state();
-        let held = state.keys.get(key).map_or(0, |record| record.revision);
-        if held != expected {
-            return WriteReply { written: false, revision: held };
+        let current = state.keys.get(key).map_or(0, |record| record.revision);
+        if current != expected {
+            return WriteReply { written: false, revision: current };
         }
         state.revision += 1;
         let revision = state.revision;
         let record = KeyRecord { key: key.to_string(), revision, value: value.to_string() };
         state.keys.insert(key.to_string(), record);
-        state.waiting.clear();
+        state.watchers.clear();
         WriteReply { written: true, revision }
     }
 
-    pub(crate) fn enter(&self) -> CallGate {
+    pub(crate) fn admit(&self) -> Admission {
         let mut state = self.state();
         state.calls += 1;
         if state.faults.outage {
-            return CallGate::Outage;
+            return Admission::Outage;
         }
         let since = state.started.map_or(Duration::ZERO, |started| started.elapsed());
         if state.budget.as_mut().is_some_and(|budget| budget.take(since).is_err()) {
-            return CallGate::Limited;
+            return Admission::Limited;
         }
-        CallGate::Open { delay: Duration::from_millis(state.faults.delay_ms) }
+        Admission::Accepted { delay: Duration::from_millis(state.faults.delay_ms) }
     }
 
-    /// Whether the answer to the write just made is lost.
+    /// Returns whether the answer to the present write is to be lost, and counts it as lost.
     pub(crate) fn loses_answer(&self) -> bool {
-        take_one(&mut self.state().faults.lose_write_answers)
+        decrement(&mut self.state().faults.lose_write_answers)
     }
 
     pub(crate) fn list(&self, after: u64) -> KeyListing {
         let mut state = self.state();
         let revision = state.revision;
-        if after > 0 && revision > after && take_one(&mut state.faults.skip_watch_answers) {
+        if after > 0 && revision > after && decrement(&mut state.faults.skip_watch_answers) {
             return KeyListing { revision, entries: Vec::new() };
         }
-        let repeat = after > 0 && take_one(&mut state.faults.repeat_watch_answers);
+        let repeat = after > 0 && decrement(&mut state.faults.repeat_watch_answers);
         let from = if repeat { 0 } else { after };
         let newer = state.keys.values().filter(|record| record.revision > from);
         KeyListing { revision, entries: newer.cloned().collect() }
@@ -156,7 +157,8 @@
         BoxListing { revision: state.box_revision, boxes: newer.cloned().collect() }
     }
 
-    /// A channel that closes at the next change, if nothing changed after the given revisions.
+    /// Returns a channel that closes at the next change, or `None` if something has changed since the
+    /// given revisions.
     pub(crate) fn next_change(
         &self,
         keys: Option<u64>,
@@ -169,7 +171,7 @@
             return None;
         }
         let (sender, receiver) = async_channel::bounded(1);
-        state.waiting.push(sender);
+        state.watchers.push(sender);
         Some(receiver)
     }
 
@@ -178,8 +180,9 @@
     }
 }
 
-fn take_one(count: &mut u32) -> bool {
-    let some = *count > 0;
+/// Decrements `count` and returns whether it was above 0.
+fn decrement(count: &mut u32) -> bool {
+    let was_positive = *count > 0;
     *count = count.saturating_sub(1);
-    some
+    was_positive
 }
