--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -1,4 +1,5 @@
-//! A target: some slots, work that takes time, a log of what it ran.
+//! Stand-in for a target, with a limited number of slots, random processing times and a log of what it
+//! executed.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -20,28 +21,28 @@
 
 use crate::target_faults::TargetFaults;
 
-/// Requests that wait for a slot, for each slot, before the target sheds.
-const QUEUE_PER_SLOT: usize = 20;
-const CHUNK: usize = 32 * 1024;
+/// Number of requests in the target, per slot, beyond which it sheds further requests.
+const MAX_QUEUED_PER_SLOT: usize = 20;
+const CHUNK_BYTES: usize = 32 * 1024;
 
-/// How a target behaves when nothing is wrong with it.
+/// Settings of a target without faults.
 #[derive(Debug, Clone)]
 pub struct TargetSettings {
-    /// Its name in answers.
+    /// Name of the target in its answers.
     pub name: String,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: usize,
-    /// Median time of the work.
+    /// Median processing time.
     pub work: Duration,
-    /// Spread of that time: the sigma of its logarithm.
+    /// Standard deviation of the logarithm of the processing time.
     pub spread: f64,
-    /// Length of the body under `/download`, in bytes.
+    /// Length of the body of `/download`, in bytes.
     pub download_bytes: u64,
-    /// Seeds its random source.
+    /// Seed of the random source for processing times and failures.
     pub seed: u64,
 }
 
-/// A running target, for who switches its faults and reads its log.
+/// Handle of a target, to set its faults and to read its log. Clones share the same target.
 #[derive(Debug, Clone)]
 pub struct TargetHandle {
     shared: Arc<TargetShared>,
@@ -51,115 +52,118 @@
 struct TargetShared {
     settings: TargetSettings,
     incarnation: u64,
-    state: Mutex<TargetWork>,
+    state: Mutex<TargetState>,
     slots: (Sender<()>, Receiver<()>),
-    present: AtomicUsize,
+    in_flight: AtomicUsize,
 }
 
 #[derive(Debug)]
-struct TargetWork {
+struct TargetState {
     faults: TargetFaults,
     random: SmallRng,
     log: ExecutionLog,
 }
 
-/// What the target ran.
+/// Counts of what the target executed.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ExecutionLog {
-    /// Requests that reached it.
+    /// Number of requests received.
     pub received: u64,
-    /// Requests whose work was done.
+    /// Number of requests that were processed to the end.
     pub done: u64,
-    /// Requests whose caller went away meanwhile.
+    /// Number of requests whose caller hung up before the end.
     pub cancelled: u64,
-    /// How often the work of each order (header `x-order`) was begun.
+    /// Number of times that the processing of each order (header `x-order`) began.
     pub orders: BTreeMap<String, u32>,
 }
 
 impl TargetHandle {
-    /// A target with nothing wrong.
+    /// Creates a target without faults.
     pub fn new(settings: TargetSettings) -> TargetHandle {
         let slots = async_channel::bounded(settings.slots.max(1));
         for _ in 0..settings.slots {
             let _ = slots.0.try_send(());
         }
         let random = SmallRng::seed_from_u64(settings.seed);
-        let work =
-            TargetWork { faults: TargetFaults::default(), random, log: ExecutionLog::default() };
+        let state =
+            TargetState { faults: TargetFaults::default(), random, log: ExecutionLog::default() };
         let incarnation = rand::random::<u32>().into();
         let shared = TargetShared {
             settings,
             incarnation,
-            state: Mutex::new(work),
+            state: Mutex::new(state),
             slots,
-            present: AtomicUsize::new(0),
+            in_flight: AtomicUsize::new(0),
         };
         TargetHandle { shared: Arc::new(shared) }
     }
 
-    /// Sets all faults.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: TargetFaults) {
-        self.work().faults = faults;
+        self.state().faults = faults;
     }
 
-    /// What it ran.
+    /// Returns a copy of the log.
     pub fn log(&self) -> ExecutionLog {
-        self.work().log.clone()
+        self.state().log.clone()
     }
 
-    fn work(&self) -> MutexGuard<'_, TargetWork> {
+    fn state(&self) -> MutexGuard<'_, TargetState> {
         self.shared.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Chance and faults for one request.
-    fn draw(&self, box_id: &str) -> RequestFate {
-        let mut work = self.work();
-        work.log.received += 1;
-        let faults = work.faults.clone();
+    /// Determines how one request is handled, from the faults and the random source.
+    fn sample_behavior(&self, box_id: &str) -> RequestBehavior {
+        let mut state = self.state();
+        state.log.received += 1;
+        let faults = state.faults.clone();
         let settings = &self.shared.settings;
-        let micros = settings.work.as_secs_f64().ln();
-        let span = LogNormal::new(micros, settings.spread)
-            .map_or(settings.work.as_secs_f64(), |law| law.sample(&mut work.random));
-        let span = Duration::from_secs_f64(span * faults.slow.max(1.0));
-        let fails = work.random.random::<f64>() < faults.error_share;
+        let log_median = settings.work.as_secs_f64().ln();
+        let work_time = LogNormal::new(log_median, settings.spread)
+            .map_or(settings.work.as_secs_f64(), |distribution| {
+                distribution.sample(&mut state.random)
+            });
+        let work_time = Duration::from_secs_f64(work_time * faults.slow.max(1.0));
+        let fails = state.random.random::<f64>() < faults.error_share;
         let loses = faults.lose_answers > 0;
-        work.faults.lose_answers = faults.lose_answers.saturating_sub(u32::from(loses));
+        state.faults.lose_answers = faults.lose_answers.saturating_sub(u32::from(loses));
         let stalls = faults.stall || faults.cut_from.iter().any(|cut| cut == box_id);
-        RequestFate { span, fails, stalls, loses, draining: faults.draining }
+        RequestBehavior { work_time, fails, stalls, loses, draining: faults.draining }
     }
 }
 
-struct RequestFate {
-    span: Duration,
+/// How one request is handled.
+struct RequestBehavior {
+    work_time: Duration,
     fails: bool,
     stalls: bool,
     loses: bool,
     draining: bool,
 }
 
-/// Counts a request as present, and as cancelled if it is dropped before its end.
-struct PresentGuard {
+/// Counts a request as in flight until it is dropped, and as cancelled if that is before its end.
+struct InFlightGuard {
     handle: TargetHandle,
     ended: bool,
 }
 
-impl PresentGuard {
-    fn enter(handle: &TargetHandle) -> PresentGuard {
-        handle.shared.present.fetch_add(1, Ordering::AcqRel);
-        PresentGuard { handle: handle.clone(), ended: false }
+impl InFlightGuard {
+    fn enter(handle: &TargetHandle) -> InFlightGuard {
+        handle.shared.in_flight.fetch_add(1, Ordering::AcqRel);
+        InFlightGuard { handle: handle.clone(), ended: false }
     }
 }
 
-impl Drop for PresentGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.handle.shared.present.fetch_sub(1, Ordering::AcqRel);
+        self.handle.shared.in_flight.fetch_sub(1, Ordering::AcqRel);
         if !self.ended {
-            self.handle.work().log.cancelled += 1;
+            self.handle.state().log.cancelled += 1;
         }
     }
 }
 
-/// Gives a slot back when dropped.
+/// Releases a slot when dropped.
 struct SlotGuard {
     handle: TargetHandle,
 }
@@ -170,13 +174,13 @@
     }
 }
 
-/// Serves a target until the task is dropped.
+/// Serves requests to a target until the task is dropped.
 pub async fn serve_target(listener: TcpListener, handle: TargetHandle) {
     serve(listener, ServerSettings::default(), move |request| {
         let handle = handle.clone();
         async move {
             let mut response = answer(&handle, &request.incoming).await;
-            mark(&handle, &mut response);
+            add_status_headers(&handle, &mut response);
             response
         }
     })
@@ -199,31 +203,31 @@
         }
         _ => {}
     }
-    let mut guard = PresentGuard::enter(handle);
-    let fate = handle.draw(header(incoming, "x-wingbridge-box"));
-    let full = handle.shared.present.load(Ordering::Acquire)
-        > handle.shared.settings.slots * QUEUE_PER_SLOT;
-    if fate.draining || full {
+    let mut guard = InFlightGuard::enter(handle);
+    let behavior = handle.sample_behavior(header(incoming, "x-wingbridge-box"));
+    let full = handle.shared.in_flight.load(Ordering::Acquire)
+        > handle.shared.settings.slots * MAX_QUEUED_PER_SLOT;
+    if behavior.draining || full {
         guard.ended = true;
         let mut response = text_response(503, "not run");
         response.insert_header("x-not-run", "1");
         return response;
     }
-    if fate.stalls {
+    if behavior.stalls {
         pending::<()>().await;
     }
-    let _slot = take_slot(handle).await;
+    let _slot = acquire_slot(handle).await;
     let order = header(incoming, "x-order");
     if !order.is_empty() {
-        *handle.work().log.orders.entry(order.to_string()).or_default() += 1;
+        *handle.state().log.orders.entry(order.to_string()).or_default() += 1;
     }
-    task::sleep(fate.span).await;
+    task::sleep(behavior.work_time).await;
     guard.ended = true;
-    handle.work().log.done += 1;
-    if fate.loses {
+    handle.state().log.done += 1;
+    if behavior.loses {
         return broken_answer();
     }
-    if fate.fails {
+    if behavior.fails {
         return text_response(500, "it failed");
     }
     if request.url().path().starts_with("/download") {
@@ -245,17 +249,17 @@
     body: &'a str,
 }
 
-async fn take_slot(handle: &TargetHandle) -> SlotGuard {
-    // The channel of slots is never closed while the handle lives.
+async fn acquire_slot(handle: &TargetHandle) -> SlotGuard {
+    // The handle keeps the channel open, so this does not fail.
     let _ = handle.shared.slots.1.recv().await;
     SlotGuard { handle: handle.clone() }
 }
 
-/// Headers by which a target reports on itself.
-fn mark(handle: &TargetHandle, response: &mut Response) {
-    let faults = handle.work().faults.clone();
-    let present = handle.shared.present.load(Ordering::Acquire) as f32;
-    let load = faults.reported_load.unwrap_or(present / handle.shared.settings.slots as f32);
+/// Adds the headers in which a target reports its load, its state and its incarnation.
+fn add_status_headers(handle: &TargetHandle, response: &mut Response) {
+    let faults = handle.state().faults.clone();
+    let in_flight = handle.shared.in_flight.load(Ordering::Acquire) as f32;
+    let load = faults.reported_load.unwrap_or(in_flight / handle.shared.settings.slots as f32);
     let state = match (faults.draining, faults.cold) {
         (true, _) => "draining",
         (false, true) => "cold",
@@ -266,7 +270,8 @@
     response.insert_header("x-target-incarnation", handle.shared.incarnation.to_string());
 }
 
-/// Byte `position` of the download: any part can be checked on its own.
+/// Returns the byte at `position` of the download. It depends on the position only, so that any part
+/// can be verified separately.
 pub fn download_byte(position: u64) -> u8 {
     (position.wrapping_mul(2_654_435_761) >> 7) as u8
 }
@@ -275,7 +280,7 @@
     let length = handle.shared.settings.download_bytes;
     let from = range_start(incoming).filter(|from| *from < length);
     let start = from.unwrap_or(0);
-    let cut = handle.work().faults.cut_answers_after;
+    let cut = handle.state().faults.cut_answers_after;
     let mut response = text_response(if from.is_some() { 206 } else { 200 }, "");
     if incoming.request.method() != Method::Head {
         response.set_body(Body::from_reader(
@@ -290,7 +295,7 @@
     response
 }
 
-/// The bytes from `start` to `length`, broken off after `cut` of them if that is not 0.
+/// Returns a reader of the bytes from `start` to `length`. If `cut` is not 0, it fails after `cut` bytes.
 fn body_reader(
     start: u64,
     length: u64,
@@ -303,8 +308,8 @@
         } else if position >= length {
             Ok(None)
         } else {
-            let most = if cut > 0 { (start + cut).min(length) } else { length };
-            let end = (position + CHUNK as u64).min(most);
+            let end_limit = if cut > 0 { (start + cut).min(length) } else { length };
+            let end = (position + CHUNK_BYTES as u64).min(end_limit);
             let bytes: Vec<u8> = (position..end).map(download_byte).collect();
             Ok(Some((bytes, end)))
         })
@@ -312,7 +317,7 @@
     chunks.into_async_read()
 }
 
-/// A body that is announced and fails at once: the connection closes before it is whole.
+/// Returns an answer whose body fails at once, so that the connection closes before it is complete.
 fn broken_answer() -> Response {
     let mut response = text_response(200, "");
     let failing = stream::iter([Err::<Vec<u8>, _>(std::io::Error::other("lost"))]);
--- a/crates/standin/src/target_faults.rs
+++ b/crates/standin/src/target_faults.rs
@@ -1,27 +1,27 @@
-//! Faults of a target.
+//! Faults of the target stand-in.
 
 use serde::{Deserialize, Serialize};
 
-/// What is wrong with a target.
+/// Faults of a target, as set by `/v1/faults`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TargetFaults {
-    /// It takes requests and never answers; its health end point answers well.
+    /// The target accepts requests and never answers them; its health end point still reports success.
     pub stall: bool,
-    /// Its work takes this many times as long (0 and 1: as usual).
+    /// Factor by which processing takes longer; values up to 1 have no effect.
     pub slow: f64,
-    /// The share of requests that it answers with an error, 0 to 1.
+    /// Share of requests that are answered with an error, 0 to 1.
     pub error_share: f64,
-    /// Requests from these boxes are stalled: a cut of one path.
+    /// Boxes whose requests are never answered, as if the network path from them were cut.
     pub cut_from: Vec<String>,
-    /// It finishes what it has and takes nothing new.
+    /// The target finishes the requests in flight and refuses new ones.
     pub draining: bool,
-    /// It says that it has just started.
+    /// The target reports that it has just started.
     pub cold: bool,
-    /// It reports this load, whatever is true.
+    /// Load that the target reports instead of its actual load.
     pub reported_load: Option<f32>,
-    /// It breaks off long answers after so many bytes (0: never).
+    /// Number of bytes after which a download breaks off; 0 for never.
     pub cut_answers_after: u64,
-    /// It does the work of this many of the next requests and closes without an answer.
+    /// Number of next requests that are processed and whose connections then close without an answer.
     pub lose_answers: u32,
 }
--- a/crates/standin/tests/store.rs
+++ b/crates/standin/tests/store.rs
@@ -1,4 +1,4 @@
-//! The stand-in store keeps to docs/STORE.md, and its faults are the ones it promises.
+//! The store stand-in behaves as `docs/STORE.md` describes, and its faults have the documented effect.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use wingbridge_store::{StoreClient, StoreError};
 
 const NO_WAIT: Duration = Duration::ZERO;
-/// Nothing here waits this long: a change ends the wait.
+/// Maximum time of a watch. A change ends the watch earlier, so no test waits this long.
 const LONG_WAIT: Duration = Duration::from_secs(50);
 
 async fn start() -> (StoreHandle, StoreClient) {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_swap_wants_the_revision_that_stands() {
+fn a_write_requires_the_current_revision() {
     task::block_on(async {
         let (_, client) = start().await;
         assert!(client.write("policy/a", 0, "one").await.expect("answered").written);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_watch_ends_with_the_change() {
+fn a_change_ends_a_waiting_watch() {
     task::block_on(async {
         let (handle, client) = start().await;
         handle.write("policy/a", 0, "one");
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn faults_are_as_they_are_set() {
+fn each_fault_has_its_documented_effect() {
     task::block_on(async {
         let (handle, client) = start().await;
         handle.set_faults(StoreFaults { outage: true, ..StoreFaults::default() });
@@ -63,6 +63,6 @@
         for _ in 0..5 {
             limited |= client.list(0, NO_WAIT).await == Err(StoreError::RateLimited);
         }
-        assert!(limited, "five calls at once are over one a second");
+        assert!(limited, "five calls at once exceed a rate of one per second");
     });
 }
