--- a/crates/demo/src/bin/wingbridge-demo.rs
+++ b/crates/demo/src/bin/wingbridge-demo.rs
@@ -1,4 +1,5 @@
-//! The demonstration.
+//! The `wingbridge-demo` program: starts a small system and either prints its events or runs the
+//! experiment.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -14,7 +15,7 @@
 use wingbridge_trace::page::render_text;
 use wingctl::output::table;
 
-/// Between two looks at the time line.
+/// Interval at which new events are printed.
 const EVENTS_INTERVAL: Duration = Duration::from_secs(1);
 
 fn main() -> ExitCode {
@@ -45,16 +46,17 @@
     Ok(if report.broken.is_empty() { Outcome::Done } else { Outcome::CheckFailed })
 }
 
-/// Prints what happens, as it happens, until the stop.
+/// Prints new events until `stop` is signalled.
 async fn print_events(system: &SmallSystem, stop: &StopSignal) {
     let fleet = system.fleet();
     let mut last = 0;
     while !stop.is_stopped() {
-        // An agent that does not answer now is asked again in a second.
+        // An agent that does not answer is queried again at the next interval.
         if let Ok((events, _)) = wingctl::event_trace::collect_events(&fleet).await {
-            let news: Vec<_> = events.into_iter().filter(|event| event.stamp > last).collect();
-            last = news.last().map_or(last, |event| event.stamp);
-            print!("{}", render_text(&news));
+            let new_events: Vec<_> =
+                events.into_iter().filter(|event| event.stamp > last).collect();
+            last = new_events.last().map_or(last, |event| event.stamp);
+            print!("{}", render_text(&new_events));
         }
         let _ = async_std::future::timeout(EVENTS_INTERVAL, stop.wait()).await;
     }
@@ -79,7 +81,7 @@
     let detection = report.detection_ms.map_or("missed".into(), |millis| format!("{millis} ms"));
     let rows = [
         row("requests", report.requests.to_string()),
-        row("whole answers", report.whole.to_string()),
+        row("whole answers", report.complete.to_string()),
         row("not run", report.not_run.to_string()),
         row("unknown", report.unknown.to_string()),
         row("doubled orders", report.doubled.to_string()),
@@ -91,8 +93,8 @@
         row("added latency, 99 in 100", format!("{:.2} ms", report.added_p99_ms)),
     ];
     let mut text = table(&["what", "count"], &rows);
-    for what in &report.broken {
-        text.push_str(&format!("\nDID NOT HOLD: {what}"));
+    for invariant in &report.broken {
+        text.push_str(&format!("\nDID NOT HOLD: {invariant}"));
     }
     text
 }
--- a/crates/demo/src/caller.rs
+++ b/crates/demo/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that keeps its connection and looks closely at each answer.
+//! A caller that keeps its connection open and reads each answer completely.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,50 +9,50 @@
 use wingbridge_http::client::encoder;
 use wingbridge_http::{HttpError, MessageLimits, MessageReader, ResponseBody};
 
-/// Longest answer that is looked at, in bytes.
+/// Maximum length of the body of an answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// A request to make.
+/// A request of a caller.
 #[derive(Debug, Clone)]
 pub struct CallerRequest {
-    /// The method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Path and query of the request.
     pub path: String,
-    /// Headers beside those the library sets.
+    /// Headers in addition to those that the HTTP library sets.
     pub headers: Vec<(&'static str, String)>,
-    /// The body.
+    /// Body of the request.
     pub body: Vec<u8>,
 }
 
 impl CallerRequest {
-    /// A `GET` of `path`.
+    /// Returns a `GET` request for `path`.
     pub fn get(path: &str) -> CallerRequest {
         let path = path.to_string();
         CallerRequest { method: Method::Get, path, headers: Vec::new(), body: Vec::new() }
     }
 
-    /// The same with one more header.
-    pub fn with(mut self, name: &'static str, value: impl Into<String>) -> CallerRequest {
+    /// Adds a header to the request.
+    pub fn with_header(mut self, name: &'static str, value: impl Into<String>) -> CallerRequest {
         self.headers.push((name, value.into()));
         self
     }
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug, Clone)]
 pub struct CallerAnswer {
-    /// The status code.
+    /// Status code of the answer.
     pub status: u16,
-    /// The outcome that the proxy states.
+    /// Outcome that the proxy reports in a header; empty if there is none.
     pub outcome: String,
-    /// `Retry-After`, if there is one.
+    /// Value of the header `Retry-After` in seconds, if there is one.
     pub retry_after: Option<u64>,
-    /// The body.
+    /// Body of the answer.
     pub body: Vec<u8>,
 }
 
-/// One caller with one connection.
+/// A caller with at most one connection.
 #[derive(Debug)]
 pub struct LoadCaller {
     address: SocketAddr,
@@ -60,24 +60,23 @@
 }
 
 impl LoadCaller {
-    /// A caller of `address`, not connected yet.
+    /// Creates a caller of `address` that is not connected yet.
     pub fn new(address: SocketAddr) -> LoadCaller {
         LoadCaller { address, connection: None }
     }
 
-    /// Calls another address from now on.
-    pub fn move_to(&mut self, address: SocketAddr) {
+    /// Sets the address of later calls. A connection to another address is closed.
+    pub fn set_address(&mut self, address: SocketAddr) {
         if self.address != address {
             self.address = address;
             self.connection = None;
         }
     }
 
-    /// Makes a request and reads the answer to its end. After an error the connection is
-    /// given up.
+    /// Makes a request and reads the answer to its end. After an error the connection is closed.
     ///
     /// # Errors
-    /// No whole answer came within `timeout`.
+    /// Returns an error if no complete answer came within `timeout`.
     pub async fn call(
         &mut self,
         request: &CallerRequest,
--- a/crates/demo/src/experiment.rs
+++ b/crates/demo/src/experiment.rs
@@ -1,4 +1,5 @@
-//! The demonstration's experiment: load, then a stall, a cut and a planned stop.
+//! The experiment of the demonstration: load, then a stalled target, a cut network path and a planned
+//! stop of a box.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -17,72 +18,78 @@
 use crate::ledger::CallerLedger;
 use crate::system::SmallSystem;
 
+/// Timeout of each call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
-/// Callers of each kind.
+/// Number of callers that make repeatable requests.
 const BROWSING_CALLERS: usize = 24;
+/// Number of callers that place orders.
 const ORDERING_CALLERS: usize = 6;
+/// Number of callers that download.
 const DOWNLOADING_CALLERS: usize = 2;
 /// Pause of a caller between two requests.
 const THINK_TIME: Duration = Duration::from_millis(40);
+/// Interval at which the log of the stalled target is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// A target that got nothing for so long is taken to be found failing.
+/// Time without a request after which a stalled target counts as detected.
 const QUIET_TIME: Duration = Duration::from_millis(700);
 
-/// What the experiment found.
+/// Results of the experiment.
 #[derive(Debug, Clone, Serialize)]
 pub struct ExperimentReport {
-    /// Requests made.
+    /// Number of requests made.
     pub requests: u64,
-    /// Whole answers of targets.
-    pub whole: u64,
-    /// Requests that were said not to have run.
+    /// Number of complete answers of targets.
+    #[serde(rename = "whole")]
+    pub complete: u64,
+    /// Number of requests with the outcome that they have not run.
     pub not_run: u64,
-    /// Requests of which it was said that they may have run.
+    /// Number of requests with the outcome that they may have run.
     pub unknown: u64,
-    /// Orders that ran more than once.
+    /// Number of orders that ran more than once.
     pub doubled: u64,
-    /// Connections that broke without a whole answer.
+    /// Number of connections that broke without a complete answer.
     pub cut: u64,
-    /// Answers that were another request's, or in part.
+    /// Number of answers that belonged to another request or were incomplete.
     pub wrong_answer: u64,
-    /// Time from the stall until the target got its last request of the first episode.
+    /// Time from the stall until the last request that the target got before it counted as detected,
+    /// in milliseconds; `None` if it was not detected.
     pub detection_ms: Option<u64>,
-    /// Ejections of targets with nothing wrong.
+    /// Number of ejections of targets without faults.
     pub false_ejections: u64,
-    /// Median of what the proxy adds.
+    /// Difference of the median latencies through the proxy and directly to a target, in milliseconds.
     pub added_p50_ms: f64,
-    /// What the proxy adds for 99 in 100.
+    /// Difference of the 99th percentiles of both latencies, in milliseconds.
     pub added_p99_ms: f64,
     /// Invariants that did not hold.
     pub broken: Vec<String>,
 }
 
-/// Runs the experiment over `seconds`.
+/// Runs the experiment for `seconds`.
 ///
 /// # Errors
-/// A part of the system ended badly.
+/// Returns an error if a component of the system ended with one or an agent did not answer.
 pub fn run_experiment(system: &mut SmallSystem, seconds: u64) -> eyre::Result<ExperimentReport> {
     let ledger = CallerLedger::default();
-    let entry = Arc::new(BalancerView::new(system));
+    let balancer = Arc::new(BalancerView::new(system));
     let latency = Arc::new(LatencyPair::new());
-    let callers = start_callers(system, &entry, &ledger, &latency);
+    let callers = start_callers(system, &balancer, &ledger, &latency);
     let quarter = Duration::from_secs(seconds) / 4;
     let faulty = choose_fault_targets(system);
     task::block_on(task::sleep(quarter));
     latency.closed.store(true, Ordering::Release);
     let stalled = system.targets[faulty.stalled].handle.clone();
     stalled.set_faults(TargetFaults { stall: true, ..TargetFaults::default() });
-    let detection = task::block_on(wait_until_quiet(&stalled, quarter));
+    let detection = task::block_on(measure_detection(&stalled, quarter));
     let cut_from = vec![system.boxes[1].box_id.clone()];
     let cut = system.targets[faulty.cut].handle.clone();
     cut.set_faults(TargetFaults { cut_from, ..TargetFaults::default() });
     task::block_on(task::sleep(quarter));
     cut.set_faults(TargetFaults::default());
     let events_before = events_of(system)?;
-    entry.remove(system.boxes[1].proxy.callers);
+    balancer.remove(system.boxes[1].proxy.callers);
     system.stop_box(1)?;
     task::block_on(task::sleep(quarter));
-    entry.stop();
+    balancer.stop();
     for caller in callers {
         task::block_on(caller);
     }
@@ -91,7 +98,7 @@
     Ok(report(system, &ledger, &latency, &faulty, detection, &events))
 }
 
-/// Which targets get faults, by index.
+/// Indices of the targets that get faults.
 struct FaultTargets {
     stalled: usize,
     cut: usize,
@@ -105,7 +112,7 @@
     FaultTargets { stalled, cut: indices.next().unwrap_or(stalled) }
 }
 
-/// What the platform's balancer does: it sends callers to boxes that are ready.
+/// The role of the platform's balancer: it sends callers to the boxes in service, in turn.
 struct BalancerView {
     boxes: Mutex<Vec<SocketAddr>>,
     stopped: AtomicBool,
@@ -132,8 +139,8 @@
 
     fn pick(&self) -> SocketAddr {
         let boxes = self.lock();
-        let turn = self.next.fetch_add(1, Ordering::Relaxed) as usize;
-        boxes[turn % boxes.len()]
+        let position = self.next.fetch_add(1, Ordering::Relaxed) as usize;
+        boxes[position % boxes.len()]
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Vec<SocketAddr>> {
@@ -141,7 +148,7 @@
     }
 }
 
-/// Latencies through the proxy and straight to a target, while nothing is wrong.
+/// Latencies through the proxy and directly to a target, measured before the first fault.
 struct LatencyPair {
     proxied: Mutex<Histogram<u64>>,
     direct: Mutex<Histogram<u64>>,
@@ -150,8 +157,11 @@
 
 impl LatencyPair {
     fn new() -> LatencyPair {
-        let histogram =
-            || Mutex::new(Histogram::new_with_bounds(1, 60_000_000, 3).expect("sound bounds"));
+        let histogram = || {
+            Mutex::new(
+                Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid histogram bounds"),
+            )
+        };
         LatencyPair { proxied: histogram(), direct: histogram(), closed: AtomicBool::new(false) }
     }
 
@@ -164,7 +174,7 @@
         histogram.saturating_record(took.as_micros() as u64);
     }
 
-    /// The difference of the two at `quantile`, in milliseconds.
+    /// Returns the difference of both latencies at `quantile`, in milliseconds.
     fn added(&self, quantile: f64) -> f64 {
         let at = |histogram: &Mutex<Histogram<u64>>| {
             let histogram = histogram.lock().unwrap_or_else(PoisonError::into_inner);
@@ -176,7 +186,7 @@
 
 fn start_callers(
     system: &SmallSystem,
-    entry: &Arc<BalancerView>,
+    balancer: &Arc<BalancerView>,
     ledger: &CallerLedger,
     latency: &Arc<LatencyPair>,
 ) -> Vec<JoinHandle<()>> {
@@ -188,7 +198,7 @@
     for number in 0..BROWSING_CALLERS {
         let direct = direct[number % direct.len()];
         let state = BrowsingCaller {
-            entry: Arc::clone(entry),
+            balancer: Arc::clone(balancer),
             ledger: ledger.clone(),
             latency: Arc::clone(latency),
             direct,
@@ -198,17 +208,22 @@
         callers.push(task::spawn(browse(state)));
     }
     for number in 0..ORDERING_CALLERS {
-        callers.push(task::spawn(order(Arc::clone(entry), ledger.clone(), routes[1], number)));
+        callers.push(task::spawn(order(Arc::clone(balancer), ledger.clone(), routes[1], number)));
     }
     let length = system.setup.services[2].download_bytes;
     for _ in 0..DOWNLOADING_CALLERS {
-        callers.push(task::spawn(download(Arc::clone(entry), ledger.clone(), routes[2], length)));
+        callers.push(task::spawn(download(
+            Arc::clone(balancer),
+            ledger.clone(),
+            routes[2],
+            length,
+        )));
     }
     callers
 }
 
 struct BrowsingCaller {
-    entry: Arc<BalancerView>,
+    balancer: Arc<BalancerView>,
     ledger: CallerLedger,
     latency: Arc<LatencyPair>,
     direct: SocketAddr,
@@ -217,15 +232,15 @@
 }
 
 async fn browse(state: BrowsingCaller) {
-    let mut proxied = LoadCaller::new(state.entry.pick());
+    let mut proxied = LoadCaller::new(state.balancer.pick());
     let mut direct = LoadCaller::new(state.direct);
     let mut count = 0u64;
-    while !state.entry.is_stopped() {
+    while !state.balancer.is_stopped() {
         count += 1;
         let token = format!("browse-{}-{count}", state.number);
         let request =
-            CallerRequest::get(&format!("{}/{count}", state.route)).with("x-token", &token);
-        proxied.move_to(state.entry.pick());
+            CallerRequest::get(&format!("{}/{count}", state.route)).with_header("x-token", &token);
+        proxied.set_address(state.balancer.pick());
         let started = Instant::now();
         match proxied.call(&request, CALL_TIMEOUT).await {
             Ok(answer) => {
@@ -236,7 +251,7 @@
         }
         task::sleep(THINK_TIME).await;
         if count.is_multiple_of(4) && !state.latency.closed.load(Ordering::Acquire) {
-            // A new connection each time, as moving between boxes makes one.
+            // Direct requests use a new connection each time, as proxied ones do when they change boxes.
             direct = LoadCaller::new(state.direct);
             let started = Instant::now();
             if direct.call(&request, CALL_TIMEOUT).await.is_ok() {
@@ -247,10 +262,15 @@
     drop(direct);
 }
 
-async fn order(entry: Arc<BalancerView>, ledger: CallerLedger, route: &'static str, number: usize) {
-    let mut caller = LoadCaller::new(entry.pick());
+async fn order(
+    balancer: Arc<BalancerView>,
+    ledger: CallerLedger,
+    route: &'static str,
+    number: usize,
+) {
+    let mut caller = LoadCaller::new(balancer.pick());
     let mut count = 0u64;
-    while !entry.is_stopped() {
+    while !balancer.is_stopped() {
         count += 1;
         let name = format!("order-{number}-{count}");
         let request = CallerRequest {
@@ -259,7 +279,7 @@
             headers: vec![("x-order", name.clone()), ("x-token", name.clone())],
             body: b"one bunk".to_vec(),
         };
-        caller.move_to(entry.pick());
+        caller.set_address(balancer.pick());
         match caller.call(&request, CALL_TIMEOUT).await {
             Ok(answer) => ledger.record_order(&name, &answer),
             Err(_) => ledger.record_cut(),
@@ -269,14 +289,14 @@
 }
 
 async fn download(
-    entry: Arc<BalancerView>,
+    balancer: Arc<BalancerView>,
     ledger: CallerLedger,
     route: &'static str,
     length: u64,
 ) {
-    let mut caller = LoadCaller::new(entry.pick());
-    while !entry.is_stopped() {
-        caller.move_to(entry.pick());
+    let mut caller = LoadCaller::new(balancer.pick());
+    while !balancer.is_stopped() {
+        caller.set_address(balancer.pick());
         match caller.call(&CallerRequest::get(route), CALL_TIMEOUT).await {
             Ok(answer) => ledger.record_download(length, &answer),
             Err(_) => ledger.record_cut(),
@@ -285,16 +305,17 @@
     }
 }
 
-/// Waits until a target that stalls gets no more requests, and says how long it got some.
-async fn wait_until_quiet(
+/// Watches a stalled target for `max_time`. Returns the time of its last request before it first got
+/// none for [`QUIET_TIME`], or `None` if that did not happen.
+async fn measure_detection(
     target: &wingbridge_standin::TargetHandle,
-    most: Duration,
+    max_time: Duration,
 ) -> Option<Duration> {
     let started = Instant::now();
     let mut received = target.log().received;
     let mut last = Duration::ZERO;
     let mut found = None;
-    while started.elapsed() < most {
+    while started.elapsed() < max_time {
         task::sleep(POLL_INTERVAL).await;
         let now = target.log().received;
         if now != received {
@@ -309,8 +330,9 @@
 }
 
 fn events_of(system: &SmallSystem) -> eyre::Result<Vec<TraceEvent>> {
-    let (events, silent) = task::block_on(wingctl::event_trace::collect_events(&system.fleet()))?;
-    if silent {
+    let (events, unresponsive) =
+        task::block_on(wingctl::event_trace::collect_events(&system.fleet()))?;
+    if unresponsive {
         return Err(eyre!("an agent did not answer"));
     }
     Ok(events)
@@ -336,9 +358,9 @@
     false_ejections.sort();
     false_ejections.dedup();
     let mut broken = Vec::new();
-    let mut check = |holds: bool, what: &str| {
+    let mut check = |holds: bool, invariant: &str| {
         if !holds {
-            broken.push(what.to_string());
+            broken.push(invariant.to_string());
         }
     };
     check(audit.doubled == 0, "an order ran twice");
@@ -348,16 +370,16 @@
     check(counts.wrong_answer == 0, "an answer was wrong or in part");
     check(detection.is_some(), "the stalled target was not found");
     check(false_ejections.is_empty(), "a healthy target was ejected");
-    check(counts.whole > 0, "nothing was answered");
+    check(counts.complete > 0, "nothing was answered");
     ExperimentReport {
         requests: counts.requests,
-        whole: counts.whole,
+        complete: counts.complete,
         not_run: counts.not_run,
         unknown: counts.unknown,
         doubled: audit.doubled,
         cut: counts.cut,
         wrong_answer: counts.wrong_answer,
-        detection_ms: detection.map(|span| span.as_millis() as u64),
+        detection_ms: detection.map(|time| time.as_millis() as u64),
         false_ejections: false_ejections.len() as u64,
         added_p50_ms: latency.added(0.5),
         added_p99_ms: latency.added(0.99),
--- a/crates/demo/src/ledger.rs
+++ b/crates/demo/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What callers sent and were told, against what the targets ran.
+//! Compares the outcomes that callers got with what the targets executed.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,24 +9,25 @@
 use crate::caller::CallerAnswer;
 use crate::system::RunningTarget;
 
-/// Counts of answers.
+/// Counts of requests by outcome.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct AnswerCounts {
-    /// Requests made.
+    /// Number of requests made.
     pub requests: u64,
-    /// Whole answers of targets.
-    pub whole: u64,
-    /// Requests that were said not to have run.
+    /// Number of complete answers of targets.
+    #[serde(rename = "whole")]
+    pub complete: u64,
+    /// Number of requests with the outcome that they have not run.
     pub not_run: u64,
-    /// Requests of which it was said that they may have run.
+    /// Number of requests with the outcome that they may have run.
     pub unknown: u64,
-    /// Connections that broke without a whole answer.
+    /// Number of connections that broke without a complete answer.
     pub cut: u64,
-    /// Answers that were another request's, or in part.
+    /// Number of answers that belonged to another request or were incomplete.
     pub wrong_answer: u64,
 }
 
-/// All callers' books. Clones share them.
+/// The outcomes of all callers' requests. Clones share the same record.
 #[derive(Debug, Clone, Default)]
 pub struct CallerLedger {
     shared: Arc<Mutex<LedgerState>>,
@@ -38,7 +39,7 @@
     orders: BTreeMap<String, ReportedOutcome>,
 }
 
-/// What a caller was told of its order.
+/// The outcome of an order as reported to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReportedOutcome {
     Answered,
@@ -46,25 +47,25 @@
     Unknown,
 }
 
-/// What the books and the targets' logs say together.
+/// Result of the comparison of reported outcomes with the logs of targets.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct OrderAudit {
-    /// Orders that ran more than once.
+    /// Number of orders that ran more than once.
     pub doubled: u64,
-    /// Orders that ran although the caller was told "not run".
+    /// Number of orders that ran although their reported outcome was "not run".
     pub not_run_ran: u64,
-    /// Orders that did not run although the caller was told "answered".
+    /// Number of orders that did not run although their reported outcome was "answered".
     pub answered_not_ran: u64,
 }
 
 impl CallerLedger {
-    /// Books an answer to a request with `token`.
+    /// Records the answer to a request with `token`.
     pub fn record_answer(&self, token: &str, answer: &CallerAnswer) {
         let mut state = self.state();
         state.counts.requests += 1;
         match answer.outcome.as_str() {
             "answered" => {
-                state.counts.whole += 1;
+                state.counts.complete += 1;
                 if answer.status == 200 && !repeats_token(answer, token) {
                     state.counts.wrong_answer += 1;
                 }
@@ -74,47 +75,47 @@
         }
     }
 
-    /// Books an answer to a download of `length` bytes.
+    /// Records the answer to a download of `length` bytes.
     pub fn record_download(&self, length: u64, answer: &CallerAnswer) {
         let mut state = self.state();
         state.counts.requests += 1;
         match answer.outcome.as_str() {
             "answered" if answer.status == 200 => {
-                state.counts.whole += 1;
-                let whole = answer.body.len() as u64 == length
+                state.counts.complete += 1;
+                let complete = answer.body.len() as u64 == length
                     && answer.body.iter().zip(0..).all(|(byte, at)| *byte == download_byte(at));
-                state.counts.wrong_answer += u64::from(!whole);
+                state.counts.wrong_answer += u64::from(!complete);
             }
-            "answered" => state.counts.whole += 1,
+            "answered" => state.counts.complete += 1,
             "not-run" => state.counts.not_run += 1,
             _ => state.counts.unknown += 1,
         }
     }
 
-    /// Books an order that was answered.
+    /// Records the answer to an order.
     pub fn record_order(&self, order: &str, answer: &CallerAnswer) {
         self.record_answer(order, answer);
-        let word = match answer.outcome.as_str() {
+        let outcome = match answer.outcome.as_str() {
             "answered" => ReportedOutcome::Answered,
             "not-run" => ReportedOutcome::NotRun,
             _ => ReportedOutcome::Unknown,
         };
-        self.state().orders.insert(order.to_string(), word);
+        self.state().orders.insert(order.to_string(), outcome);
     }
 
-    /// Books a connection that broke.
+    /// Records a connection that broke before a complete answer.
     pub fn record_cut(&self) {
         let mut state = self.state();
         state.counts.requests += 1;
         state.counts.cut += 1;
     }
 
-    /// The counts so far.
+    /// Returns the counts so far.
     pub fn counts(&self) -> AnswerCounts {
         self.state().counts.clone()
     }
 
-    /// Compares what callers of orders were told with what targets ran.
+    /// Compares the reported outcomes of orders with what the targets executed.
     pub fn audit(&self, targets: &[RunningTarget]) -> OrderAudit {
         let mut ran: BTreeMap<String, u32> = BTreeMap::new();
         for target in targets {
@@ -123,15 +124,17 @@
             }
         }
         let state = self.state();
-        let told = |word: ReportedOutcome| {
-            let orders = state.orders.iter().filter(move |(_, told)| **told == word);
+        let runs_with = |outcome: ReportedOutcome| {
+            let orders = state.orders.iter().filter(move |(_, reported)| **reported == outcome);
             orders.map(|(order, _)| ran.get(order).copied().unwrap_or(0))
         };
         OrderAudit {
             doubled: ran.values().filter(|count| **count > 1).count() as u64,
-            not_run_ran: told(ReportedOutcome::NotRun).filter(|count| *count > 0).count() as u64,
-            answered_not_ran: told(ReportedOutcome::Answered).filter(|count| *count == 0).count()
+            not_run_ran: runs_with(ReportedOutcome::NotRun).filter(|count| *count > 0).count()
                 as u64,
+            answered_not_ran: runs_with(ReportedOutcome::Answered)
+                .filter(|count| *count == 0)
+                .count() as u64,
         }
     }
 
@@ -140,7 +143,7 @@
     }
 }
 
-/// Whether the answer repeats the request's token, which no other request has.
+/// Returns whether the answer repeats the token of the request, which is unique to it.
 fn repeats_token(answer: &CallerAnswer, token: &str) -> bool {
     let body: serde_json::Value = match serde_json::from_slice(&answer.body) {
         Ok(body) => body,
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -1,5 +1,5 @@
-//! A whole small system in one process, from the same `run` functions as the
-//! programs, with load, faults and a count of what must always hold.
+//! A complete small system in one process, built from the same `run` functions as the programs, with
+//! load, faults and checks of the invariants.
 
 pub mod caller;
 pub mod experiment;
--- a/crates/demo/src/settings.rs
+++ b/crates/demo/src/settings.rs
@@ -1,4 +1,4 @@
-//! The demonstration's command line, and the site that it sets up.
+//! Command line of the demonstration, and the system that it sets up.
 
 use std::time::Duration;
 
@@ -11,23 +11,23 @@
 const ORDERS: &str = include_str!("../../../examples/sedlo/orders.rhai");
 const DOWNLOADS: &str = include_str!("../../../examples/sedlo/downloads.rhai");
 
-/// The command line of `wingbridge-demo`.
+/// Returns the command line of `wingbridge-demo`.
 pub fn demo_command() -> Command {
     Command::new("wingbridge-demo")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("A whole small wingbridge system on loopback: store, two boxes, three services")
+        .about("A complete small wingbridge system on loopback: a store, two boxes and three services")
         .arg(
             setting(
                 "seconds",
-                "Drive itself for so many seconds, with faults, and check what must hold",
-                "0 waits for SIGINT instead. With 4 to 600 it ends by itself, with exit code 1 if an invariant did not hold.",
+                "Time to run load with faults and check the invariants, in seconds",
+                "0 runs without load until SIGINT. With 4 to 600 it ends by itself, with exit code 1 if an invariant did not hold.",
             )
             .default_value("0"),
         )
         .arg(Arg::new("json").long("json").action(ArgAction::SetTrue).help("Print one JSON object instead of a table"))
 }
 
-/// Sedlo in small: the example policies, fewer targets.
+/// Returns the setup of the demonstration: the example site Sedlo with its policies and fewer targets.
 pub fn demo_setup() -> SystemSetup {
     let plan = |name, route, policy: &str, targets, work| ServicePlan {
         name,
--- a/crates/demo/src/system.rs
+++ b/crates/demo/src/system.rs
@@ -1,5 +1,5 @@
-//! Store, targets and boxes, each on threads of this process and ports of the
-//! system's choice.
+//! A small system of a store, targets and boxes, all on threads of this process and on ports that the
+//! operating system chooses.
 
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -18,69 +18,71 @@
 use wingbridge_store::{BoxRecord, StoreClient};
 use wingctl::{ChangeClient, ChangeReport, FleetClient};
 
-/// The secret of demonstration fleets.
+/// The fleet key of demonstration systems.
 pub const DEMO_KEY: &str = "a demonstration key, not for use";
+/// Time within which each box must become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A service to set up.
+/// Settings of a service.
 #[derive(Debug, Clone)]
 pub struct ServicePlan {
-    /// Its name.
+    /// Name of the service.
     pub name: &'static str,
-    /// Its route.
+    /// Path of its route.
     pub route: &'static str,
-    /// Its policy's text.
+    /// Text of its policy.
     pub policy: String,
-    /// How many targets it has.
+    /// Number of its targets.
     pub targets: usize,
-    /// Slots of each.
+    /// Number of slots of each target.
     pub slots: usize,
-    /// Median time of their work.
+    /// Median processing time of its targets.
     pub work: Duration,
-    /// Its bias, as in the configuration.
+    /// Value of `bias` in its configuration.
     pub bias: &'static str,
-    /// Its floor.
+    /// Value of `floor` in its configuration.
     pub floor: f64,
-    /// Length of what it offers for download, in bytes.
+    /// Length of its downloads, in bytes.
     pub download_bytes: u64,
 }
 
-/// What to set up.
+/// Settings of the system.
 #[derive(Debug, Clone)]
 pub struct SystemSetup {
-    /// How many boxes.
+    /// Number of boxes at the start.
     pub boxes: usize,
-    /// Over how many data centres.
+    /// Number of data centres, to which boxes are assigned in turn.
     pub data_centres: usize,
-    /// The services.
+    /// Services of the system.
     pub services: Vec<ServicePlan>,
-    /// Time between "not ready" and the last new connection of a box that leaves.
+    /// Time for which a leaving box still accepts connections after it has reported that it is not
+    /// ready.
     pub leave_time: Duration,
 }
 
 /// A running target.
 #[derive(Debug, Clone)]
 pub struct RunningTarget {
-    /// Its service.
+    /// Name of its service.
     pub service: &'static str,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Its faults and its log.
+    /// Handle for its faults and its log.
     pub handle: TargetHandle,
 }
 
 /// A running box.
 #[derive(Debug)]
 pub struct BoxHandle {
-    /// Its name.
+    /// Name of the box.
     pub box_id: String,
-    /// Its data centre.
+    /// Name of its data centre.
     pub data_centre: String,
-    /// Where its agent listens.
+    /// Addresses of its agent.
     pub agent: AgentAddresses,
-    /// Where its proxy listens.
+    /// Addresses of its proxy.
     pub proxy: ProxyAddresses,
-    /// Cuts its agent off from others.
+    /// Cuts the connections of its agent to those of other boxes.
     pub cuts: LinkFaults,
     agent_run: Option<RunningComponent>,
     proxy_run: Option<RunningComponent>,
@@ -95,31 +97,31 @@
 impl RunningComponent {
     fn end(self) -> eyre::Result<Outcome> {
         self.stop.stop();
-        self.thread.join().map_err(|_| eyre!("a part ended by a broken invariant"))?
+        self.thread.join().map_err(|_| eyre!("a component panicked"))?
     }
 }
 
-/// The whole system.
+/// A running system. Dropping it stops all boxes.
 #[derive(Debug)]
 pub struct SmallSystem {
-    /// The setup it was started with.
+    /// Settings with which it was started.
     pub setup: SystemSetup,
-    /// The store.
+    /// Handle of the store.
     pub store: StoreHandle,
-    /// Where the store listens.
+    /// Address on which the store listens.
     pub store_address: SocketAddr,
-    /// The targets.
+    /// Targets of all services.
     pub targets: Vec<RunningTarget>,
-    /// The boxes.
+    /// Running boxes.
     pub boxes: Vec<BoxHandle>,
     started_boxes: usize,
 }
 
 impl SmallSystem {
-    /// Starts everything, puts the configuration in force and waits until all boxes are ready.
+    /// Starts all components, puts the configuration in force and waits until all boxes are ready.
     ///
     /// # Errors
-    /// A part did not start, or the configuration was not accepted.
+    /// Returns an error if a component did not start or the configuration was not accepted.
     pub fn start(setup: SystemSetup) -> eyre::Result<SmallSystem> {
         let store = StoreHandle::new();
         let store_address = task::block_on(start_store(store.clone()))?;
@@ -140,10 +142,10 @@
         Ok(system)
     }
 
-    /// Starts one more box and puts it on the box list.
+    /// Starts another box and adds it to the box list.
     ///
     /// # Errors
-    /// It did not start.
+    /// Returns an error if the agent or the proxy did not start.
     pub fn add_box(&mut self) -> eyre::Result<()> {
         self.started_boxes += 1;
         let number = self.started_boxes;
@@ -165,10 +167,11 @@
         Ok(())
     }
 
-    /// Stops a box as planned: on the list it leaves, its proxy drains, then it is gone.
+    /// Stops a box as planned: lists it as leaving, drains its proxy, ends its agent and lists it as
+    /// gone.
     ///
     /// # Errors
-    /// A request was cut, or a part ended badly.
+    /// Returns an error if a request was cut or a component ended with an error.
     pub fn stop_box(&mut self, index: usize) -> eyre::Result<()> {
         let mut leaving = self.boxes.remove(index);
         self.list_box(&leaving.box_id, &leaving.data_centre, &leaving.agent, "leaving");
@@ -179,28 +182,28 @@
         Ok(())
     }
 
-    /// Ends a box's agent alone.
+    /// Ends the agent of a box, but not its proxy.
     ///
     /// # Errors
-    /// It ended badly.
+    /// Returns an error if the agent ended with one.
     pub fn stop_agent(&mut self, index: usize) -> eyre::Result<()> {
         let agent = self.boxes[index].agent_run.take();
         agent.map(RunningComponent::end).transpose()?;
         Ok(())
     }
 
-    /// The proxies' addresses for callers.
+    /// Returns the addresses of all proxies for callers.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.boxes.iter().map(|one| one.proxy.callers).collect()
     }
 
-    /// The targets of one service.
+    /// Returns the targets of a service.
     pub fn targets_of(&self, service: &str) -> Vec<&RunningTarget> {
         self.targets.iter().filter(|target| target.service == service).collect()
     }
 
-    /// The operators' client of this system.
-    pub fn changer(&self) -> ChangeClient {
+    /// Returns a client for changes of the configuration, as operators use it.
+    pub fn change_client(&self) -> ChangeClient {
         ChangeClient {
             store: StoreClient::new(&self.store_address.to_string()),
             fleet: self.fleet(),
@@ -209,23 +212,23 @@
         }
     }
 
-    /// The agents' client of this system.
+    /// Returns a client for the agents of all boxes.
     pub fn fleet(&self) -> FleetClient {
         FleetClient::new(self.boxes.iter().map(|one| one.agent.admin.to_string()).collect())
     }
 
-    /// Puts one key in force everywhere.
+    /// Writes a key of the configuration and waits until it is in force in all boxes.
     ///
     /// # Errors
-    /// It was not accepted.
+    /// Returns an error if the change was not accepted or is not in force in all boxes.
     pub fn put(&self, key: &str, text: &str) -> eyre::Result<ChangeReport> {
-        let changer = self.changer();
-        let report = task::block_on(changer.change(key, Some(text.to_string()), None))?;
+        let client = self.change_client();
+        let report = task::block_on(client.change(key, Some(text.to_string()), None))?;
         eyre::ensure!(report.lacking.is_empty(), "{}", report.as_text());
         Ok(report)
     }
 
-    /// A service's block of configuration.
+    /// Returns the configuration text of a service.
     pub fn service_text(&self, plan: &ServicePlan) -> String {
         let targets = self.targets_of(plan.name);
         let addresses: Vec<String> =
@@ -242,10 +245,10 @@
         )
     }
 
-    /// Waits until all boxes say that they are ready.
+    /// Waits until all boxes report that they are ready.
     ///
     /// # Errors
-    /// One was not ready in time.
+    /// Returns an error if a box was not ready in time.
     pub fn wait_ready(&self) -> eyre::Result<()> {
         for one in &self.boxes {
             task::block_on(wait_ready(one.proxy.admin)).wrap_err_with(|| one.box_id.clone())?;
@@ -332,7 +335,7 @@
     fn drop(&mut self) {
         for mut one in self.boxes.drain(..) {
             for part in [one.proxy_run.take(), one.agent_run.take()].into_iter().flatten() {
-                // Ends with the signal; what it says of its end is for planned stops.
+                // The component ends with the signal. Its result matters for planned stops only.
                 part.stop.stop();
             }
         }
@@ -353,8 +356,8 @@
     match addresses.recv() {
         Ok(address) => Ok((address, RunningComponent { stop, thread })),
         Err(_) => {
-            let result = thread.join().map_err(|_| eyre!("{name} ended by a broken invariant"))?;
-            Err(result.err().unwrap_or_else(|| eyre!("{name} ended before it started")))
+            let result = thread.join().map_err(|_| eyre!("{name} panicked"))?;
+            Err(result.err().unwrap_or_else(|| eyre!("{name} ended before it had started")))
         }
     }
 }
--- a/crates/demo/tests/failures.rs
+++ b/crates/demo/tests/failures.rs
@@ -1,4 +1,4 @@
-//! The whole system under the failures that its users name. Each test causes one.
+//! Tests of the complete system under the failures that its users describe. Each test causes one.
 
 mod small;
 
@@ -18,7 +18,7 @@
 const POLICY: &str = "fn plan(request) { route(\"availability\").repeatable().attempts(3) }";
 
 #[test]
-fn a_stalled_target_is_ejected_in_every_box_while_the_store_is_away() {
+fn a_stalled_target_is_ejected_by_every_box_during_a_store_outage() {
     let system = small_system(3);
     let load = Load::start(&system);
     load.wait_for(200);
@@ -26,7 +26,8 @@
     let target = system.targets_of("availability")[0].clone();
     target.handle.set_faults(TargetFaults { stall: true, ..TargetFaults::default() });
     eventually("ejected everywhere", || excluded_everywhere(&system, &target.address.to_string()));
-    // It comes back by real requests alone: nobody tells the boxes that it is well.
+    // The target returns through ordinary requests only; nothing reports to the boxes that it has
+    // recovered.
     target.handle.set_faults(TargetFaults::default());
     eventually("back everywhere", || !excluded_everywhere(&system, &target.address.to_string()));
     let counts = load.stop();
@@ -34,13 +35,13 @@
 }
 
 #[test]
-fn a_new_box_serves_while_the_store_is_away() {
+fn a_new_box_serves_during_a_store_outage() {
     let mut system = small_system(2);
     system.store.set_faults(StoreFaults { outage: true, ..StoreFaults::default() });
     system.add_box().expect("it starts");
-    system.wait_ready().expect("its peers tell it all");
+    system.wait_ready().expect("the box gets the configuration from its peers");
     let mut caller = LoadCaller::new(system.boxes[2].proxy.callers);
-    let request = CallerRequest::get("/availability/1").with("x-token", "t");
+    let request = CallerRequest::get("/availability/1").with_header("x-token", "t");
     let answer = task::block_on(caller.call(&request, CALL_TIMEOUT)).expect("an answer");
     assert_eq!((answer.status, answer.outcome.as_str()), (200, "answered"));
 }
@@ -53,7 +54,7 @@
     load.wait_for(200);
     let target = system.targets_of("availability")[0].clone();
     target.handle.set_faults(TargetFaults { stall: true, ..TargetFaults::default() });
-    // By its own evidence alone the box without an agent stops sending there as well.
+    // The box without an agent also stops sending there, on its own evidence only.
     let received = || target.handle.log().received;
     eventually("quiet", || {
         let before = received();
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn every_box_is_replaced_under_load_and_nothing_is_cut() {
+fn replacing_every_box_under_load_cuts_no_request() {
     let mut system = small_system(3);
     let load = Load::start(&system);
     for _ in 0..3 {
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn a_planned_stop_finishes_what_is_in_flight() {
+fn a_planned_stop_finishes_requests_in_flight() {
     let mut system = small_system(2);
     let slow = TargetFaults { slow: 100.0, ..TargetFaults::default() };
     for target in system.targets_of("orders") {
@@ -92,18 +93,18 @@
     let callers = system.boxes[0].proxy.callers;
     let in_flight = task::spawn(async move {
         let request = CallerRequest { method: Method::Post, ..CallerRequest::get("/orders") };
-        LoadCaller::new(callers).call(&request.with("x-token", "t"), CALL_TIMEOUT).await
+        LoadCaller::new(callers).call(&request.with_header("x-token", "t"), CALL_TIMEOUT).await
     });
     let received =
         || system.targets_of("orders").iter().any(|target| target.handle.log().received > 0);
     eventually("in flight", received);
     system.stop_box(0).expect("it cuts nothing");
-    let answer = task::block_on(in_flight).expect("a whole answer");
+    let answer = task::block_on(in_flight).expect("a complete answer");
     assert_eq!((answer.status, answer.outcome.as_str()), (200, "answered"));
 }
 
 #[test]
-fn a_lost_answer_of_the_store_changes_a_key_once() {
+fn a_lost_write_answer_of_the_store_changes_the_key_once() {
     let system = small_system(2);
     system.store.set_faults(StoreFaults { lose_write_answers: 1, ..StoreFaults::default() });
     let before = generation(&system, "policy/availability");
@@ -113,10 +114,10 @@
 }
 
 #[test]
-fn of_two_operators_one_wins_and_the_other_sees_the_difference() {
+fn of_two_concurrent_changes_one_wins_and_the_other_shows_the_difference() {
     let system = small_system(2);
-    let one = system.changer();
-    let other = system.changer();
+    let one = system.change_client();
+    let other = system.change_client();
     let revision = system.store.read("policy/availability").map(|record| record.revision);
     let text = |name: &str| Some(format!("// {name}\n{POLICY}"));
     let results = task::block_on(futures::future::join(
@@ -124,14 +125,14 @@
         other.change("policy/availability", text("other"), revision),
     ));
     let results = [results.0, results.1];
-    let won = results.iter().filter(|result| result.is_ok()).count();
-    assert_eq!(won, 1);
-    let lost = results.into_iter().find_map(Result::err).expect("one lost").to_string();
-    assert!(lost.contains("changed it first") && lost.contains("// o"), "{lost}");
+    let accepted = results.iter().filter(|result| result.is_ok()).count();
+    assert_eq!(accepted, 1);
+    let refused = results.into_iter().find_map(Result::err).expect("one was refused").to_string();
+    assert!(refused.contains("changed it first") && refused.contains("// o"), "{refused}");
 }
 
 #[test]
-fn a_store_that_went_back_reverts_nothing_and_takes_the_next_change() {
+fn a_restored_older_store_reverts_nothing_and_accepts_the_next_change() {
     let system = small_system(3);
     let old = system.store.snapshot();
     let kept = system.put("policy/availability", POLICY).expect("accepted");
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn a_watch_that_skips_and_repeats_loses_no_change() {
+fn skipped_and_repeated_watch_answers_lose_no_change() {
     let system = small_system(2);
     let faults =
         StoreFaults { skip_watch_answers: 2, repeat_watch_answers: 2, ..StoreFaults::default() };
@@ -152,9 +153,9 @@
 }
 
 #[test]
-fn a_one_way_cut_between_agents_stops_no_change() {
+fn a_one_way_cut_between_agents_does_not_stop_a_change() {
     let system = small_system(3);
-    // box-1 hears nothing of box-2, which hears box-1 well.
+    // box-1 receives nothing from box-2, while box-2 still receives from box-1.
     system.boxes[0].cuts.block("box-2");
     let report = system.put("policy/availability", POLICY).expect("accepted");
     assert_eq!((report.in_force, report.boxes), (3, 3));
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn an_order_whose_answer_is_lost_is_unknown_and_ran_once() {
+fn an_order_with_a_lost_answer_is_unknown_and_ran_once() {
     let system = small_system(2);
     let target = |index: usize| system.targets_of("orders")[index].clone();
     for index in 0..system.targets_of("orders").len() {
@@ -191,7 +192,7 @@
 }
 
 #[test]
-fn a_long_answer_that_breaks_off_is_resumed_or_seen_to_be_short() {
+fn a_long_answer_that_breaks_off_is_resumed_or_visibly_incomplete() {
     let system = small_system(2);
     let targets = system.targets_of("downloads");
     let cut = TargetFaults { cut_answers_after: 700_000, ..TargetFaults::default() };
@@ -209,7 +210,7 @@
     }
     let counts = ledger.counts();
     assert_eq!(counts.wrong_answer, 0, "{counts:?}");
-    assert!(counts.whole >= 4, "{counts:?}");
+    assert!(counts.complete >= 4, "{counts:?}");
 }
 
 #[test]
@@ -229,7 +230,7 @@
 }
 
 #[test]
-fn a_leaving_target_gets_no_new_work_from_any_box() {
+fn a_draining_target_gets_no_new_work_from_any_box() {
     let system = small_system(3);
     let load = Load::start(&system);
     load.wait_for(200);
@@ -246,7 +247,7 @@
 }
 
 #[test]
-fn a_box_that_was_not_asked_learns_from_its_peers_that_a_target_leaves() {
+fn boxes_without_requests_learn_from_peers_that_a_target_drains() {
     let system = small_system(3);
     let load = Load::start(&system);
     load.send_to(&system.caller_addresses()[..1]);
@@ -264,21 +265,21 @@
 }
 
 #[test]
-fn orders_by_hand_are_configuration_like_any_other() {
+fn manual_overrides_are_handled_as_configuration() {
     let system = small_system(2);
     let target = system.targets_of("availability")[0].address.to_string();
     let eject = Some(wingbridge_decide::OverrideKind::Eject);
-    let changer = system.changer();
-    let report = task::block_on(overrides::set_override(&changer, "availability", &target, eject));
+    let client = system.change_client();
+    let report = task::block_on(overrides::set_override(&client, "availability", &target, eject));
     assert_eq!(report.expect("accepted").in_force, 2);
     eventually("kept out", || excluded_everywhere(&system, &target));
-    let report = task::block_on(overrides::set_override(&changer, "availability", &target, None));
+    let report = task::block_on(overrides::set_override(&client, "availability", &target, None));
     assert_eq!(report.expect("accepted").in_force, 2);
     eventually("back", || !excluded_everywhere(&system, &target));
 }
 
 #[test]
-fn a_stranger_without_the_fleet_key_is_refused_before_any_message() {
+fn a_peer_without_the_fleet_key_is_refused_before_any_message() {
     let system = small_system(1);
     let address = system.boxes[0].agent.peers;
     let result = task::block_on(async {
--- a/crates/demo/tests/programs/mod.rs
+++ b/crates/demo/tests/programs/mod.rs
@@ -1,4 +1,4 @@
-//! Starts the real programs and ends them, by process id.
+//! Helpers for tests that start the real programs and end them by process id.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 }
 
 impl Program {
-    /// Starts `name` and waits for the line that says where it listens.
+    /// Starts the program `name` and waits for the line in which it prints its addresses.
     pub fn start(name: &str, arguments: &[String]) -> Program {
         let mut child = Command::new(program_path(name))
             .args(arguments)
@@ -26,18 +26,18 @@
             .stderr(Stdio::null())
             .spawn()
             .unwrap_or_else(|error| {
-                panic!("{name} starts (cargo test --workspace builds it): {error}")
+                panic!("can't start {name} (cargo test --workspace builds it): {error}")
             });
         let mut lines = BufReader::new(child.stdout.take().expect("piped"));
         let mut line = String::new();
         lines.read_line(&mut line).expect("a line");
-        assert!(!line.is_empty(), "{name} {arguments:?} said nothing");
-        // Whatever else it says must not fill the pipe.
+        assert!(!line.is_empty(), "{name} {arguments:?} printed nothing");
+        // Further output is discarded, so that it does not fill the pipe.
         thread::spawn(move || std::io::copy(&mut lines, &mut std::io::sink()));
         Program { child, line: line.trim().to_string() }
     }
 
-    /// The address after `label` in its first line.
+    /// Returns the address after `label` in the first line of its output.
     pub fn address(&self, label: &str) -> SocketAddr {
         let words = self.line.split_whitespace().rev();
         let found = words.map(|word| word.strip_prefix(label)).find_map(|found| found);
@@ -45,7 +45,7 @@
         text.parse().expect("an address")
     }
 
-    /// Sends a signal by name.
+    /// Sends the signal `name` to the process.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let status = Command::new("kill").args(["-s", name, &id]).status().expect("kill runs");
@@ -65,24 +65,24 @@
     }
 }
 
-/// A box's proxy, as a caller and the balancer see it.
+/// The addresses of a box's proxy for callers and for the balancer.
 #[derive(Debug, Clone, Copy)]
 pub struct BoxEndpoints {
     pub callers: SocketAddr,
     pub admin: SocketAddr,
 }
 
-/// Store, targets and boxes as processes.
+/// A store, targets and boxes as separate processes.
 pub struct ProgramFleet {
     pub store: Program,
     pub targets: Vec<Program>,
     pub agents: Vec<Program>,
     pub proxies: Vec<std::cell::RefCell<Program>>,
-    places: Vec<BoxEndpoints>,
+    endpoints: Vec<BoxEndpoints>,
 }
 
 impl ProgramFleet {
-    /// Starts a store, `boxes` boxes in as many data centres, and `targets` targets.
+    /// Starts a store, `targets` targets, and `boxes` boxes, each in a data centre of its own.
     pub fn start(boxes: usize, targets: usize) -> ProgramFleet {
         let store = Program::start("standin-store", &[]);
         let targets =
@@ -92,7 +92,7 @@
             targets: targets.collect(),
             agents: Vec::new(),
             proxies: Vec::new(),
-            places: Vec::new(),
+            endpoints: Vec::new(),
         };
         for number in 0..boxes {
             fleet.add_box(number);
@@ -111,12 +111,12 @@
         let agent = [common.to_vec(), vec![store, "--digest-ms=200".into()]].concat();
         let agent = Program::start("wingbridge-agent", &agent);
         self.list_box(number, &agent);
-        let place = format!("--agent={}", agent.address("proxy="));
-        let proxy = [common.to_vec(), vec![place, "--leave-ms=100".into()]].concat();
+        let agent_flag = format!("--agent={}", agent.address("proxy="));
+        let proxy = [common.to_vec(), vec![agent_flag, "--leave-ms=100".into()]].concat();
         let proxy = Program::start("wingbridge-proxy", &proxy);
-        let place =
+        let endpoints =
             BoxEndpoints { callers: proxy.address("callers="), admin: proxy.address("admin=") };
-        self.places.push(place);
+        self.endpoints.push(endpoints);
         self.agents.push(agent);
         self.proxies.push(std::cell::RefCell::new(proxy));
     }
@@ -142,7 +142,7 @@
     }
 
     pub fn proxies(&self) -> &[BoxEndpoints] {
-        &self.places
+        &self.endpoints
     }
 
     pub fn target_list(&self) -> String {
@@ -179,14 +179,14 @@
         child.wait().expect("it ends").code()
     }
 
-    pub fn wait_ready(&self, place: &BoxEndpoints) {
-        let client = HttpClient::new(&place.admin.to_string(), Duration::from_secs(5));
+    pub fn wait_ready(&self, endpoints: &BoxEndpoints) {
+        let client = HttpClient::new(&endpoints.admin.to_string(), Duration::from_secs(5));
         while !matches!(task::block_on(client.get("/ready")), Ok(reply) if reply.status == 200) {
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Stops a proxy with SIGTERM and expects that it cut nothing.
+    /// Stops a proxy with SIGTERM and checks by its exit code that it cut no request.
     pub fn stop_proxy_as_planned(&self, index: usize) {
         let mut proxy = self.proxies[index].borrow_mut();
         proxy.signal("TERM");
@@ -195,19 +195,19 @@
 }
 
 fn program_path(name: &str) -> std::path::PathBuf {
-    // The test's own program lies in target/PROFILE/deps, the programs one folder up.
-    let own = std::env::current_exe().expect("a path");
-    let folder = own.parent().and_then(std::path::Path::parent).expect("a folder");
-    folder.join(name)
+    // The test program is in target/PROFILE/deps; the other programs are one directory above.
+    let test_program = std::env::current_exe().expect("a path");
+    let directory = test_program.parent().and_then(std::path::Path::parent).expect("a directory");
+    directory.join(name)
 }
 
-/// Runs a program that ends by itself: its exit code and what it said of errors.
+/// Runs a program that ends by itself and returns its exit code and its standard error.
 pub fn run_to_end(name: &str, arguments: &[&str]) -> (Option<i32>, String) {
     let output = Command::new(program_path(name)).args(arguments).output().expect("it runs");
     (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
-/// What a program's help says while the environment holds a fleet key.
+/// Returns a program's help text while the environment contains a fleet key.
 pub fn help_with_key(name: &str, flag: &str, key: &str) -> String {
     let mut command = Command::new(program_path(name));
     let output = command.arg(flag).env("WINGBRIDGE_FLEET_KEY", key).output().expect("it runs");
--- a/crates/demo/tests/separate_processes.rs
+++ b/crates/demo/tests/separate_processes.rs
@@ -1,4 +1,4 @@
-//! The real programs as separate processes, on ports that the system chooses.
+//! Tests of the real programs as separate processes, on ports that the operating system chooses.
 
 mod programs;
 
@@ -22,7 +22,7 @@
     for proxy in fleet.proxies() {
         fleet.wait_ready(proxy);
         let mut caller = LoadCaller::new(proxy.callers);
-        let request = CallerRequest::get("/huts/7?bed=2").with("x-token", "t-1");
+        let request = CallerRequest::get("/huts/7?bed=2").with_header("x-token", "t-1");
         let answer = task::block_on(caller.call(&request, CALL_TIMEOUT)).expect("an answer");
         assert_eq!(answer.status, 200);
         assert_eq!(answer.outcome, "answered");
@@ -49,20 +49,20 @@
     fleet
 }
 
-/// The outcomes of `count` requests through one box.
+/// Returns status and outcome of `count` requests through the box `index`.
 fn outcomes(fleet: &ProgramFleet, index: usize, count: usize) -> Vec<(u16, String)> {
     let mut caller = LoadCaller::new(fleet.proxies()[index].callers);
-    let mut ask = |number: usize| {
+    let mut call = |number: usize| {
         let token = format!("t-{number}");
-        let request = CallerRequest::get("/huts/1").with("x-token", token.as_str());
+        let request = CallerRequest::get("/huts/1").with_header("x-token", token.as_str());
         let answer = task::block_on(caller.call(&request, CALL_TIMEOUT)).expect("an answer");
         if answer.outcome == "answered" {
             let body: serde_json::Value = serde_json::from_slice(&answer.body).expect("JSON");
-            assert_eq!(body["token"], token, "somebody else's answer");
+            assert_eq!(body["token"], token, "the answer belongs to another request");
         }
         (answer.status, answer.outcome)
     };
-    (0..count).map(&mut ask).collect()
+    (0..count).map(&mut call).collect()
 }
 
 fn all_answered(outcomes: &[(u16, String)]) -> bool {
@@ -79,24 +79,24 @@
 }
 
 #[test]
-fn a_frozen_agent_catches_up_when_it_thaws() {
+fn a_suspended_agent_catches_up_when_it_continues() {
     let fleet = ready_fleet(2, 3);
     fleet.agents[1].signal("STOP");
     assert!(all_answered(&outcomes(&fleet, 1, 20)));
     let changed = "fn plan(request) { refuse(418, \"changed\") }";
-    // Exit code 3: accepted, and not in force in the frozen box.
+    // Exit code 3 means that the change is accepted but not in force in the suspended box.
     assert_eq!(fleet.ctl_code(&["--wait-s=1", "policy", "put", "read", "-"], changed), Some(3));
     assert_eq!(outcomes(&fleet, 0, 1)[0].0, 418);
     assert_eq!(outcomes(&fleet, 1, 1)[0].0, 200);
     fleet.agents[1].signal("CONT");
-    let mut told = 200;
-    while told != 418 {
-        told = outcomes(&fleet, 1, 1)[0].0;
+    let mut status = 200;
+    while status != 418 {
+        status = outcomes(&fleet, 1, 1)[0].0;
     }
 }
 
 #[test]
-fn a_frozen_target_costs_no_caller_its_answer() {
+fn a_suspended_target_fails_no_request() {
     let fleet = ready_fleet(2, 5);
     outcomes(&fleet, 0, 100);
     fleet.targets[0].signal("STOP");
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn every_command_of_wingctl_ends_as_documented() {
+fn wingctl_commands_exit_with_the_documented_codes() {
     let fleet = ready_fleet(1, 2);
     let file = std::env::temp_dir().join(format!("wingbridge-{}.html", std::process::id()));
     let page = format!("--html={}", file.display());
@@ -144,11 +144,14 @@
     }
     let html = std::fs::read_to_string(&file).expect("a page");
     std::fs::remove_file(&file).expect("it was there");
-    assert!(html.contains("<svg") && html.contains("config-in-force"), "a picture of events");
+    assert!(
+        html.contains("<svg") && html.contains("config-in-force"),
+        "the page shows a chart of the events"
+    );
 }
 
 #[test]
-fn the_help_does_not_show_the_fleet_key() {
+fn help_texts_do_not_show_the_fleet_key() {
     for program in ["wingbridge-agent", "wingbridge-proxy"] {
         for flag in ["-h", "--help"] {
             let help = programs::help_with_key(program, flag, "a secret of the fleet");
@@ -159,7 +162,7 @@
 }
 
 #[test]
-fn wrong_settings_are_named_and_nothing_starts() {
+fn invalid_settings_are_named_and_prevent_the_start() {
     let cases: [(&str, &[&str], &str); 5] = [
         ("wingbridge-agent", &["--box-id=a b"], "box-id"),
         ("wingbridge-proxy", &["--box-id=a", "--data-centre=d", "--agent=10.0.0.1:1"], "agent"),
--- a/crates/demo/tests/small/mod.rs
+++ b/crates/demo/tests/small/mod.rs
@@ -1,4 +1,4 @@
-//! A small system, load on it, and waiting for what must come.
+//! Helpers for tests: a small system, load on it, and waiting for events.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,7 +16,7 @@
 use wingctl::fleet::BoxReply;
 
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// Nothing here takes this long; what does never comes.
+/// Time after which an awaited event counts as missing. Every event takes much less.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(90);
 const CALLERS: usize = 12;
 
@@ -25,16 +25,19 @@
     SmallSystem::start(setup).expect("the system starts")
 }
 
-/// Waits for an event; fails only if it never comes.
-pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until `holds` returns true, and fails if that takes longer than [`EVENT_TIMEOUT`].
+pub fn eventually(event: &str, mut holds: impl FnMut() -> bool) {
     let started = Instant::now();
     while !holds() {
-        assert!(started.elapsed() < EVENT_TIMEOUT, "never came: {what}");
+        assert!(
+            started.elapsed() < EVENT_TIMEOUT,
+            "did not happen within {EVENT_TIMEOUT:?}: {event}"
+        );
         thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// What each box says of its targets; nothing of a box that does not answer.
+/// Returns what each box reports about its targets, which is empty for a box that does not answer.
 pub fn targets_of_all(system: &SmallSystem) -> Vec<Vec<TargetView>> {
     let fleet = system.fleet();
     let boxes = task::block_on(fleet.boxes()).expect("an agent answers");
@@ -43,14 +46,14 @@
     answers.into_iter().map(|answer| answer.result.unwrap_or_default()).collect()
 }
 
-/// Whether all boxes send a target nothing.
+/// Returns whether all boxes exclude a target.
 pub fn excluded_everywhere(system: &SmallSystem, target: &str) -> bool {
-    let out =
+    let excludes =
         |views: &Vec<TargetView>| views.iter().any(|view| view.target == target && view.excluded);
-    targets_of_all(system).iter().all(out)
+    targets_of_all(system).iter().all(excludes)
 }
 
-/// Callers of all boxes: nine browse for each that orders.
+/// Callers of all boxes. One in ten places orders; the others make repeatable requests.
 pub struct Load {
     ledger: CallerLedger,
     stopped: Arc<AtomicBool>,
@@ -78,12 +81,12 @@
         load
     }
 
-    /// Sends callers to these boxes from now on, as the balancer does.
+    /// Sends callers to these boxes only from now on, as the balancer does.
     pub fn send_to(&self, boxes: &[SocketAddr]) {
         *self.boxes.lock().expect("not poisoned") = boxes.to_vec();
     }
 
-    /// Waits until so many more requests have ended.
+    /// Waits until this number of further requests have ended.
     pub fn wait_for(&self, requests: u64) {
         let wanted = self.ledger.counts().requests + requests;
         eventually("requests", || self.ledger.counts().requests >= wanted);
@@ -116,10 +119,10 @@
     let mut count = 0;
     while !stopped.load(Ordering::Acquire) {
         count += 1;
-        caller.move_to(pick(count));
+        caller.set_address(pick(count));
         let name = format!("r-{number}-{count}");
         let order = number.is_multiple_of(10);
-        let mut request = CallerRequest::get("/availability/x").with("x-token", &name);
+        let mut request = CallerRequest::get("/availability/x").with_header("x-token", &name);
         if order {
             request.method = Method::Post;
             request.path = "/orders".into();
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -304,7 +304,7 @@
     let chunks = stream::try_unfold(start, move |position| {
         let sent = position - start;
         std::future::ready(if cut > 0 && sent >= cut && position < length {
-            Err(std::io::Error::other("broken off"))
+            Err(std::io::Error::other("download cut by a fault"))
         } else if position >= length {
             Ok(None)
         } else {
