--- a/crates/bench/src/path.rs
+++ b/crates/bench/src/path.rs
@@ -133,7 +133,7 @@
     task::sleep(first).await;
     let mut proxied = LoadCaller::new(proxy);
     let mut direct = LoadCaller::new(target);
-    let request = CallerRequest::get("/path/x").with("x-token", "t");
+    let request = CallerRequest::get("/path/x").with_header("x-token", "t");
     while Instant::now() < end {
         let turn = Instant::now();
         let through = timed(&mut proxied, &request).await;
