--- a/crates/proxy/src/active_config.rs
+++ b/crates/proxy/src/active_config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: an immutable snapshot that requests share.
+//! The configuration in force: an immutable snapshot that all requests share.
 
 use std::collections::HashMap;
 use std::sync::{Arc, PoisonError, RwLock};
@@ -11,7 +11,7 @@
 use wingbridge_policy::PolicyProgram;
 use wingbridge_wire::{Entry, KeyStamp, Stamp};
 
-/// What requests are planned by.
+/// The configuration by which requests are planned.
 #[derive(Debug, Default)]
 pub(crate) struct ConfigSnapshot {
     services: HashMap<Name, ServiceConfig>,
@@ -20,7 +20,8 @@
 }
 
 impl ConfigSnapshot {
-    /// The policy that plans requests for `path`, with its service.
+    /// Returns the service that the route of `path` leads to, with its policy if that is
+    /// configured.
     pub(crate) fn policy_for(
         &self,
         path: &str,
@@ -30,14 +31,14 @@
     }
 }
 
-/// The snapshot in force, shared by all requests.
+/// The snapshot in force, which all requests share.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ActiveConfig {
     snapshot: Arc<RwLock<Option<Arc<ConfigSnapshot>>>>,
 }
 
 impl ActiveConfig {
-    /// The snapshot, or `None` while the box has no whole configuration.
+    /// Returns the snapshot, or `None` until the box has received a complete configuration.
     pub(crate) fn get(&self) -> Option<Arc<ConfigSnapshot>> {
         self.snapshot.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -48,7 +49,7 @@
     }
 }
 
-/// Takes entries, keeps for each key the highest version, and makes snapshots.
+/// Applies entries, keeping the highest version of each key, and builds snapshots.
 #[derive(Debug, Default)]
 pub(crate) struct ConfigBuilder {
     stamps: HashMap<String, Stamp>,
@@ -57,23 +58,23 @@
     overrides: HashMap<Name, Vec<ManualOverride>>,
 }
 
-/// What follows from some entries.
+/// The effects of entries that were applied.
 #[derive(Debug, Default)]
 pub(crate) struct ConfigChange {
-    /// For the core.
+    /// Events for the core.
     pub(crate) events: Vec<BoxEvent>,
-    /// Keys that are now in force.
+    /// Keys and versions that are now in force.
     pub(crate) in_force: Vec<KeyStamp>,
-    /// Keys whose value can't be used, with the reason; the one before stays in force.
+    /// Keys with an invalid value, with the reason. The previous value stays in force.
     pub(crate) refused: Vec<(String, String)>,
 }
 
 impl ConfigBuilder {
-    /// Takes entries. Versions that are not higher than the one held change nothing.
+    /// Applies entries. A version lower than that in force changes nothing.
     pub(crate) fn apply(&mut self, entries: &[Entry]) -> ConfigChange {
         let mut change = ConfigChange::default();
         for entry in entries {
-            if self.stamps.get(&entry.key).is_some_and(|held| *held > entry.stamp) {
+            if self.stamps.get(&entry.key).is_some_and(|stamp| *stamp > entry.stamp) {
                 continue;
             }
             match self.apply_entry(entry, &mut change.events) {
@@ -88,7 +89,7 @@
         change
     }
 
-    /// Puts what is held in force.
+    /// Puts the services, policies and routes in force.
     pub(crate) fn publish(&self, active: &ActiveConfig) {
         let routes = self.services.values().flat_map(|service| {
             let name = &service.setup.name;
@@ -132,7 +133,8 @@
         let name = service.setup.name.clone();
         events.push(BoxEvent::ServiceConfigured(service.setup.clone()));
         if let Some(overrides) = self.overrides.get(&name) {
-            // Overrides may arrive before the service, or name a target that it gains later.
+            // Overrides may be received before the service, or name a target that is added to it
+            // later.
             let overrides = overrides.clone();
             events.push(BoxEvent::OverridesSet { service: name.clone(), overrides });
         }
--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -1,4 +1,4 @@
-//! Readiness for the balancer, and metrics.
+//! Serves readiness to the balancer, and metrics.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 
 use crate::context::ProxyContext;
 
-/// Answers until the task is dropped.
+/// Serves requests until the task is dropped.
 pub(crate) async fn serve_admin(listener: TcpListener, context: Arc<ProxyContext>) {
     serve(listener, ServerSettings::default(), move |request| {
         let context = Arc::clone(&context);
--- a/crates/proxy/src/agent_link.rs
+++ b/crates/proxy/src/agent_link.rs
@@ -1,4 +1,5 @@
-//! The link to the box's agent. Without it the proxy goes on with what it has.
+//! The link to the agent of the box. While it is down, the proxy continues with the configuration
+//! that it has.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,23 +21,25 @@
 use crate::context::ProxyContext;
 use crate::inputs::DecisionInput;
 
+/// Time between the end of a link and the next attempt to connect.
 const RECONNECT_DELAY: Duration = Duration::from_millis(200);
-/// Messages to the agent that wait; without an agent, later ones are dropped.
+/// Maximum number of messages that are queued for the agent. Without an agent, further messages are
+/// dropped.
 pub(crate) const AGENT_QUEUE_LENGTH: usize = 1024;
 
-/// The duty that holds the link.
+/// The task that keeps the link to the agent open.
 pub(crate) struct AgentLink {
     pub(crate) context: Arc<ProxyContext>,
     pub(crate) outgoing: Receiver<FrameBody>,
     pub(crate) to_agent: Sender<FrameBody>,
-    /// Closed once the configuration is whole.
+    /// Closed when the configuration is complete.
     pub(crate) caught_up: Sender<()>,
     pub(crate) stop: StopSignal,
 }
 
 impl AgentLink {
-    /// Keeps the link up until `stop`.
-    pub(crate) async fn work(self) {
+    /// Keeps the link open until `stop` is signalled.
+    pub(crate) async fn run(self) {
         let mut builder = ConfigBuilder::default();
         let work = async {
             loop {
@@ -58,7 +61,7 @@
             select(reading, writing).await.factor_first().0
         };
         self.context.trace.record("agent-lost", &[]);
-        // What the agent held against this box is void until it says so again.
+        // A suspension by the agent ends with the link, until the agent repeats it.
         self.context.ready.suspend(false);
         result
     }
@@ -121,13 +124,13 @@
             }
             FrameBody::Verdicts(verdicts) => {
                 for verdict in &verdicts.verdicts {
-                    self.decide(BoxEvent::VerdictReceived(verdict_of(verdict))).await;
+                    self.send_to_core(BoxEvent::VerdictReceived(verdict_of(verdict))).await;
                 }
             }
-            FrameBody::Draining(leaving) => {
-                let service = leaving.service.as_str().into();
-                let target = TargetKey(leaving.target);
-                self.decide(BoxEvent::DrainingReceived { service, target }).await;
+            FrameBody::Draining(draining) => {
+                let service = draining.service.as_str().into();
+                let target = TargetKey(draining.target);
+                self.send_to_core(BoxEvent::DrainingReceived { service, target }).await;
             }
             FrameBody::Readiness(readiness) => {
                 self.context.ready.suspend(!readiness.allowed);
@@ -141,9 +144,9 @@
     async fn apply_config(&self, entries: &[Entry], builder: &mut ConfigBuilder) {
         let change = builder.apply(entries);
         for event in change.events {
-            self.decide(event).await;
+            self.send_to_core(event).await;
         }
-        // Before the first whole configuration a part of one must not be served from.
+        // Until the first complete configuration, requests must not be served with a part of it.
         if self.caught_up.is_closed() {
             builder.publish(&self.context.config);
         }
@@ -151,9 +154,9 @@
             log::error!(key = key.as_str(), reason = reason.as_str(); "config-refused");
             self.context.trace.record("config-refused", &[("key", key), ("reason", reason)]);
         }
-        for held in &change.in_force {
-            let generation = held.stamp.generation.to_string();
-            let fields = [("key", held.key.as_str()), ("generation", generation.as_str())];
+        for key_stamp in &change.in_force {
+            let generation = key_stamp.stamp.generation.to_string();
+            let fields = [("key", key_stamp.key.as_str()), ("generation", generation.as_str())];
             self.context.trace.record("config-in-force", &fields);
         }
         if !change.in_force.is_empty() {
@@ -162,7 +165,7 @@
         }
     }
 
-    async fn decide(&self, event: BoxEvent) {
+    async fn send_to_core(&self, event: BoxEvent) {
         let _ = self.context.decisions.send(DecisionInput::Event(event)).await;
     }
 
--- a/crates/proxy/src/answers.rs
+++ b/crates/proxy/src/answers.rs
@@ -1,4 +1,4 @@
-//! What callers are told.
+//! Answers for callers.
 
 use std::time::Duration;
 
@@ -10,19 +10,19 @@
 use crate::attempt::TargetAnswer;
 use crate::headers::{self, OUTCOME, REQUEST};
 
-/// The three outcomes towards a caller.
+/// The outcome of a request for the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallerOutcome {
-    /// A target's whole answer.
+    /// A target's answer.
     Answered,
-    /// No target ran any of it.
+    /// No target has run any part of the request.
     NotRun,
-    /// A target may have run it.
+    /// A target may have run the request.
     Unknown,
 }
 
 impl CallerOutcome {
-    /// The outcome's name in headers, logs and metrics.
+    /// Returns the name of the outcome in headers, logs and metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             CallerOutcome::Answered => "answered",
@@ -32,15 +32,15 @@
     }
 }
 
-/// An answer for the caller with its outcome, for the log.
+/// An answer for the caller, with its outcome and reason for the log.
 pub(crate) struct CallerAnswer {
     pub(crate) response: Response,
     pub(crate) outcome: CallerOutcome,
-    pub(crate) why: String,
+    pub(crate) reason: String,
 }
 
 impl CallerAnswer {
-    /// Puts the outcome and the request's id into the headers.
+    /// Adds the outcome and the request's id to the headers.
     pub(crate) fn with_headers(mut self, request: &str) -> CallerAnswer {
         self.response.insert_header(OUTCOME, self.outcome.as_str());
         self.response.insert_header(REQUEST, request);
@@ -48,12 +48,12 @@
     }
 }
 
-/// A refusal of something that was not run.
-pub(crate) fn not_run(status: u16, why: &str, retry_after: Option<Duration>) -> CallerAnswer {
-    refusal(status, CallerOutcome::NotRun, why, retry_after)
+/// Returns the refusal of a request that no target has run.
+pub(crate) fn not_run(status: u16, reason: &str, retry_after: Option<Duration>) -> CallerAnswer {
+    refusal(status, CallerOutcome::NotRun, reason, retry_after)
 }
 
-/// The answer for a request that no target answered.
+/// Returns the answer for a request that no target has answered.
 pub(crate) fn failed(conclusion: Conclusion) -> CallerAnswer {
     match conclusion {
         Conclusion::NotRun { reason, retry_after } => {
@@ -61,14 +61,15 @@
             not_run(status, reason.as_str(), Some(retry_after))
         }
         Conclusion::Unknown { retry_after } => {
-            let why = "a target may have run it, and gave no whole answer";
-            refusal(504, CallerOutcome::Unknown, why, Some(retry_after))
+            let reason = "a target may have run it, and gave no whole answer";
+            refusal(504, CallerOutcome::Unknown, reason, Some(retry_after))
         }
         Conclusion::Answered => refusal(502, CallerOutcome::Unknown, "the answer was lost", None),
     }
 }
 
-/// A target's answer, as it goes to the caller, with `body` where it is passed on.
+/// Converts a target's answer into the caller's, with the body `streamed` if the answer's own has
+/// not been read yet.
 pub(crate) fn answered(answer: TargetAnswer, streamed: Option<Body>) -> CallerAnswer {
     let mut response = Response::new(answer.response.status());
     match (answer.body, streamed) {
@@ -80,27 +81,27 @@
         (ResponseBody::Absent(None), _) => response.set_body(Body::empty()),
         (ResponseBody::Unread(_), body) => response.set_body(body.unwrap_or_else(Body::empty)),
     }
-    // The library makes up a type for bodies that have none.
+    // The library sets a default type for bodies without one.
     response.remove_header("content-type");
     for (name, value) in headers::returned(&answer.response) {
         response.append_header(name.as_str(), value.as_str());
     }
-    let why = format!("from {}", answer.target);
-    CallerAnswer { response, outcome: CallerOutcome::Answered, why }
+    let reason = format!("from {}", answer.target);
+    CallerAnswer { response, outcome: CallerOutcome::Answered, reason }
 }
 
 fn refusal(
     status: u16,
     outcome: CallerOutcome,
-    why: &str,
+    reason: &str,
     retry_after: Option<Duration>,
 ) -> CallerAnswer {
     let status = StatusCode::try_from(status).unwrap_or(StatusCode::ServiceUnavailable);
-    let mut response = text_response(status as u16, why);
+    let mut response = text_response(status as u16, reason);
     if let Some(after) = retry_after {
-        // The header counts whole seconds: rounded up, so that nobody comes too early.
+        // The header is in seconds, rounded up so that no caller returns too early.
         let seconds = after.as_millis().div_ceil(1000);
         response.insert_header("retry-after", seconds.to_string());
     }
-    CallerAnswer { response, outcome, why: why.to_string() }
+    CallerAnswer { response, outcome, reason: reason.to_string() }
 }
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one target, and probes.
+//! Attempts of requests at targets, and probes of targets.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,11 +15,12 @@
 use crate::inputs::DecisionInput;
 use crate::pool::TargetConnection;
 
-/// Chunked answers are held whole up to this length, in bytes.
+/// Maximum length of a chunked answer, which is buffered completely, in bytes.
 const MAX_CHUNKED_RESPONSE_BYTES: usize = 8 << 20;
+/// Time for a probe of a target.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A request as it goes to targets. It is sent again as it stands.
+/// A request as it is sent to targets. Each attempt sends the same request.
 #[derive(Debug, Clone)]
 pub(crate) struct OutgoingRequest {
     pub(crate) method: Method,
@@ -30,7 +31,7 @@
     pub(crate) repeatable: bool,
 }
 
-/// A target's answer, with the connection if a large body waits in it.
+/// An answer of a target, with its connection if the body has not been read yet.
 #[derive(Debug)]
 pub(crate) struct TargetAnswer {
     pub(crate) target: Name,
@@ -39,7 +40,7 @@
     pub(crate) connection: Option<TargetConnection>,
 }
 
-/// What came of an attempt.
+/// The result of an attempt.
 #[derive(Debug)]
 pub(crate) struct AttemptResult {
     pub(crate) outcome: AttemptOutcome,
@@ -52,8 +53,8 @@
     }
 }
 
-/// Sends `request` to `target` and reads the answer. Dropping the future closes the
-/// connection, which cancels the work at the target.
+/// Sends `request` to `target` and reads the answer. Dropping the future closes the connection,
+/// which cancels the work at the target.
 pub(crate) async fn attempt_target(
     context: Arc<ProxyContext>,
     request: Arc<OutgoingRequest>,
@@ -65,8 +66,8 @@
     if let Some(connection) = pooled {
         match exchange(&context, &request, &target, connection, remaining).await {
             Ok(result) => return result,
-            // The target closed the idle connection as the request went out. That is no
-            // failure of it; the request may be repeated, or it would not be here.
+            // The target closed the idle connection while the request was sent. This is no failure
+            // of the target, and a request that uses a pooled connection may be repeated.
             Err(error) if error.kind() == ErrorKind::Truncated || error.kind() == ErrorKind::Io => {
             }
             Err(_) => return AttemptResult::without_answer(AttemptOutcome::Broken),
@@ -82,8 +83,8 @@
     })
 }
 
-/// Asks a target's health end point whether it takes work again after leaving. What
-/// it says of its health counts for nothing.
+/// Queries the health endpoint of a target for whether it accepts requests again after draining.
+/// Only the reported state is used, since a target's report on its own health is not trusted.
 pub(crate) async fn probe_target(context: Arc<ProxyContext>, service: Name, target: Name) {
     let probe = async {
         let connection = connect(&context, &target).await.ok()?;
@@ -146,7 +147,7 @@
     let had_type = outgoing.header("content-type").is_some();
     outgoing.set_body(request.body.clone());
     if !had_type {
-        // The library makes up a type for bodies that have none.
+        // The library sets a default type for bodies without one.
         outgoing.remove_header("content-type");
     }
     let mut bytes = Vec::with_capacity(1024 + request.body.len());
@@ -169,16 +170,16 @@
     let IncomingResponse { response, body, keep_alive } = answer;
     let report = headers::target_report(&response);
     let outcome = match response.status() as u16 {
-        _ if headers::says_not_run(&response) => AttemptOutcome::Shed(report),
+        _ if headers::is_not_run(&response) => AttemptOutcome::Shed(report),
         500..=599 => AttemptOutcome::AnsweredError(report),
         _ => AttemptOutcome::Answered(report),
     };
-    let mut held = None;
+    let mut unread = None;
     if matches!(body, ResponseBody::Unread(_)) {
-        held = Some(connection);
+        unread = Some(connection);
     } else if keep_alive {
         context.pool.put(target, connection);
     }
-    let answer = TargetAnswer { target: target.clone(), response, body, connection: held };
+    let answer = TargetAnswer { target: target.clone(), response, body, connection: unread };
     AttemptResult { outcome, answer: Some(answer) }
 }
--- a/crates/proxy/src/bin/wingbridge-proxy.rs
+++ b/crates/proxy/src/bin/wingbridge-proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy as a program.
+//! The `wingbridge-proxy` program.
 
 use std::process::ExitCode;
 
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -1,4 +1,4 @@
-//! What every request shares.
+//! State that all requests share.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,7 +14,7 @@
 use crate::pool::ConnectionPool;
 use crate::settings::ProxySettings;
 
-/// What requests, probes and the link to the agent share.
+/// State that requests, probes and the link to the agent share.
 pub(crate) struct ProxyContext {
     pub(crate) settings: ProxySettings,
     pub(crate) box_id: Name,
@@ -25,8 +25,9 @@
     pub(crate) decisions: Sender<DecisionInput>,
     pub(crate) ready: ReadyFlag,
     next_number: AtomicU64,
-    /// Makes request ids of this process differ from those of one before it.
-    start: u64,
+    /// Start time of the process, which makes its request ids differ from those of an earlier
+    /// process.
+    start_micros: u64,
 }
 
 impl ProxyContext {
@@ -47,17 +48,17 @@
             decisions,
             ready,
             next_number: AtomicU64::new(1),
-            start: clock.micros(),
+            start_micros: clock.micros(),
         })
     }
 
-    /// A new number for a request.
+    /// Returns a new request id, unique within this process.
     pub(crate) fn next_request_id(&self) -> RequestId {
         RequestId(self.next_number.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// The id that a request has in logs, headers and at targets.
+    /// Returns the id of a request in logs, in headers and at targets, unique over all boxes.
     pub(crate) fn request_name(&self, request: RequestId) -> String {
-        format!("{}-{:x}-{:x}", self.box_id, self.start, request.0)
+        format!("{}-{:x}-{:x}", self.box_id, self.start_micros, request.0)
     }
 }
--- a/crates/proxy/src/decision.rs
+++ b/crates/proxy/src/decision.rs
@@ -1,4 +1,4 @@
-//! The decision thread: it drives the core and passes its commands on.
+//! The decision thread: feeds events to the core and executes the core's commands.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 use crate::context::ProxyContext;
 use crate::inputs::{DecisionInput, Directive};
 
-/// The thread's state.
+/// The state of the decision thread.
 pub(crate) struct DecisionLoop {
     context: Arc<ProxyContext>,
     core: BoxCore,
@@ -39,7 +39,7 @@
         DecisionLoop { context, core, directives, agent, failing: false, reasons: HashMap::new() }
     }
 
-    /// Works until the ring closes.
+    /// Handles inputs until the queue is closed.
     pub(crate) fn run(mut self, inputs: &Receiver<DecisionInput>) {
         let mut commands = Vec::new();
         while let Ok(input) = inputs.recv_blocking() {
@@ -68,7 +68,8 @@
         match command {
             BoxCommand::Send { request, attempt, target, fresh_connection } => {
                 if let Some(directives) = self.directives.get(&request) {
-                    // Full or closed: the request's task is gone, and its cancel is on the way.
+                    // The queue is full or closed if the request's task has ended; its cancellation
+                    // is then already queued.
                     let directive = Directive::Send { attempt, target, fresh_connection };
                     let _ = directives.try_send(directive);
                 }
@@ -91,8 +92,8 @@
             }
             BoxCommand::AnnounceDraining { service, target: TargetKey(target) } => {
                 let service = service.to_string();
-                let leaving = TargetDraining { service, target, ..TargetDraining::default() };
-                self.send_to_agent(FrameBody::Draining(leaving));
+                let draining = TargetDraining { service, target, ..TargetDraining::default() };
+                self.send_to_agent(FrameBody::Draining(draining));
             }
             BoxCommand::HealthChanged(transition) => self.on_health_changed(transition),
             BoxCommand::SelfSuspected(failing) => {
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Without an agent, or with one that is far behind, reports are lost: the box
-    /// goes on by its own evidence.
+    /// Sends a message to the agent. Without an agent, or with an overloaded one, the message is
+    /// lost, and the box continues with its own evidence.
     fn send_to_agent(&self, body: FrameBody) {
         if self.agent.try_send(body).is_err() {
             metrics::counter!("wingbridge_reports_dropped").increment(1);
@@ -139,8 +140,8 @@
     fn report_state(&self, now: TimePoint) {
         let services = self.core.services();
         let targets = services.flat_map(|service| {
-            let changed = service.targets().iter().filter(|target| is_notable(target));
-            changed.map(|target| self.target_view(now, service, target))
+            let notable = service.targets().iter().filter(|target| is_notable(target));
+            notable.map(|target| self.target_view(now, service, target))
         });
         self.send_to_agent(FrameBody::ProxyState(ProxyState {
             targets: targets.collect(),
@@ -158,26 +159,28 @@
     ) -> wingbridge_wire::TargetState {
         let name = service.setup().name.clone();
         let address = target.setup.address.clone();
-        let why = self.reasons.get(&(name.clone(), address.clone())).copied().unwrap_or_default();
-        let scope = match (target.manual_override, target.health.ejection().map(|held| held.scope))
-        {
-            (Some(_), _) => "by hand",
-            (None, Some(VerdictScope::Path)) => "path",
-            (None, Some(VerdictScope::DataCentre)) => "data centre",
-            (None, Some(VerdictScope::Target)) => "target",
-            (None, None) => "",
-        };
-        let wanted = target.health.ejection().is_some()
+        let reason =
+            self.reasons.get(&(name.clone(), address.clone())).copied().unwrap_or_default();
+        let scope =
+            match (target.manual_override, target.health.ejection().map(|ejection| ejection.scope))
+            {
+                (Some(_), _) => "by hand",
+                (None, Some(VerdictScope::Path)) => "path",
+                (None, Some(VerdictScope::DataCentre)) => "data centre",
+                (None, Some(VerdictScope::Target)) => "target",
+                (None, None) => "",
+            };
+        let should_eject = target.health.ejection().is_some()
             || target.manual_override == Some(OverrideKind::Eject);
         wingbridge_wire::TargetState {
             service: name.to_string(),
             target: address.to_string(),
             state: target.health.state().as_str().to_string(),
             for_ms: now.since(target.health.since()).as_millis() as u64,
-            reason: why.to_string(),
+            reason: reason.to_string(),
             scope: scope.to_string(),
             excluded: target.is_excluded() && !service.below_floor(),
-            kept_by_floor: wanted && (!target.ejection_enforced || service.below_floor()),
+            kept_by_floor: should_eject && (!target.ejection_enforced || service.below_floor()),
         }
     }
 }
--- a/crates/proxy/src/headers.rs
+++ b/crates/proxy/src/headers.rs
@@ -1,4 +1,4 @@
-//! Which headers pass, and what is read from them.
+//! Headers that are forwarded, and values that are read from headers.
 
 use std::time::Duration;
 
@@ -7,43 +7,43 @@
 use wingbridge_decide::{ReportedState, TargetReport};
 use wingbridge_http::raw::head::HOP_BY_HOP;
 
-/// Header with the outcome towards the caller.
+/// Response header with the outcome of the request.
 pub(crate) const OUTCOME: &str = "x-wingbridge-outcome";
-/// Header with the request's id, towards caller and target.
+/// Header with the id of the request, for caller and target.
 pub(crate) const REQUEST: &str = "x-wingbridge-request";
-/// Header with the box's name, towards the target.
+/// Header with the id of the box, for the target.
 pub(crate) const BOX: &str = "x-wingbridge-box";
-/// Header with the time left, in milliseconds, from the caller and towards the target.
+/// Header with the remaining time in milliseconds, from the caller and for the target.
 pub(crate) const DEADLINE: &str = "x-deadline-ms";
 const NOT_RUN: &str = "x-not-run";
 const LOAD: &str = "x-target-load";
 const STATE: &str = "x-target-state";
 const INCARNATION: &str = "x-target-incarnation";
 
-/// Headers that only wingbridge sets.
+/// Headers that only wingbridge itself sets.
 const RESERVED: [&str; 6] = [OUTCOME, REQUEST, BOX, LOAD, STATE, INCARNATION];
 
-/// The value of a header, or an empty text.
+/// Returns the last value of a header, or an empty text if the header is missing.
 pub(crate) fn text(values: Option<&HeaderValues>) -> &str {
     values.map_or("", |values| values.last().as_str())
 }
 
-/// Headers of a request that go on to the target.
+/// Returns the headers of a request that are forwarded to the target.
 pub(crate) fn forwarded(request: &Request) -> Vec<(String, String)> {
-    let named = text(request.header("connection")).to_ascii_lowercase();
-    pass(request.iter(), &named, &["content-length", DEADLINE])
+    let connection_options = text(request.header("connection")).to_ascii_lowercase();
+    end_to_end(request.iter(), &connection_options, &["content-length", DEADLINE])
 }
 
-/// Headers of an answer that go back to the caller.
+/// Returns the headers of an answer that are returned to the caller.
 pub(crate) fn returned(response: &Response) -> Vec<(String, String)> {
-    let named = text(response.header("connection")).to_ascii_lowercase();
-    let mut headers = pass(response.iter(), &named, &["content-length"]);
-    // The library makes up a date where the target gave none, and a malformed one.
+    let connection_options = text(response.header("connection")).to_ascii_lowercase();
+    let mut headers = end_to_end(response.iter(), &connection_options, &["content-length"]);
+    // If the target sends no date, the library inserts one, which is malformed.
     headers.retain(|(name, value)| name != "date" || !value.starts_with("date:"));
     headers
 }
 
-/// What a target says of itself in an answer.
+/// Returns the report of a target on itself in an answer.
 pub(crate) fn target_report(response: &Response) -> TargetReport {
     let load: Option<f32> = text(response.header(LOAD)).parse().ok();
     let state = match text(response.header(STATE)) {
@@ -58,33 +58,33 @@
     }
 }
 
-/// Whether the target says that it ran nothing of the request.
-pub(crate) fn says_not_run(response: &Response) -> bool {
+/// Returns whether the target reports that it has not run any part of the request.
+pub(crate) fn is_not_run(response: &Response) -> bool {
     response.status() as u16 == 503 && text(response.header(NOT_RUN)) == "1"
 }
 
-/// The time that the caller gives, if it gives one.
+/// Returns the time that the caller allows for the request, if it sets one.
 pub(crate) fn caller_deadline(request: &Request) -> Option<Duration> {
     let millis: u64 = text(request.header(DEADLINE)).parse().ok()?;
     Some(Duration::from_millis(millis))
 }
 
-fn pass<'a>(
+fn end_to_end<'a>(
     headers: impl Iterator<Item = (&'a HeaderName, &'a HeaderValues)>,
-    named: &str,
-    also: &[&str],
+    connection_options: &str,
+    excluded: &[&str],
 ) -> Vec<(String, String)> {
-    let mut passed = Vec::new();
+    let mut forwarded = Vec::new();
     for (name, values) in headers {
         let name = name.as_str();
         let dropped = HOP_BY_HOP.contains(&name)
             || RESERVED.contains(&name)
-            || also.contains(&name)
-            || named.split(',').any(|token| token.trim() == name);
+            || excluded.contains(&name)
+            || connection_options.split(',').any(|token| token.trim() == name);
         if !dropped {
             let values = values.iter();
-            passed.extend(values.map(|value| (name.to_string(), value.as_str().to_string())));
+            forwarded.extend(values.map(|value| (name.to_string(), value.as_str().to_string())));
         }
     }
-    passed
+    forwarded
 }
--- a/crates/proxy/src/inputs.rs
+++ b/crates/proxy/src/inputs.rs
@@ -1,28 +1,28 @@
-//! What goes into the decision thread, and what it tells a request's task.
+//! Inputs of the decision thread, and the directives that it sends to the tasks of requests.
 
 use async_channel::Sender;
 use wingbridge_decide::{BoxEvent, Conclusion, Name, RequestId, RequestPlan};
 
-/// Directives that wait for one request; the core gives at most one for each attempt
-/// and one at the end.
+/// Maximum number of directives that are queued for one request. The core sends at most one for
+/// each attempt and one at the end.
 pub(crate) const MAX_QUEUED_DIRECTIVES: usize = 16;
 
-/// Into the decision thread.
+/// An input of the decision thread.
 #[derive(Clone)]
 pub(crate) enum DecisionInput {
-    /// A request with where its directives go.
+    /// A request has arrived; its directives go into `directives`.
     Arrived { request: RequestId, plan: RequestPlan, directives: Sender<Directive> },
-    /// Anything else for the core.
+    /// Any other event for the core.
     Event(BoxEvent),
-    /// The proxy's state is to be reported to the agent.
+    /// The state of the proxy is due to be reported to the agent.
     StateDue,
 }
 
-/// What the core wants of one request's task.
+/// A directive of the core for the task of a request.
 #[derive(Debug, Clone)]
 pub(crate) enum Directive {
-    /// Send it to a target, and drop an earlier attempt.
+    /// Send the request to a target, and cancel an earlier attempt.
     Send { attempt: u32, target: Name, fresh_connection: bool },
-    /// It is finished.
+    /// End the request with this conclusion.
     Conclude(Conclusion),
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,8 +1,8 @@
-//! The proxy of a box: between callers and targets.
+//! The proxy of a box: passes requests of callers to targets.
 //!
-//! Duties: connections and requests on the I/O pool, decisions on one thread that
-//! drives the core ([`decision`]), the link to the agent, the timer. The proxy
-//! serves without its agent, by the last configuration and its own evidence.
+//! Connections and requests run on the I/O pool. One thread makes all decisions by driving the core
+//! ([`decision`]); the link to the agent and the timer have threads of their own. Without its agent
+//! the proxy continues to serve, with the last configuration and its own evidence.
 
 mod active_config;
 mod admin;
--- a/crates/proxy/src/lifecycle.rs
+++ b/crates/proxy/src/lifecycle.rs
@@ -1,7 +1,7 @@
-//! The lifecycle of a proxy, as types: starting, serving, leaving, drained.
+//! The lifecycle of a proxy as types: starting, serving, draining, ended.
 //!
-//! Each step consumes the one before, so none can be left out or taken twice,
-//! and only [`Lifecycle<Serving>`] ever says that the box is ready.
+//! Each step consumes the previous state, so that no step can be skipped or repeated, and only
+//! [`Lifecycle<Serving>`] sets the box ready.
 
 use std::marker::PhantomData;
 use std::sync::Arc;
@@ -9,34 +9,34 @@
 
 use wingbridge_trace::EventTrace;
 
-/// What the balancer is told.
+/// Readiness of the box, as reported to the balancer.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ReadyFlag {
     serving: Arc<AtomicBool>,
-    /// Set while the agent holds this box sick.
+    /// Set while the agent suspends this box, because the box itself seems to cause its failures.
     suspended: Arc<AtomicBool>,
 }
 
 impl ReadyFlag {
-    /// Whether the box is to get requests.
+    /// Returns whether the box accepts requests.
     pub(crate) fn is_ready(&self) -> bool {
         self.serving.load(Ordering::Acquire) && !self.suspended.load(Ordering::Acquire)
     }
 
-    /// The agent's word on it.
+    /// Sets whether the agent suspends this box.
     pub(crate) fn suspend(&self, suspended: bool) {
         self.suspended.store(suspended, Ordering::Release);
     }
 }
 
-/// It has no configuration yet.
+/// State of a proxy without a complete configuration.
 pub(crate) struct Starting;
-/// It takes requests.
+/// State of a proxy that accepts requests.
 pub(crate) struct Serving;
-/// It finishes what it has.
+/// State of a proxy that only finishes its requests.
 pub(crate) struct Draining;
 
-/// A proxy in one part of its lifecycle.
+/// A proxy in the state `S` of its lifecycle.
 pub(crate) struct Lifecycle<S> {
     ready: ReadyFlag,
     trace: EventTrace,
@@ -49,14 +49,14 @@
         Lifecycle { ready, trace, state: PhantomData }
     }
 
-    /// The configuration is whole.
+    /// Starts to serve, once the configuration is complete.
     pub(crate) fn start_serving(self) -> Lifecycle<Serving> {
         self.trace.record("box-ready", &[]);
         self.ready.serving.store(true, Ordering::Release);
         self.step()
     }
 
-    /// It is stopped before it ever served.
+    /// Stops a proxy that has never served.
     pub(crate) fn abort_start(self) -> Lifecycle<Draining> {
         self.trace.record("box-leaving", &[]);
         self.step()
@@ -64,7 +64,7 @@
 }
 
 impl Lifecycle<Serving> {
-    /// A planned stop begins.
+    /// Begins a planned stop: the box is no longer ready.
     pub(crate) fn start_draining(self) -> Lifecycle<Draining> {
         self.ready.serving.store(false, Ordering::Release);
         self.trace.record("box-leaving", &[]);
@@ -73,7 +73,7 @@
 }
 
 impl Lifecycle<Draining> {
-    /// All has ended; `whole` if nothing was cut.
+    /// Ends the lifecycle; `complete` if no request was interrupted.
     pub(crate) fn finish(self, complete: bool) {
         self.trace.record("box-drained", &[("cut", if complete { "nothing" } else { "some" })]);
     }
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to targets.
+//! A pool of idle connections to targets.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -8,12 +8,13 @@
 use wingbridge_decide::Name;
 use wingbridge_http::MessageReader;
 
-/// Connections that are kept for one target.
+/// Maximum number of idle connections to one target.
 const MAX_IDLE_PER_TARGET: usize = 8;
-/// An idle connection is not used after this time: targets close theirs sooner or later.
+/// Time after which an idle connection is no longer used, since targets close idle connections
+/// sooner or later.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A connection to a target with no answer outstanding.
+/// A connection to a target without an outstanding answer.
 #[derive(Debug)]
 pub(crate) struct TargetConnection {
     pub(crate) reader: MessageReader,
@@ -27,14 +28,15 @@
     }
 }
 
-/// The idle connections of all targets.
+/// The idle connections to all targets.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionPool {
     idle: Mutex<HashMap<Name, Vec<(Instant, TargetConnection)>>>,
 }
 
 impl ConnectionPool {
-    /// The connection that was used last, if one is still good to use.
+    /// Removes and returns the connection that was used last, if it has not exceeded
+    /// [`IDLE_TIMEOUT`].
     pub(crate) fn take(&self, target: &Name) -> Option<TargetConnection> {
         let mut idle = self.lock();
         let connections = idle.get_mut(target)?;
@@ -42,12 +44,12 @@
         if since.elapsed() < IDLE_TIMEOUT {
             return Some(connection);
         }
-        // The others have been idle for longer still.
+        // The other connections have been idle for even longer.
         connections.clear();
         None
     }
 
-    /// Keeps a connection whose answer was read to its end.
+    /// Adds a connection whose last answer was read completely.
     pub(crate) fn put(&self, target: &Name, connection: TargetConnection) {
         let mut idle = self.lock();
         let connections = idle.entry(target.clone()).or_default();
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Closes what has been idle for too long.
+    /// Closes connections that have been idle for too long.
     pub(crate) fn close_idle(&self) {
         let mut idle = self.lock();
         for connections in idle.values_mut() {
--- a/crates/proxy/src/requests.rs
+++ b/crates/proxy/src/requests.rs
@@ -1,4 +1,4 @@
-//! One request from its plan to its conclusion, over as many attempts as it takes.
+//! Runs a request from its plan to its conclusion, over one or more attempts.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -15,16 +15,17 @@
 
 type RunningAttempt = Pin<Box<dyn Future<Output = AttemptResult> + Send>>;
 
-/// How a request ended.
+/// The result of a request.
 #[derive(Debug)]
 pub(crate) enum RequestResult {
-    /// A target's answer.
+    /// The answer of a target.
     Answered(Box<TargetAnswer>),
-    /// None, with what is known.
+    /// No answer, with the conclusion of the core.
     Failed(Conclusion),
 }
 
-/// Tells the core if a request is dropped before its conclusion: its caller hung up.
+/// Reports a cancellation to the core if the future of a request is dropped before its conclusion,
+/// because the caller has hung up.
 struct CancelGuard {
     context: Arc<ProxyContext>,
     request: Option<RequestId>,
@@ -41,7 +42,8 @@
     }
 }
 
-/// Sees a request through. Dropping the future cancels it everywhere.
+/// Runs a request until its conclusion. Dropping the future cancels the request, including an
+/// attempt at a target.
 pub(crate) async fn run_request(
     context: &Arc<ProxyContext>,
     request: RequestId,
@@ -54,12 +56,12 @@
     let arrived = DecisionInput::Arrived { request, plan, directives: sender };
     if context.decisions.send(arrived).await.is_err() {
         guard.request = None;
-        return stopping();
+        return decision_thread_ended();
     }
-    let mut run = RequestRun { context, request, outgoing, deadline, last: None };
-    let end = run.run(&directives).await;
+    let mut run = RequestRun { context, request, outgoing, deadline, last_answer: None };
+    let result = run.run(&directives).await;
     guard.request = None;
-    end
+    result
 }
 
 struct RequestRun<'a> {
@@ -67,7 +69,7 @@
     request: RequestId,
     outgoing: Arc<OutgoingRequest>,
     deadline: TimePoint,
-    last: Option<TargetAnswer>,
+    last_answer: Option<TargetAnswer>,
 }
 
 impl RequestRun<'_> {
@@ -83,14 +85,14 @@
                             self.end_attempt(attempt, result).await;
                             continue;
                         }
-                        // A new directive drops the attempt that was running.
+                        // A new directive cancels the running attempt.
                         Either::Right((directive, _)) => directive,
                     }
                 }
             };
             match directive {
                 Ok(Directive::Send { attempt, target, fresh_connection }) => {
-                    self.last = None;
+                    self.last_answer = None;
                     let work = attempt_target(
                         Arc::clone(self.context),
                         Arc::clone(&self.outgoing),
@@ -101,28 +103,28 @@
                     running = Some((attempt, Box::pin(work)));
                 }
                 Ok(Directive::Conclude(conclusion)) => return self.conclude(conclusion),
-                Err(_) => return stopping(),
+                Err(_) => return decision_thread_ended(),
             }
         }
     }
 
     async fn end_attempt(&mut self, attempt: u32, result: AttemptResult) {
         let AttemptResult { outcome, answer } = result;
-        self.last = answer;
+        self.last_answer = answer;
         let request = self.request;
         let event = BoxEvent::AttemptEnded { request, attempt, outcome };
         let _ = self.context.decisions.send(DecisionInput::Event(event)).await;
         debug_assert!(
-            self.last.is_some()
+            self.last_answer.is_some()
                 || matches!(outcome, AttemptOutcome::NotSent | AttemptOutcome::Broken)
         );
     }
 
     fn conclude(&mut self, conclusion: Conclusion) -> RequestResult {
-        match (conclusion, self.last.take()) {
+        match (conclusion, self.last_answer.take()) {
             (Conclusion::Answered, Some(answer)) => RequestResult::Answered(Box::new(answer)),
             (Conclusion::Answered, None) => {
-                debug_assert!(false, "a conclusion of an answer that never came");
+                debug_assert!(false, "request concluded as answered, but no answer was received");
                 RequestResult::Failed(Conclusion::Unknown { retry_after: Duration::from_secs(1) })
             }
             (failed, _) => RequestResult::Failed(failed),
@@ -134,7 +136,8 @@
     }
 }
 
-/// The decision thread is gone, which only a stop that ran out of time brings about.
-fn stopping() -> RequestResult {
+/// Returns the result of a request after the decision thread has ended, which happens only if the
+/// planned stop exceeded its time.
+fn decision_thread_ended() -> RequestResult {
     RequestResult::Failed(Conclusion::Unknown { retry_after: Duration::from_secs(1) })
 }
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts the proxy's duties, and ends them without cutting a request.
+//! Starts the tasks of the proxy, and stops them without interrupting requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,37 +24,41 @@
 use crate::serve::answer_caller;
 use crate::settings::ProxySettings;
 
-/// Inputs that wait for the decision thread.
+/// Maximum number of inputs that are queued for the decision thread.
 const DECISION_QUEUE_LENGTH: usize = 8192;
-/// Period of the core's timer: how exactly deadlines are kept.
+/// Period of the core's timer, which is the accuracy of deadlines.
 const TICK_PERIOD: Duration = Duration::from_millis(10);
+/// Time between two reports of the proxy's state to the agent.
 const STATE_PERIOD: Duration = Duration::from_secs(1);
+/// Time between two removals of idle connections from the pool.
 const POOL_PERIOD: Duration = Duration::from_secs(2);
+/// Maximum number of trace events that a proxy keeps.
 const MAX_TRACE_EVENTS: usize = 2000;
 
-/// Where a started proxy listens; the system may have chosen the ports.
+/// Addresses on which a started proxy listens; the operating system may have chosen the ports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProxyAddresses {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For the balancer.
+    /// Address for the balancer.
     pub admin: SocketAddr,
 }
 
-/// Runs a proxy until `stop`, then until what is in flight has ended.
+/// Runs a proxy until `stop` is signalled, and then until the requests in progress have ended;
+/// calls `started` with its addresses once it listens.
 ///
 /// # Errors
-/// An address can't be listened on, the health chart is faulty, or the system gave
-/// no thread.
+/// Fails if an address can't be bound, the health chart is faulty, a thread can't be started, or a
+/// thread has panicked.
 pub fn run(
     settings: &ProxySettings,
     stop: &StopSignal,
     started: impl FnOnce(ProxyAddresses),
 ) -> eyre::Result<Outcome> {
-    task::block_on(run_duties(settings, stop, started))
+    task::block_on(run_tasks(settings, stop, started))
 }
 
-async fn run_duties(
+async fn run_tasks(
     settings: &ProxySettings,
     stop: &StopSignal,
     started: impl FnOnce(ProxyAddresses),
@@ -71,10 +75,11 @@
     let context =
         ProxyContext::new(settings.clone(), clock, trace.clone(), decisions.clone(), ready.clone());
     let core = BoxCore::new(evidence_source(settings), chart, clock.micros());
-    let duty = DecisionLoop::new(Arc::clone(&context), core, to_agent.clone());
-    let decision =
-        thread::Builder::new().name("decisions".into()).spawn(move || duty.run(&inputs))?;
-    let (caught_up, whole) = async_channel::bounded::<()>(1);
+    let decision_loop = DecisionLoop::new(Arc::clone(&context), core, to_agent.clone());
+    let decision = thread::Builder::new()
+        .name("decisions".into())
+        .spawn(move || decision_loop.run(&inputs))?;
+    let (caught_up, complete) = async_channel::bounded::<()>(1);
     let (link_handle, link_stop) = stop_channel();
     let link = AgentLink {
         context: Arc::clone(&context),
@@ -85,13 +90,13 @@
     };
     let link = thread::Builder::new()
         .name("agent link".into())
-        .spawn(move || task::block_on(link.work()))?;
+        .spawn(move || task::block_on(link.run()))?;
     let timer = TimerService::start()?;
     timer.subscribe(TICK_PERIOD, decisions.clone(), DecisionInput::Event(BoxEvent::TimerFired));
     timer.subscribe(STATE_PERIOD, decisions.clone(), DecisionInput::StateDue);
     let (pool_ticks, pool_due) = async_channel::bounded(1);
     timer.subscribe(POOL_PERIOD, pool_ticks, ());
-    let side = [
+    let background_tasks = [
         task::spawn(serve_admin(admin, Arc::clone(&context))),
         task::spawn(close_idle(Arc::clone(&context), pool_due)),
     ];
@@ -106,7 +111,7 @@
     started(addresses);
     log::info!(callers:% = addresses.callers, admin:% = addresses.admin; "proxy-started");
     let lifecycle = Lifecycle::new(ready, trace);
-    wait_for_either(whole.recv(), stop.wait()).await;
+    wait_for_either(complete.recv(), stop.wait()).await;
     let lifecycle = if stop.is_stopped() {
         lifecycle.abort_start()
     } else {
@@ -117,18 +122,18 @@
         lifecycle
     };
     drain_handle.close();
-    let ended = async_std::future::timeout(settings.drain_time, serving).await;
-    lifecycle.finish(ended.is_ok());
-    log::info!(whole = ended.is_ok(); "proxy-drained");
-    for task in side {
+    let drained = async_std::future::timeout(settings.drain_time, serving).await;
+    lifecycle.finish(drained.is_ok());
+    log::info!(whole = drained.is_ok(); "proxy-drained");
+    for task in background_tasks {
         task.cancel().await;
     }
     flush_reports(&to_agent).await;
     link_handle.stop();
     decisions.close();
     let panicked = [decision.join().is_err(), link.join().is_err()];
-    eyre::ensure!(!panicked.contains(&true), "a duty ended by a broken invariant");
-    Ok(if ended.is_ok() { Outcome::Done } else { Outcome::CheckFailed })
+    eyre::ensure!(!panicked.contains(&true), "a thread of the proxy panicked");
+    Ok(if drained.is_ok() { Outcome::Done } else { Outcome::CheckFailed })
 }
 
 fn evidence_source(settings: &ProxySettings) -> EvidenceSource {
@@ -161,7 +166,7 @@
     }
 }
 
-/// Gives the last reports and events a moment to reach the agent.
+/// Waits a short time for the last reports and events to reach the agent.
 async fn flush_reports(to_agent: &async_channel::Sender<wingbridge_wire::FrameBody>) {
     const FLUSH_STEP: Duration = Duration::from_millis(10);
     const FLUSH_STEPS: usize = 20;
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to the answer that it gets.
+//! Handles a caller's request, up to the answer for the caller.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,10 +18,10 @@
 use crate::requests::{RequestResult, run_request};
 use crate::streaming::{StreamContext, stream_body};
 
-/// Time after which a caller may come back to a box that is not ready.
+/// Time after which a caller may retry at a box that is not ready.
 const NOT_READY_RETRY: Duration = Duration::from_secs(2);
 
-/// Answers one request. Dropping the future cancels it, if its policy allows that.
+/// Answers one request. Dropping the future cancels the request if its policy allows that.
 pub(crate) async fn answer_caller(context: Arc<ProxyContext>, request: PeerRequest) -> Response {
     let started = Instant::now();
     let id = context.next_request_id();
@@ -29,8 +29,8 @@
     let caller = caller_name(&request);
     let path = request.incoming.request.url().path().to_string();
     let method = request.incoming.request.method();
-    let planned = plan_request(&context, &request.incoming, &caller);
-    let (service, answer) = match planned {
+    let plan = plan_request(&context, &request.incoming, &caller);
+    let (service, answer) = match plan {
         Err(refusal) => (String::new(), *refusal),
         Ok(plan) => {
             let service = plan.service.clone();
@@ -39,7 +39,8 @@
             let answer = if plan.cancel_on_hangup {
                 work.await
             } else {
-                // Its own task: a caller that hangs up drops only the wait for it.
+                // The request runs in a task of its own: if the caller hangs up, only the wait for
+                // the task is cancelled.
                 task::spawn(work).await
             };
             (service, answer)
@@ -49,7 +50,7 @@
     log::info!(
         request = name.as_str(), service = service.as_str(), method:% = method, path = path.as_str(),
         status = answer.response.status() as u16, outcome = answer.outcome.as_str(),
-        why = answer.why.as_str(), millis;
+        why = answer.reason.as_str(), millis;
         "request"
     );
     let labels = [("service", service), ("outcome", answer.outcome.as_str().to_string())];
@@ -65,13 +66,14 @@
     id: RequestId,
     caller: String,
 ) -> CallerAnswer {
-    let time = headers::caller_deadline(&incoming.request).map_or(policy.deadline, |asked| {
-        // The caller may ask for less than the policy gives, and not for more.
-        asked.min(policy.deadline)
-    });
+    let timeout =
+        headers::caller_deadline(&incoming.request).map_or(policy.deadline, |requested| {
+            // The caller may shorten the time that the policy allows, but not extend it.
+            requested.min(policy.deadline)
+        });
     let plan = RequestPlan {
         service: Name::from(policy.service.as_str()),
-        deadline: TimePoint::from_micros(context.clock.micros()) + time,
+        deadline: TimePoint::from_micros(context.clock.micros()) + timeout,
         repeatable: policy.repeatable,
         attempts: policy.max_attempts,
         caller: caller_hash(&caller),
@@ -82,14 +84,14 @@
     match run_request(&context, id, Arc::clone(&outgoing), plan.clone()).await {
         RequestResult::Failed(conclusion) => failed(conclusion),
         RequestResult::Answered(mut answer) => {
-            let stream = StreamContext { context, outgoing, plan, time: policy.deadline };
+            let stream = StreamContext { context, outgoing, plan, head_timeout: policy.deadline };
             let body = stream_body(stream, &mut answer);
             answered(*answer, body)
         }
     }
 }
 
-/// What the policy says, or the refusal that the caller gets.
+/// Returns the plan of the policy, or the refusal for the caller.
 fn plan_request(
     context: &ProxyContext,
     incoming: &IncomingRequest,
@@ -103,8 +105,8 @@
         return Err(refused(404, "no route leads anywhere from this path", None));
     };
     let Some(policy) = policy else {
-        let why = format!("the policy '{}' is not configured", service.policy);
-        return Err(refused(503, &why, Some(NOT_READY_RETRY)));
+        let reason = format!("the policy '{}' is not configured", service.policy);
+        return Err(refused(503, &reason, Some(NOT_READY_RETRY)));
     };
     let view = request_view(incoming, caller);
     match policy.plan(view) {
@@ -114,11 +116,12 @@
     }
 }
 
-fn refused(status: u16, why: &str, retry_after: Option<Duration>) -> Box<CallerAnswer> {
-    Box::new(not_run(status, why, retry_after))
+fn refused(status: u16, reason: &str, retry_after: Option<Duration>) -> Box<CallerAnswer> {
+    Box::new(not_run(status, reason, retry_after))
 }
 
-/// A policy that fails at run time is answered safely: nothing was sent anywhere.
+/// Refuses a request whose policy has failed at run time. The refusal is safe, since nothing has
+/// been sent to a target.
 fn on_policy_fault(context: &ProxyContext, service: &ServiceConfig, fault: &str) -> CallerAnswer {
     let policy = service.policy.as_str();
     log::error!(policy, reason = fault; "policy-failed");
@@ -165,10 +168,11 @@
     }
 }
 
-/// Whose request it is: the first address that the balancer noted, or the peer's own.
+/// Returns the caller's name: the first address that the balancer added to the header, or the
+/// address of the peer.
 fn caller_name(request: &PeerRequest) -> String {
-    let noted = headers::text(request.incoming.request.header("x-forwarded-for"));
-    let first = noted.split(',').next().unwrap_or_default().trim();
+    let addresses = headers::text(request.incoming.request.header("x-forwarded-for"));
+    let first = addresses.split(',').next().unwrap_or_default().trim();
     if first.is_empty() { request.peer.ip().to_string() } else { first.to_string() }
 }
 
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -1,4 +1,4 @@
-//! The proxy's settings.
+//! Settings of the proxy.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,44 +7,44 @@
 use wingbridge_process::SettingError;
 use wingbridge_process::settings::{self, secret_setting, setting};
 
-/// Checked settings.
+/// Validated settings of a proxy.
 #[derive(Debug, Clone)]
 pub struct ProxySettings {
-    /// This box.
+    /// Id of this box.
     pub box_id: String,
-    /// Its data centre.
+    /// Data centre of this box.
     pub data_centre: String,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub listen: SocketAddr,
-    /// Where the balancer asks for readiness, and metrics are.
+    /// Address that serves readiness to the balancer, and the metrics.
     pub admin_listen: SocketAddr,
-    /// This box's agent.
+    /// Address of this box's agent.
     pub agent: SocketAddr,
-    /// The secret that all boxes share.
+    /// Secret that all boxes of the fleet share.
     pub fleet_key: String,
-    /// Time to connect to a target.
+    /// Time to open a connection to a target.
     pub connect_time: Duration,
-    /// Longest answer that is held whole, in bytes.
+    /// Maximum length of an answer that is buffered completely, in bytes.
     pub max_buffered_response_bytes: usize,
-    /// Longest request body, in bytes.
+    /// Maximum length of a request body, in bytes.
     pub max_request_bytes: usize,
-    /// Connections of callers at once.
+    /// Maximum number of callers' connections at the same time.
     pub max_connections: usize,
-    /// Time that a caller has to send a request.
+    /// Time within which a caller must send a request.
     pub request_time: Duration,
-    /// Time that an answer on its way may stand still.
+    /// Time without data after which a streamed answer counts as broken.
     pub stall_time: Duration,
-    /// At a planned stop: time between "not ready" and the last new connection.
+    /// Time between the first "not ready" answer and the last new connection, at a planned stop.
     pub leave_time: Duration,
-    /// At a planned stop: time for requests in flight, at most.
+    /// Maximum time for the requests in progress, at a planned stop.
     pub drain_time: Duration,
-    /// Threads for connections and requests.
+    /// Number of threads for connections and requests.
     pub io_threads: usize,
-    /// How much is logged.
+    /// Level of the log.
     pub log_level: String,
 }
 
-/// The command line of `wingbridge-proxy`.
+/// Returns the command line of `wingbridge-proxy`.
 pub fn proxy_command() -> Command {
     Command::new("wingbridge-proxy")
         .version(env!("CARGO_PKG_VERSION"))
@@ -53,24 +53,24 @@
         .arg(setting("data-centre", "Data centre of this box", "1 to 63 letters, digits, '-', '_' and '.'."))
         .arg(setting("listen", "Address for callers", "An IP number and a port.").default_value("127.0.0.1:0"))
         .arg(setting("admin-listen", "Address for readiness and metrics", "An IP number and a port: GET /ready and GET /metrics.").default_value("127.0.0.1:0"))
-        .arg(setting("agent", "Address of this box's agent", "What the agent has as --proxy-listen."))
+        .arg(setting("agent", "Address of this box's agent", "The value of --proxy-listen of the agent."))
         .arg(secret_setting("fleet-key", "Secret that all boxes of the fleet share", "At least 16 characters. Better set by the environment, where other users of the machine do not see it."))
         .arg(setting("connect-ms", "Time to connect to a target, in milliseconds", "A target that can't be connected to in time has not run the request.").default_value("500"))
-        .arg(setting("held-bytes", "Longest answer that is held whole, in bytes", "A longer one is passed on as it comes, and resumed at another target if it breaks off.").default_value("262144"))
-        .arg(setting("request-bytes", "Longest request body, in bytes", "Bodies are held whole, so that a request can be sent again.").default_value("1048576"))
-        .arg(setting("connections", "Connections of callers at once", "One more is refused with 503.").default_value("4096"))
-        .arg(setting("request-ms", "Time that a caller has to send a request, in milliseconds", "Counted from its first byte; then it is told 408.").default_value("10000"))
-        .arg(setting("stall-ms", "Time that an answer on its way may stand still, in milliseconds", "Then it counts as broken off.").default_value("5000"))
-        .arg(setting("leave-ms", "Planned stop: time between 'not ready' and the last new connection, in milliseconds", "As long as the balancer needs to see it.").default_value("3000"))
-        .arg(setting("drain-ms", "Planned stop: time for requests in flight at most, in milliseconds", "Then they are cut.").default_value("60000"))
-        .arg(setting("io-threads", "Threads for connections and requests", "1 to 256. One is best up to some hundred requests a second: an idle pool of many wakes a sleeping thread for each step.").default_value("1"))
-        .arg(setting("log-level", "How much is logged", "error, warn, info, debug or trace.").default_value("info"))
+        .arg(setting("held-bytes", "Maximum length of an answer that is buffered, in bytes", "A longer one is streamed, and resumed at another target if its connection breaks.").default_value("262144"))
+        .arg(setting("request-bytes", "Maximum length of a request body, in bytes", "Bodies are buffered completely, so that a request can be sent again.").default_value("1048576"))
+        .arg(setting("connections", "Maximum number of callers' connections", "Further connections are refused with 503.").default_value("4096"))
+        .arg(setting("request-ms", "Time that a caller has to send a request, in milliseconds", "Measured from its first byte; afterwards the answer is 408.").default_value("10000"))
+        .arg(setting("stall-ms", "Time without data of a streamed answer, in milliseconds", "Afterwards the answer counts as broken.").default_value("5000"))
+        .arg(setting("leave-ms", "Planned stop: time between 'not ready' and the last new connection, in milliseconds", "At least the time that the balancer takes to notice it.").default_value("3000"))
+        .arg(setting("drain-ms", "Planned stop: maximum time for requests in progress, in milliseconds", "Afterwards they are interrupted.").default_value("60000"))
+        .arg(setting("io-threads", "Threads for connections and requests", "1 to 256. One is best up to some hundred requests per second, since a larger pool that is mostly idle wakes a sleeping thread for each step.").default_value("1"))
+        .arg(setting("log-level", "Level of the log", "error, warn, info, debug or trace.").default_value("info"))
 }
 
-/// Checks the raw settings.
+/// Validates the settings of the command line.
 ///
 /// # Errors
-/// The first setting that is not allowed.
+/// Returns the first setting that is not allowed.
 pub fn resolve(matches: &ArgMatches) -> Result<ProxySettings, SettingError> {
     let agent = settings::address(matches, "agent")?;
     if !agent.ip().is_loopback() {
--- a/crates/proxy/src/streaming.rs
+++ b/crates/proxy/src/streaming.rs
@@ -1,9 +1,9 @@
-//! Answers too large to hold: passed on as they come, resumed where they break off.
+//! Streams answers that are too large to buffer, and resumes them after a broken connection.
 //!
-//! An answer is resumed only as the same thing: the target gave a strong validator,
-//! the request was a `GET`, and another target answers a range request under that
-//! validator with the rest to the byte. Otherwise the connection to the caller is
-//! closed short of the announced length, which no client can take for the whole.
+//! An answer is resumed only if the rest certainly belongs to it: the request was a `GET`, the
+//! target sent a strong validator, and another target answers a range request under that validator
+//! with exactly the missing bytes. Otherwise the connection to the caller is closed before the
+//! announced length, so that no client mistakes the answer for a complete one.
 
 use std::io;
 use std::sync::Arc;
@@ -24,21 +24,21 @@
 use crate::requests::{RequestResult, run_request};
 
 const CHUNK_BYTES: usize = 32 * 1024;
-/// Chunks that wait for the caller.
+/// Maximum number of chunks that are queued for the caller.
 const MAX_QUEUED_CHUNKS: usize = 8;
-/// Times that one answer is resumed.
+/// Maximum number of times that one answer is resumed.
 const MAX_RESUMES: u32 = 5;
 
-/// What is needed to ask for the rest.
+/// The data with which the rest of an answer is requested.
 pub(crate) struct StreamContext {
     pub(crate) context: Arc<ProxyContext>,
     pub(crate) outgoing: Arc<OutgoingRequest>,
     pub(crate) plan: RequestPlan,
-    /// Time for the head of each further answer.
-    pub(crate) time: std::time::Duration,
+    /// Time until the head of each further answer must have been received.
+    pub(crate) head_timeout: std::time::Duration,
 }
 
-/// Starts passing on a body that waits in the answer's connection.
+/// Starts to stream the unread body of `answer`; returns `None` if the body has been read.
 pub(crate) fn stream_body(stream: StreamContext, answer: &mut TargetAnswer) -> Option<Body> {
     let ResponseBody::Unread(length) = answer.body else {
         return None;
@@ -58,7 +58,7 @@
     Some(Body::from_reader(body, Some(length as usize)))
 }
 
-/// What is left of a body: in a connection, or already held.
+/// The rest of a body, in a connection or in memory.
 type BodyReader = Box<dyn AsyncRead + Send + Unpin>;
 
 struct BodyTransfer {
@@ -70,7 +70,7 @@
 }
 
 impl BodyTransfer {
-    /// Passes the body on until its end, or until the caller's end is closed.
+    /// Forwards the body until its end, or until the caller's side is closed.
     async fn run(&mut self, mut reader: BodyReader, chunks: &Sender<io::Result<Vec<u8>>>) {
         for _ in 0..=MAX_RESUMES {
             match self.forward(&mut reader, chunks).await {
@@ -120,7 +120,7 @@
         let _ = context.decisions.send(DecisionInput::Event(event)).await;
     }
 
-    /// Asks another target for the rest.
+    /// Requests the rest of the answer from another target.
     async fn resume(&mut self) -> Option<BodyReader> {
         let validator = self.validator.clone()?;
         let context = Arc::clone(&self.stream.context);
@@ -130,7 +130,7 @@
         outgoing.headers.push(("if-range".into(), validator.clone()));
         outgoing.name = context.request_name(request);
         let mut plan = self.stream.plan.clone();
-        plan.deadline = TimePoint::from_micros(context.clock.micros()) + self.stream.time;
+        plan.deadline = TimePoint::from_micros(context.clock.micros()) + self.stream.head_timeout;
         let end = run_request(&context, request, Arc::new(outgoing), plan).await;
         let RequestResult::Answered(answer) = end else {
             return None;
@@ -154,21 +154,22 @@
         Some(reader)
     }
 
-    /// Whether an answer is the rest of the same thing, to the byte.
+    /// Returns whether `response` is exactly the rest of the same answer.
     fn is_continuation(&self, response: &Response, validator: &str) -> bool {
-        let wanted = format!("bytes {}-{}/{}", self.position, self.length - 1, self.length);
+        let expected = format!("bytes {}-{}/{}", self.position, self.length - 1, self.length);
         response.status() as u16 == 206
             && text(response.header("etag")) == validator
-            && text(response.header("content-range")) == wanted
+            && text(response.header("content-range")) == expected
     }
 }
 
-/// The validator under which a part of this answer can be asked for, if it can.
+/// Returns the validator with which the rest of this answer can be requested, or `None` if it can't
+/// be resumed.
 fn strong_validator(response: &Response, outgoing: &OutgoingRequest) -> Option<String> {
-    let whole = response.status() as u16 == 200;
-    let ranged = outgoing.headers.iter().any(|(name, _)| name == "range");
+    let complete = response.status() as u16 == 200;
+    let is_range = outgoing.headers.iter().any(|(name, _)| name == "range");
     let validator = text(response.header("etag"));
     let strong = validator.starts_with('"');
-    let resumable = whole && strong && !ranged && outgoing.method == Method::Get;
+    let resumable = complete && strong && !is_range && outgoing.method == Method::Get;
     (resumable && outgoing.repeatable).then(|| validator.to_string())
 }
--- a/crates/spread/src/core.rs
+++ b/crates/spread/src/core.rs
@@ -143,8 +143,10 @@
         self.failing = failing;
     }
 
-    /// Returns whether this box may serve: its map has matched those of several peers, or it has
-    /// read the store and matched one peer. While the store does not answer, peers are enough.
+    /// Returns whether the map is complete, so that this box may serve. It is if it has matched the
+    /// map of one peer since a reading of the store; this is not required if there is at most one
+    /// other box. Without a reading of the store, the maps of [`SYNC_PEERS`] peers must match, or
+    /// of all others if these are fewer, and at least one.
     pub fn is_complete(&self) -> bool {
         let others = self.members.iter().filter(|(id, _)| **id != self.setup.identity.box_id);
         let others = others.count();
@@ -152,7 +154,7 @@
         if self.store_read {
             // The list may still contain peers that have stopped and do not answer, so the box must
             // not wait for all of them. The store has all accepted changes, so a match with one
-            // peer less is enough.
+            // peer is enough.
             return self.matched.len() >= required.saturating_sub(1).min(1);
         }
         !self.matched.is_empty() && self.matched.len() >= required.max(1)
--- a/crates/spread/src/duplicate_filter.rs
+++ b/crates/spread/src/duplicate_filter.rs
@@ -1,4 +1,4 @@
-//! News that is passed on once: which of it was heard before.
+//! Detects updates that were received before, so that each is relayed once.
 
 use std::collections::{HashSet, VecDeque};
 use std::hash::Hash;
--- a/crates/spread/src/map.rs
+++ b/crates/spread/src/map.rs
@@ -27,11 +27,11 @@
     /// Merges `entry` if its version is higher than that in the map; returns whether it was.
     pub fn merge(&mut self, entry: &Entry) -> bool {
         let bucket = bucket_of(&entry.key);
-        if let Some(held) = self.entries.get(&entry.key) {
-            if held.stamp >= entry.stamp {
+        if let Some(current) = self.entries.get(&entry.key) {
+            if current.stamp >= entry.stamp {
                 return false;
             }
-            self.hashes[bucket] ^= entry_hash(held);
+            self.hashes[bucket] ^= entry_hash(current);
         }
         self.hashes[bucket] ^= entry_hash(entry);
         self.entries.insert(entry.key.clone(), entry.clone());
