--- a/crates/bench/src/quota/ways.rs
+++ b/crates/bench/src/quota/ways.rs
@@ -5,8 +5,8 @@
 
 use wingbridge_decide::quota::bucket::TokenBucket;
 use wingbridge_decide::quota::{
-    Admission, CoordinatorRole, CoordinatorStatus, DueRequest, QuotaCoordinator, QuotaGrant,
-    QuotaLimit, QuotaRequest, QuotaRequester, QuotaSlack, TokenAccounts,
+    Admission, CoordinatorRole, CoordinatorStatus, DueRequest, QuotaCoordinator, QuotaLimit,
+    QuotaSlack, TokenAccounts, TokenGrant, TokenRequest, TokenRequester,
 };
 use wingbridge_decide::{Name, TimePoint};
 
@@ -38,8 +38,8 @@
 
 #[derive(Clone)]
 pub(crate) enum KeeperMessage {
-    Ask(QuotaRequest),
-    Grant(QuotaGrant),
+    Ask(TokenRequest),
+    Grant(TokenGrant),
 }
 
 impl KeeperBox {
@@ -105,7 +105,7 @@
                 let role =
                     if is_first { CoordinatorRole::Primary } else { CoordinatorRole::Standby };
                 let status = CoordinatorStatus { role, reaches_all: table.hears_all };
-                let asker = QuotaRequester { box_key: from as u64, incarnation: life };
+                let asker = TokenRequester { box_key: from as u64, incarnation: life };
                 let grant = self.keeper.answer(now, asker, &self.customer, limit, ask, status);
                 Some(KeeperMessage::Grant(grant))
             }
@@ -118,7 +118,7 @@
 
     fn note_ended(&mut self, (number, life): (usize, u64)) {
         self.keeper
-            .record_box_stopped(QuotaRequester { box_key: number as u64, incarnation: life });
+            .record_box_stopped(TokenRequester { box_key: number as u64, incarnation: life });
     }
 
     fn bytes(message: &KeeperMessage) -> usize {
--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -1,6 +1,6 @@
 //! The retry budget of a service: each request earns a share of a retry, so an outage can't cause a retry storm.
 
-/// The retries that a service may make, as a balance of earned and spent ones.
+/// The balance of a service: retries that its requests have earned and that are not spent yet.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     /// Retries that each request earns.
--- a/crates/decide/src/core/evidence.rs
+++ b/crates/decide/src/core/evidence.rs
@@ -17,8 +17,8 @@
 pub(super) struct PendingBatch {
     targets: Vec<TargetSamples>,
     /// Time of the first sample.
-    since: TimePoint,
-    /// Whether it contains a bad outcome and is sent with the next window.
+    started: TimePoint,
+    /// Whether the batch contains a bad outcome, so that it is sent at the end of the current window.
     urgent: bool,
 }
 
@@ -111,7 +111,8 @@
 
     /// Sends the batches that are due, and adds them to the local detector.
     pub(super) fn send_reports(&mut self, now: TimePoint, commands: &mut Vec<BoxCommand>) {
-        let is_due = |batch: &PendingBatch| batch.urgent || now.since(batch.since) >= MAX_BATCH_AGE;
+        let is_due =
+            |batch: &PendingBatch| batch.urgent || now.since(batch.started) >= MAX_BATCH_AGE;
         let due = self.batches.iter().filter(|(_, batch)| is_due(batch));
         let due: Vec<Name> = due.map(|(name, _)| name.clone()).collect();
         for service in due {
@@ -135,7 +136,7 @@
         load: f32,
     ) {
         if self.targets.is_empty() {
-            self.since = now;
+            self.started = now;
         }
         self.urgent |= kind.is_bad();
         let known = self.targets.iter().position(|samples| samples.target == target);
--- a/crates/decide/src/core/health.rs
+++ b/crates/decide/src/core/health.rs
@@ -38,8 +38,8 @@
         service.update_eligible();
     }
 
-    /// Marks a target as draining. If the target itself reported that (`reported_by_target`), the other boxes are
-    /// informed.
+    /// Marks a target as draining. If the target itself reported this (`reported_by_target`), the other boxes are
+    /// notified.
     pub(super) fn mark_draining(
         &mut self,
         now: TimePoint,
@@ -54,9 +54,9 @@
         let chart = &self.chart;
         let reason =
             if reported_by_target { "it says it is leaving" } else { "a peer saw it leaving" };
-        let left =
+        let is_drained =
             change_health(service, index, reason, commands, |health| health.drain(chart, now));
-        if !left {
+        if !is_drained {
             return;
         }
         service.target_mut(index).probed_at = now;
@@ -78,8 +78,8 @@
         let Some((service, index)) = locate(&mut self.services, name, key) else {
             return;
         };
-        let back = matches!(state, Some(ReportedState::Ready | ReportedState::Cold));
-        if !back || service.target(index).manual_override == Some(OverrideKind::Drain) {
+        let has_returned = matches!(state, Some(ReportedState::Ready | ReportedState::Cold));
+        if !has_returned || service.target(index).manual_override == Some(OverrideKind::Drain) {
             return;
         }
         let chart = &self.chart;
@@ -195,7 +195,7 @@
 }
 
 /// Applies `change` to a target's health and, if the state changed, adds a [`BoxCommand::HealthChanged`]. Returns
-/// whether it did.
+/// whether `change` returned true and the state changed.
 pub(super) fn change_health(
     service: &mut ServiceState,
     index: usize,
--- a/crates/decide/src/core/requests.rs
+++ b/crates/decide/src/core/requests.rs
@@ -86,7 +86,7 @@
         self.local_detector.typical_time(service).unwrap_or(ASSUMED_LATENCY)
     }
 
-    /// Makes the first attempt of a request, or refuses it if there is no target.
+    /// Makes the first attempt of a request, or refuses the request if there is no target.
     pub(super) fn send_first_attempt(
         &mut self,
         now: TimePoint,
@@ -198,7 +198,7 @@
     }
 
     /// Makes another attempt of a request if its attempt limit, its deadline, the retry budget and the targets allow
-    /// it. Returns whether it did.
+    /// it. Returns whether another attempt was made.
     pub(super) fn retry(
         &mut self,
         now: TimePoint,
--- a/crates/decide/src/detector/hypotheses.rs
+++ b/crates/decide/src/detector/hypotheses.rs
@@ -1,5 +1,5 @@
-//! The failure hypotheses that are tested for each target, and the log-likelihood ratio that one outcome
-//! contributes to each of them.
+//! The failure hypotheses that are tested for each target, and the log-likelihood ratios that one outcome
+//! adds to their sums.
 
 use crate::messages::VerdictCause;
 
@@ -114,7 +114,7 @@
 
 impl LogLikelihoodRatios {
     /// Returns the ratios of `hypothesis` against the `baseline` rates. `None` if the siblings' rate of bad
-    /// outcomes is so high that the hypothesis can't be told apart from it.
+    /// outcomes is so high that the hypothesis can't be distinguished from it.
     pub(super) fn of(
         hypothesis: &Hypothesis,
         baseline: &[f32; FAILURE_MODES],
--- a/crates/decide/src/detector/service.rs
+++ b/crates/decide/src/detector/service.rs
@@ -132,8 +132,8 @@
         }
         let tail = self.sketch.quantile(0.99)?.upper();
         let median = self.sketch.quantile(0.5)?.upper();
-        // Longer than nearly all answers take. The bound by medians keeps stalled attempts that were answered
-        // late from raising the threshold.
+        // The threshold is longer than nearly all answers take. The bound by medians prevents stalled attempts
+        // that were answered late from raising it.
         let overdue = tail.mul_f64(OVERDUE_P99_FACTOR).min(median.mul_f64(MAX_OVERDUE_MEDIANS));
         Some(overdue.max(median.mul_f64(MIN_OVERDUE_MEDIANS)))
     }
@@ -279,8 +279,9 @@
         None
     }
 
-    /// Returns whether a target suspected to stall has given a good answer too recently for that. A pause, or
-    /// a queue in front of its few slots, also interrupts its answers for a while.
+    /// Returns whether the mode is [`FailureMode::Overdue`] and the last good answer of the target is too
+    /// recent for a stall. A pause, or a queue in front of the few slots of a target, also interrupts its
+    /// answers for a while.
     pub(super) fn answered_recently(
         &self,
         now: TimePoint,
--- a/crates/decide/src/detector/target.rs
+++ b/crates/decide/src/detector/target.rs
@@ -40,7 +40,7 @@
 /// Evidence of other data centres against a target, for one hypothesis.
 struct RemoteSum {
     sum: f32,
-    /// Whether all of it is at most [`MAX_REMOTE_AGE`] old.
+    /// Whether all of the evidence is at most [`MAX_REMOTE_AGE`] old.
     fresh: bool,
 }
 
--- a/crates/decide/src/dispersion.rs
+++ b/crates/decide/src/dispersion.rs
@@ -1,8 +1,8 @@
 //! Pearson's dispersion, a measure of how much bad outcomes cluster, over the last minutes.
 //!
 //! If outcomes were independent, the squared deviation of the number of bad ones in a span from its expected
-//! value, divided by its variance, would be 1 on average. Queues and pauses make it several times that. The
-//! log-likelihood ratios are divided by the dispersion (quasi-likelihood, McCullagh and Nelder).
+//! value, divided by its variance, would be 1 on average. With queues and pauses it is several times as high.
+//! The log-likelihood ratios are divided by the dispersion (quasi-likelihood, McCullagh and Nelder).
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 /// Upper bound on the squared deviation of one span, so that one failing target does not make all outcomes of
 /// its service look clustered.
 const MAX_SPAN_DEVIATION: f32 = 60.0;
-/// Weight of the prior initial dispersion, in spans.
+/// Weight of the assumed initial dispersion, as a number of spans.
 const PRIOR_SPANS: f32 = 30.0;
 /// Minimum number of outcomes in a span. Smaller spans are ignored, since they carry no information.
 const MIN_SPAN_COUNT: f32 = 4.0;
@@ -35,8 +35,8 @@
         Dispersion { prior, spans: 0.0, sum: 0.0, decayed: TimePoint::default() }
     }
 
-    /// Records a span of one target in which `bad` of `count` outcomes were bad, where a share of `rate` is the
-    /// baseline.
+    /// Records a span of one target in which `bad` of `count` outcomes were bad, against a baseline share of
+    /// `rate`.
     pub fn record(&mut self, now: TimePoint, count: f32, bad: f32, rate: f32) {
         if count < MIN_SPAN_COUNT {
             return;
--- a/crates/decide/src/flaps.rs
+++ b/crates/decide/src/flaps.rs
@@ -4,9 +4,10 @@
 
 use crate::time::TimePoint;
 
-/// Time since the last ejection after which one ejection is no longer counted.
+/// Time without an ejection after which the count decreases by one.
 const FORGET_INTERVAL: Duration = Duration::from_secs(600);
-/// Maximum number of doublings of the back-off. It exceeds any configured upper bound long before.
+/// Maximum number of doublings of the back-off. The back-off reaches any configured upper bound long
+/// before this.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// The number of ejections that are still counted.
@@ -17,18 +18,18 @@
 }
 
 impl FlapCount {
-    /// Counts one more ejection. `min` is the count of another component, below which the result is not set.
+    /// Counts one more ejection. The result is at least `min`, the count of another component.
     pub(crate) fn record(&mut self, now: TimePoint, min: u32) {
         self.count = min.max(self.remembered(now) + 1);
         self.last = now;
     }
 
-    /// Raises the count to `min`, the count of another component for the same ejection.
+    /// Raises the count to at least `min`, the count of another component for the same ejection.
     pub(crate) fn raise(&mut self, min: u32) {
         self.count = self.count.max(min);
     }
 
-    /// Returns the number of ejections.
+    /// Returns the number of ejections that were counted as of the last one.
     pub(crate) fn count(&self) -> u32 {
         self.count
     }
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -21,8 +21,8 @@
 const MIN_TRIAL_SUCCESSES: u32 = 5;
 /// Number of failures at which a trial ends with another ejection.
 const TRIAL_FAILURE_LIMIT: u32 = 2;
-/// Time after which a trial ends with an acquittal if it has not ended before. The service then has too few requests
-/// to reach either limit.
+/// Time after which a trial ends with an acquittal if it has not ended before. A service with few requests may reach
+/// neither of the two numbers.
 const MAX_TRIAL_DURATION: Duration = Duration::from_secs(60);
 
 /// The states of the chart, in the order of their names there.
@@ -104,7 +104,7 @@
     /// Parses a chart of target health.
     ///
     /// # Errors
-    /// Returns an error if `text` is no valid chart with exactly the states and events of this module.
+    /// Returns an error if `text` is not a valid chart with exactly the states and events of this module.
     pub fn parse(text: &str) -> Result<HealthChart, ChartError> {
         let states = HealthState::ALL.map(HealthState::as_str);
         let chart = StateChart::parse(text, &states, &HealthEvent::NAMES)?;
@@ -139,7 +139,7 @@
 }
 
 impl TargetHealth {
-    /// Creates the health of a target whose service is new as a whole. It gets its full share at once.
+    /// Creates the health of a target of a service that is new in this box. The target gets its full share at once.
     pub fn healthy(now: TimePoint) -> TargetHealth {
         TargetHealth {
             state: HealthState::Healthy,
@@ -259,7 +259,8 @@
         *self = TargetHealth::cold(now);
     }
 
-    /// Counts the result of an attempt if the target is on trial. Returns whether the trial has failed by it.
+    /// Counts the result of an attempt if the target is on trial. Returns whether the trial has failed with this
+    /// result.
     pub fn record_trial_result(&mut self, chart: &HealthChart, now: TimePoint, good: bool) -> bool {
         if self.state != HealthState::Trial {
             return false;
--- a/crates/decide/src/messages.rs
+++ b/crates/decide/src/messages.rs
@@ -110,7 +110,7 @@
     },
     /// A verdict of a pooled outlier detector was received.
     VerdictReceived(Verdict),
-    /// Another box reported that a target drains.
+    /// Another box reported that a target is draining.
     DrainingReceived {
         /// Name of the service.
         service: Name,
@@ -160,7 +160,7 @@
     },
     /// Sends evidence to the outlier detectors of the service.
     Report(EvidenceBatch),
-    /// Informs all boxes that a target drains.
+    /// Notifies all boxes that a target is draining.
     AnnounceDraining {
         /// Name of the service.
         service: Name,
@@ -280,7 +280,7 @@
 }
 
 impl VerdictCause {
-    /// All causes, in the order of their numbers in messages.
+    /// All causes; the index of a cause is its number in messages.
     pub const ALL: [VerdictCause; 3] =
         [VerdictCause::Errors, VerdictCause::Stalls, VerdictCause::Slowness];
 
@@ -297,7 +297,7 @@
 /// The paths to a target that a verdict covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum VerdictScope {
-    /// The path from the box that found it.
+    /// The path from the box that found the failure.
     Path,
     /// The paths from the detector's data centre.
     DataCentre,
--- a/crates/decide/src/names.rs
+++ b/crates/decide/src/names.rs
@@ -18,16 +18,16 @@
         TargetKey(xxh3_64(address.as_bytes()))
     }
 
-    /// Returns the key of one incarnation of the target named `id`. Since each incarnation has its own key,
-    /// nothing that is known of an earlier one is applied to it. `started_ms` is the start of the incarnation in
-    /// milliseconds since 1970; 0 if it is not known.
+    /// Returns the key of one incarnation of the target named `id`. Since each incarnation has its own key, the
+    /// state of an earlier one is not applied to it. `started_ms` is the start of the incarnation in
+    /// milliseconds since 1970; 0 if unknown.
     pub fn of_incarnation(id: &str, started_ms: u64) -> TargetKey {
         if started_ms == 0 {
             return TargetKey::of(id);
         }
-        // The start must not be the seed of the hash: for short names the seed is little more than added to
-        // the name, so that 4,096 incarnations of 64 numbered targets had only 3,534 keys. Two targets with
-        // one key share what is known of either, and lose it with each listing.
+        // The start must not be the seed of the hash: for short names the seed is little more than added to the
+        // name, so that 4,096 incarnations of 64 numbered targets had only 3,534 keys. Two targets with the
+        // same key share their state, and lose it with each listing.
         let mut hash = Xxh3::new();
         hash.update(&started_ms.to_le_bytes());
         hash.update(id.as_bytes());
--- a/crates/decide/src/permits/coordinator.rs
+++ b/crates/decide/src/permits/coordinator.rs
@@ -15,7 +15,7 @@
 /// Lower bound on the capacity of a bucket, in permits.
 const MIN_BURST: f64 = 2.0;
 /// Permits between the retry times of two successive boxes. It is less than 1, since half of the boxes
-/// are gone at their retry time or have no request for the target.
+/// have stopped by their retry time or have no request for the target then.
 const PERMITS_PER_RETRY: f64 = 0.5;
 /// Lower bound on the rate at which a target gets requests, in requests a second, whatever its limit:
 /// otherwise no box would detect that the target has ended.
@@ -43,8 +43,9 @@
 }
 
 impl PermitCoordinator {
-    /// Answers a request for a permit at the target `key`, which accepts `rate`. `fraction` is the part of
-    /// all boxes that this box receives heartbeats from, 0 to 1: the others may have another coordinator.
+    /// Answers a request for a permit at the target `key`, which accepts `rate`. `fraction` is the share
+    /// of all boxes that this box receives heartbeats from, 0 to 1: the others may use another
+    /// coordinator.
     pub fn answer(
         &mut self,
         now: TimePoint,
@@ -75,7 +76,7 @@
     }
 
     /// Returns the time until a permit is available for one more box, after the boxes that were denied
-    /// before. If all boxes were given the time of the next permit, they would all return for it at once.
+    /// before. If all boxes were given the time of the next permit, they would all request it at once.
     fn reserve_retry(&mut self, now: TimePoint, rate: f64) -> Duration {
         let seconds =
             |permits: f64| Duration::try_from_secs_f64(permits / rate).unwrap_or(MAX_WAIT);
--- a/crates/decide/src/queue.rs
+++ b/crates/decide/src/queue.rs
@@ -31,7 +31,7 @@
         self.queued.len()
     }
 
-    /// Adds a request behind all others of the same priority.
+    /// Adds a request after all others of the same priority, and returns its position.
     pub(crate) fn push(&mut self, request: RequestId, priority: u8) -> QueuePosition {
         self.arrivals += 1;
         let position = QueuePosition { priority: Reverse(priority), arrival: self.arrivals };
@@ -54,7 +54,7 @@
         *self.held.entry(caller).or_default() += 1;
     }
 
-    /// Counts one request of `caller` less.
+    /// Removes one open or queued request of `caller` from its count.
     pub(crate) fn release(&mut self, caller: u64) {
         let Some(count) = self.held.get_mut(&caller) else {
             return;
--- a/crates/decide/src/quota/accounts.rs
+++ b/crates/decide/src/quota/accounts.rs
@@ -11,7 +11,7 @@
 use crate::names::Name;
 use crate::quota::bucket::TokenBucket;
 use crate::quota::coordinator::{EARLY_FAILOVER_FRACTION, UNRESPONSIVE_AFTER};
-use crate::quota::{QuotaGrant, QuotaLimit, QuotaRequest, SHARE_VALIDITY};
+use crate::quota::{QuotaLimit, SHARE_VALIDITY, TokenGrant, TokenRequest};
 use crate::time::TimePoint;
 
 /// Upper bound on the debt, as time at this box's own rate. A debt of one request is always allowed.
@@ -47,8 +47,8 @@
 /// Decay time of the average of this box's request rate.
 const RATE_DECAY_TIME: Duration = Duration::from_secs(1);
 /// Time after which a box without requests of a customer reports that to the coordinator, so that its
-/// share is assigned to others and not reserved for it. Without that report, callers that had moved to
-/// other boxes lost 14 in 100 requests of a small customer.
+/// share is assigned to others and not reserved for it. Without that report, 14 in 100 requests of a
+/// small customer were lost after its callers had moved to other boxes.
 const IDLE_REPORT_TIME: Duration = Duration::from_secs(3);
 /// Smallest share, as a fraction of an equal one, for which a box reports that it is idle.
 const MIN_REPORTED_SHARE: f64 = 0.5;
@@ -76,7 +76,7 @@
     /// Rank of the receiver for that customer: 0 for the coordinator, 1 for its standby.
     pub rank: u32,
     /// The request to send.
-    pub request: QuotaRequest,
+    pub request: TokenRequest,
 }
 
 /// The token accounts of one box, by customer.
@@ -111,7 +111,7 @@
     scarce_until: TimePoint,
     /// Time until which requests are refused, since no tokens are expected before.
     refused_until: TimePoint,
-    /// Share that was assigned last, and when.
+    /// The share that was assigned last, and the time of the assignment.
     share: Option<(f64, TimePoint)>,
     /// Tokens that this box spends while it is cut off.
     cut_off_bucket: TokenBucket,
@@ -191,21 +191,21 @@
         due
     }
 
-    /// Returns the time of the next call of [`TokenAccounts::due_requests`], or `None` while no account
-    /// needs one.
+    /// Returns the time at which [`TokenAccounts::due_requests`] is to be called next, or `None` while
+    /// no account has a request to send.
     pub fn next_due(&self, now: TimePoint) -> Option<TimePoint> {
         let boxes = self.assumed_boxes();
         self.accounts.values().filter_map(|account| account.next_due(now, boxes)).min()
     }
 
     /// Applies a coordinator's grant, unless its request has timed out.
-    pub fn apply_grant(&mut self, now: TimePoint, customer: &Name, grant: &QuotaGrant) {
+    pub fn apply_grant(&mut self, now: TimePoint, customer: &Name, grant: &TokenGrant) {
         if let Some(account) = self.accounts.get_mut(customer) {
             account.apply_grant(now, grant);
         }
     }
 
-    /// Returns whether the box reaches neither the coordinator nor the standby of that customer.
+    /// Returns whether the box reaches neither the coordinator of the customer nor its standby.
     pub fn is_cut_off(&self, customer: &Name) -> bool {
         self.accounts.get(customer).is_some_and(TokenAccount::is_cut_off)
     }
@@ -340,8 +340,8 @@
         self.failures = self.failures.saturating_add(1);
         self.failed_at = now;
         if self.failures == CUT_OFF_AFTER_FAILURES {
-            // The share refills from now on. Refilled from an earlier time it came on top of what the box
-            // was granted since.
+            // The share refills from now on. If it refilled from an earlier time, it would add to the
+            // tokens that the box has been granted since then.
             self.cut_off_bucket = TokenBucket::new(now, 1.0);
             self.cut_off_since = now;
         }
@@ -374,13 +374,13 @@
         Some(now)
     }
 
-    fn start_request(&mut self, now: TimePoint, number: u64, boxes: usize) -> (u32, QuotaRequest) {
+    fn start_request(&mut self, now: TimePoint, number: u64, boxes: usize) -> (u32, TokenRequest) {
         let is_failover = now < self.failover_until || self.failures >= STANDBY_AFTER_FAILURES;
-        // A box that is cut off tries coordinator and standby alternately.
-        let turn = self.failures.saturating_sub(STANDBY_AFTER_FAILURES) % COORDINATORS;
-        let rank = u32::from(is_failover && turn == 0);
+        // A box that is cut off alternates between the coordinator and its standby.
+        let alternation = self.failures.saturating_sub(STANDBY_AFTER_FAILURES) % COORDINATORS;
+        let rank = u32::from(is_failover && alternation == 0);
         let wanted = if self.waiting > 0 {
-            // Tokens that are not used are returned too late for other boxes.
+            // The product is rounded down, because unused tokens are returned too late for other boxes.
             let prefetched = (self.rate() * PREFETCH_TIME.as_secs_f64()).floor();
             (f64::from(self.waiting) + prefetched).min(MAX_WANTED) as u32
         } else {
@@ -395,16 +395,17 @@
         let assigned = self.share.filter(|(_, assigned)| now.since(*assigned) < SHARE_VALIDITY);
         let share = assigned.map_or(equal, |(share, _)| share);
         let is_share_assigned = assigned.is_some();
-        (rank, QuotaRequest { number, debt, unused, wanted, share, is_share_assigned })
+        (rank, TokenRequest { number, debt, unused, wanted, share, is_share_assigned })
     }
 
-    fn apply_grant(&mut self, now: TimePoint, grant: &QuotaGrant) {
+    fn apply_grant(&mut self, now: TimePoint, grant: &TokenGrant) {
         let Some(outstanding) =
             self.outstanding.take_if(|outstanding| outstanding.number == grant.number)
         else {
             return;
         };
-        // What the box spent while it was cut off is not reported: the coordinator reserved its share.
+        // The tokens that the box spent while it was cut off are not reported: the coordinator has
+        // reserved its share.
         self.failures = 0;
         self.share = Some((grant.share, now));
         self.expire_tokens(now);
--- a/crates/decide/src/quota/coordinator.rs
+++ b/crates/decide/src/quota/coordinator.rs
@@ -15,7 +15,7 @@
 use crate::names::Name;
 use crate::quota::bucket::TokenBucket;
 use crate::quota::{
-    QuotaGrant, QuotaLimit, QuotaRequest, QuotaRequester, QuotaSlack, SHARE_VALIDITY,
+    QuotaLimit, QuotaSlack, SHARE_VALIDITY, TokenGrant, TokenRequest, TokenRequester,
 };
 use crate::time::TimePoint;
 
@@ -33,12 +33,12 @@
 /// Fraction of the rate that a process grants in its first window: boxes that have not yet learned of
 /// it may still send requests to the previous coordinator.
 const STARTUP_RATE_FRACTION: f64 = 0.7;
-/// Shares that a coordinator reclaims in a second while it receives from all boxes that it knows of:
-/// those of boxes that have ended, and those that its predecessor had not assigned.
+/// Shares that a coordinator reclaims in a second while it receives heartbeats from all boxes that it knows
+/// of: the shares of boxes that have ended, and those that its predecessor had not assigned.
 const RECLAIM_PER_S: f64 = 0.5;
-/// Shares that a coordinator reclaims in a second while some box is missing, which may be cut off
-/// together with the boxes that hold the shares. In a partition of 12 s both sides together come to
-/// 1.24 of the rate. Without the burst, which is spent by then, the bound is 1.32 of the rate.
+/// Shares that a coordinator reclaims in a second while some box is missing, since that box may be cut off
+/// together with others that hold the shares. In a partition of 12 s both sides together grant 1.24 of the
+/// rate. Without the burst, which is spent by then, the bound is 1.32 of the rate.
 const RECLAIM_PER_S_PARTITIONED: f64 = 0.01;
 /// Delay before shares are reclaimed: a coordinator that is cut off has detected that by then.
 const RECLAIM_DELAY: Duration = Duration::from_secs(2);
@@ -75,19 +75,20 @@
 /// The role of a coordinator towards the box that sends it a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CoordinatorRole {
-    /// First by rank. It may assign all shares while no box holds any.
+    /// The first box by rank. It may assign all shares while no box holds any.
     Primary,
-    /// Second by rank, for boxes that cannot reach the first. It may assign the shares that they report.
+    /// The second box by rank, for boxes that cannot reach the first. It may assign only the shares that
+    /// they report.
     Standby,
 }
 
 /// The situation of a coordinator when it receives a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CoordinatorStatus {
-    /// Role towards the requesting box.
+    /// Role of the coordinator towards the requesting box.
     pub role: CoordinatorRole,
-    /// Whether it receives heartbeats from all known boxes of its data centre, except those that announced
-    /// their shutdown.
+    /// Whether the coordinator receives heartbeats from all known boxes of its data centre, except those
+    /// that announced their shutdown.
     pub reaches_all: bool,
 }
 
@@ -141,12 +142,12 @@
     pub fn answer(
         &mut self,
         now: TimePoint,
-        requester: QuotaRequester,
+        requester: TokenRequester,
         customer: &Name,
         limit: QuotaLimit,
-        request: &QuotaRequest,
+        request: &TokenRequest,
         status: CoordinatorStatus,
-    ) -> QuotaGrant {
+    ) -> TokenGrant {
         let role = status.role;
         let is_starting = now.since(self.started) < self.slack.window;
         let quota = self.customers.entry(customer.clone());
@@ -158,7 +159,7 @@
         let fraction = match role {
             CoordinatorRole::Primary if is_starting => reachable * STARTUP_RATE_FRACTION,
             CoordinatorRole::Primary => reachable,
-            // The coordinator does not yet reserve the shares of the boxes that send requests here.
+            // The primary does not yet reserve the shares of the boxes that send requests here.
             CoordinatorRole::Standby if now.since(quota.active_since) < UNRESPONSIVE_AFTER => {
                 reachable * EARLY_FAILOVER_FRACTION
             }
@@ -183,11 +184,11 @@
         let granted = grant(bucket, request.wanted, scarce);
         let admitted = request.debt.saturating_add(granted);
         let share = quota.assign_share(now, requester.box_key, admitted, reachable);
-        QuotaGrant { number: request.number, granted, scarce, wait: quota.wait(rate), share }
+        TokenGrant { number: request.number, granted, scarce, wait: quota.wait(rate), share }
     }
 
     /// Releases the shares of a box that announced its shutdown to the other boxes.
-    pub fn record_box_stopped(&mut self, requester: QuotaRequester) {
+    pub fn record_box_stopped(&mut self, requester: TokenRequester) {
         for quota in self.customers.values_mut() {
             if quota
                 .boxes
@@ -222,7 +223,7 @@
     /// Reclaims shares that no box holds any more, because the boxes that held them have ended. Without it,
     /// small customers were refused a third of their requests for 10 s after all boxes had been killed.
     ///
-    /// A standby reclaims nothing: the coordinator has the shares that are missing here.
+    /// A standby reclaims nothing: the primary holds the shares that are missing here.
     fn reclaim_shares(&mut self, now: TimePoint, status: CoordinatorStatus) {
         let (rate, until) = match status {
             CoordinatorStatus { role: CoordinatorRole::Standby, .. } => (0.0, now),
@@ -247,22 +248,23 @@
         self.last_request = now;
     }
 
-    /// Records the sender of a request. The share that it reports counts if the box is new here. A box that
-    /// has restarted keeps the share of its previous incarnation, of which it has no information itself.
+    /// Records the sender of a request. The share that the box reports counts if the box is new here. A box
+    /// that has restarted keeps the share of its previous incarnation, since the restarted process does not
+    /// know that share.
     fn record_requester(
         &mut self,
         now: TimePoint,
-        requester: QuotaRequester,
-        request: &QuotaRequest,
+        requester: TokenRequester,
+        request: &TokenRequest,
         role: CoordinatorRole,
     ) {
-        let QuotaRequester { box_key, incarnation } = requester;
+        let TokenRequester { box_key, incarnation } = requester;
         if let Some(usage) = self.boxes.get_mut(&box_key) {
             (usage.incarnation, usage.last_seen) = (incarnation, now);
             return;
         }
         if request.is_share_assigned && !self.has_assigned_shares {
-            // All shares were available while no box had an assigned one. That has ended.
+            // All shares were available while no box had an assigned one, which is no longer the case.
             self.shares = self.assigned_shares();
             self.has_assigned_shares = true;
         }
@@ -294,9 +296,9 @@
     /// Adds `admitted` requests to the usage of a box and returns its new share: the box's part of the
     /// requests of all responsive boxes, out of their `reachable` shares.
     ///
-    /// A share only grows by what other boxes have released. When all shares were reassigned at once,
-    /// boxes that had not sent a request since held their old shares as well, and cut off together they
-    /// spent 2.6 times their shares.
+    /// A share only grows by what other boxes have released. When all shares were reassigned at once, boxes
+    /// that had not sent a request since then also held their old shares. In a partition, such boxes
+    /// together spent 2.6 times their shares.
     fn assign_share(&mut self, now: TimePoint, box_key: u64, admitted: u32, reachable: f64) -> f64 {
         let unassigned = (self.shares - self.assigned_shares()).max(0.0);
         if let Some(usage) = self.boxes.get_mut(&box_key) {
--- a/crates/decide/src/quota/mod.rs
+++ b/crates/decide/src/quota/mod.rs
@@ -34,7 +34,7 @@
 pub struct QuotaLimit {
     /// Sustained rate in requests a second.
     pub per_second: f64,
-    /// Number of requests by which a customer may exceed the rate at once.
+    /// Maximum number of requests above the sustained rate that a customer may send at once.
     pub burst: f64,
 }
 
@@ -50,12 +50,12 @@
 
 /// A request for tokens from a box to a coordinator, with a report of the tokens that it spent.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct QuotaRequest {
+pub struct TokenRequest {
     /// Number that is unique among the requests of a box. The grant repeats it.
     pub number: u64,
     /// Number of requests that the box admitted without a grant and has not reported before.
     pub debt: u32,
-    /// Number of granted requests that the box did not use in time.
+    /// Number of granted tokens that the box did not use before they expired.
     pub unused: u32,
     /// Number of requests that the box wants to admit soon.
     pub wanted: u32,
@@ -65,18 +65,18 @@
     pub is_share_assigned: bool,
 }
 
-/// The box that sends a [`QuotaRequest`].
+/// The box that sends a [`TokenRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct QuotaRequester {
+pub struct TokenRequester {
     /// Identifier of the box that stays the same across restarts.
     pub box_key: u64,
     /// Identifier of the box's process, different after each start.
     pub incarnation: u64,
 }
 
-/// A coordinator's answer to a [`QuotaRequest`].
+/// A coordinator's answer to a [`TokenRequest`].
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct QuotaGrant {
+pub struct TokenGrant {
     /// Number of the request that this answers.
     pub number: u64,
     /// Number of requests that the box may admit.
--- a/crates/decide/src/self_check.rs
+++ b/crates/decide/src/self_check.rs
@@ -15,8 +15,8 @@
 
 /// The share of this box's recent attempts that failed, over all services.
 ///
-/// It only raises a suspicion. The agent decides, since it has the data of other boxes: if their attempts fail
-/// as well, the targets are at fault and not this box.
+/// A high share only raises a suspicion. The agent decides, since it has the data of other boxes: if their
+/// attempts fail as well, the targets are at fault and not this box.
 #[derive(Debug, Default)]
 pub(crate) struct SelfCheck {
     attempts: f64,
@@ -32,7 +32,7 @@
         self.failed += f64::from(u8::from(failed));
     }
 
-    /// Decays the counts, and returns whether the box suspects itself if that has changed.
+    /// Decays the counts. Returns whether the box now suspects itself, or `None` if that has not changed.
     pub(crate) fn tick(&mut self, now: TimePoint) -> Option<bool> {
         let age = now.since(self.decayed).as_secs_f64() / HALF_LIFE.as_secs_f64();
         let factor = (-age).exp2();
--- a/crates/decide/src/service.rs
+++ b/crates/decide/src/service.rs
@@ -46,7 +46,7 @@
     pub open: u32,
     /// Load that the target last reported, as a share of its slots.
     pub load: f32,
-    /// Time of that report.
+    /// Time at which the target last reported its load.
     pub load_at: TimePoint,
     /// Incarnation that the target last reported.
     pub(crate) incarnation: Option<u64>,
@@ -222,14 +222,15 @@
         earlier.is_some_and(|earlier| earlier != incarnation)
     }
 
-    /// Recomputes which targets are in service. To be called after any change of health, overrides or configuration.
+    /// Recomputes which targets are in service. It must be called after any change of health, overrides or
+    /// configuration.
     pub(crate) fn update_eligible(&mut self) {
         let indexed = self.targets.iter().enumerate();
         self.index = indexed.map(|(index, target)| (target.setup.key(), index)).collect();
         let floor = floor_slots(self.setup.total_slots(), self.setup.floor);
         let guarded: Vec<GuardedTarget> = self.targets.iter().map(TargetState::guarded).collect();
-        for (target, limited) in self.targets.iter_mut().zip(guard_floor(&guarded, floor)) {
-            target.ejection_enforced = limited;
+        for (target, is_ejected) in self.targets.iter_mut().zip(guard_floor(&guarded, floor)) {
+            target.ejection_enforced = is_ejected;
         }
         self.below_floor = self.slots_in_service() < floor;
         let below_floor = self.below_floor;
--- a/crates/decide/src/sketch.rs
+++ b/crates/decide/src/sketch.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// Counts for each bucket, which decay with a half-life.
+/// A histogram of latencies whose counts decay with a half-life.
 #[derive(Debug, Clone)]
 pub struct LatencySketch {
     counts: Box<[f32; BUCKETS]>,
@@ -63,12 +63,12 @@
     /// Decays the counts by the time that has passed since the last decay.
     pub fn decay(&mut self, now: TimePoint) {
         let age = now.since(self.decayed);
-        // An eighth of the half-life keeps quantiles accurate at negligible cost.
+        // Decaying once per eighth of the half-life keeps quantiles accurate at negligible cost.
         if age < self.half_life / 8 {
             return;
         }
         let decay = (-age.as_secs_f64() / self.half_life.as_secs_f64()).exp2() as f32;
-        // A service with few requests keeps its few samples.
+        // The total does not decay below the minimum, so that a service with few requests keeps its samples.
         let factor = decay.max((MIN_DECAYED_TOTAL / self.total.max(MIN_DECAYED_TOTAL)).min(1.0));
         self.counts.iter_mut().for_each(|count| *count *= factor);
         self.total *= factor;
--- a/crates/decide/src/steer/choose.rs
+++ b/crates/decide/src/steer/choose.rs
@@ -13,16 +13,16 @@
 use crate::time::TimePoint;
 
 /// Score difference that changes the probability of a choice by a factor of e. A lower value makes all
-/// boxes choose the same target; a higher one sends requests to suspects. See `docs/MEASURED.md`, steering.
+/// boxes choose the same target; a higher one sends requests to suspects.
 const TEMPERATURE: f64 = 0.06;
-/// Cost of a request that is not served, in units of the worth of an ordinary request. It is above 1
+/// Cost of a request that is not served, in units of the value of an ordinary request. It is above 1
 /// because the users count the served share in nines.
 const LOST_COST: f64 = 3.0;
 /// Cost of a failed attempt of a request that can be sent again, as a share of [`LOST_COST`]: it takes a
 /// retry of the budget and time, and the second attempt may fail too.
 const REPEAT_SHARE: f64 = 0.8;
-/// Cost of an answer after the goal, which is at least half of an order's worth. A wait costs the part of
-/// it by which it raises the probability of a late answer.
+/// Cost of an answer after the goal, which is at least half of the value of an order. The cost of a wait
+/// is this cost times the increase of the probability of a late answer.
 const LATE_COST: f64 = 1.2;
 /// Factor applied to an expected wait, since reports of load arrive late.
 const WAIT_MARGIN: f64 = 1.3;
@@ -30,8 +30,8 @@
 const FULL_COST: f64 = 0.5;
 /// Cost of each busy slot, which spreads the work over equal targets.
 const BUSY_COST: f64 = 0.06;
-/// Cost of a remote target beside that of the bytes: its load and successes are known only from a few
-/// reports of other boxes.
+/// Cost of a remote target in addition to the cost of the transferred bytes: its load and successes are
+/// known only from a few reports of other boxes.
 const REMOTE_COST: f64 = 0.3;
 
 /// A target that could take the request.
--- a/crates/decide/src/steer/failure_estimate.rs
+++ b/crates/decide/src/steer/failure_estimate.rs
@@ -1,9 +1,9 @@
 //! The probability that a target is in a failure episode, as a Bayesian filter over two states.
 //!
-//! A target is either healthy or in a failure episode. In an episode it fails most of its requests, while
-//! healthy it fails few; episodes begin and end by themselves. Each outcome updates the probability by
-//! Bayes' rule, and over time the probability returns to the share of targets that are in an episode at
-//! any moment. One failure is nearly conclusive then, and a few successes clear the target.
+//! A target is either healthy or in a failure episode. In an episode it fails most of its requests,
+//! otherwise it fails few; episodes begin and end without intervention. Each outcome updates the
+//! probability by Bayes' rule, and over time the probability returns to the share of targets that are in
+//! an episode at any moment. One failure is nearly conclusive then, and a few successes clear the target.
 
 use std::time::Duration;
 
@@ -69,9 +69,9 @@
         EPISODE_FAILURE_SHARE * self.stalled_share()
     }
 
-    /// Returns the likelihood ratio of an attempt counting as stalled, in an episode against at a healthy
-    /// target. It is close to 1 at a service whose failures are answered with errors, where an attempt
-    /// that is open for long is mostly just slow.
+    /// Returns the likelihood ratio of a stalled attempt for an episode relative to a healthy target. It
+    /// is close to 1 at a service whose failures are answered with errors, where an attempt that is open
+    /// for long is mostly just slow.
     fn stalled_ratio(&self) -> f64 {
         stall_likelihood_ratio(OVERDUE_SHARE, self.episode_stall_share())
     }
@@ -92,8 +92,8 @@
 }
 
 impl FailureEstimate {
-    /// Creates the estimate for a target without any outcome. `at_start` is whether the box itself has
-    /// just started, so that the target may have been running for long.
+    /// Creates the estimate for a target without any outcome. `at_start` states whether the box itself has
+    /// just started, so that the target may have been running for a long time.
     pub fn new(now: TimePoint, at_start: bool) -> FailureEstimate {
         let in_episode = if at_start { EPISODE_SHARE } else { NEW_TARGET_EPISODE_SHARE };
         FailureEstimate { in_episode, updated: now }
@@ -106,13 +106,14 @@
     }
 
     /// Returns the probability that the next attempt fails. `ratio` is the likelihood ratio of the ages of
-    /// the open attempts, in an episode against at a healthy target.
+    /// the open attempts for an episode relative to a healthy target.
     pub fn risk(&self, now: TimePoint, ratio: f64) -> f64 {
         let in_episode = posterior(self.in_episode(now), ratio);
         in_episode * EPISODE_FAILURE_SHARE + (1.0 - in_episode) * HEALTHY_FAILURE_SHARE
     }
 
-    /// Updates the estimate by an outcome, at a service with those properties of episodes.
+    /// Updates the estimate by an outcome. `episode_stats` are the properties of episodes at the target's
+    /// service.
     pub fn record_outcome(
         &mut self,
         now: TimePoint,
@@ -127,7 +128,7 @@
         self.record_evidence(now, ratio);
     }
 
-    /// Updates the estimate by evidence with the likelihood ratio `ratio`, in an episode against at a
+    /// Updates the estimate by evidence that has the likelihood ratio `ratio` for an episode relative to a
     /// healthy target.
     pub fn record_evidence(&mut self, now: TimePoint, ratio: f64) {
         let after = posterior(self.in_episode(now), ratio);
--- a/crates/decide/src/steer/latency_ratios.rs
+++ b/crates/decide/src/steer/latency_ratios.rs
@@ -1,11 +1,11 @@
 //! The distribution of a service's latencies, and the evidence that the age of an open attempt gives.
 //!
-//! With a fixed multiple of the typical time as the bound, healthy targets of a service whose work varies
-//! much become suspects, and stalls at a service whose work varies little are detected late. So the
-//! distribution of a service's latencies is learned from what all boxes of a data centre observe, and the
-//! age of an open attempt is weighed by the share of healthy answers that take longer. All times in this
-//! module are latency ratios, that is multiples of the typical time of the route, since routes differ in
-//! their work.
+//! With a fixed multiple of the typical time as the bound, healthy targets would become suspects at a
+//! service whose work varies widely, and stalls would be detected late at a service whose work hardly
+//! varies. Therefore the distribution of a service's latencies is learned from what all boxes of a data
+//! centre observe, and the age of an open attempt is weighed by the share of healthy answers that take
+//! longer. All times in this module are latency ratios, that is multiples of the typical time of the
+//! route, since routes differ in their work.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 /// Share of attempts at a healthy target that are never answered, because of lost packets and network
 /// partitions.
 const HEALTHY_STALL_SHARE: f64 = 0.01;
-/// An attempt is overdue once no more than this share of healthy answers take longer.
+/// Share of healthy answers that take longer than the age at which an attempt counts as overdue.
 pub(crate) const OVERDUE_SHARE: f64 = 0.01;
 
 /// The learned distribution of the latency ratios of one service.
@@ -51,8 +51,9 @@
         (learned * recorded + assumed * ASSUMED_ANSWERS) / (recorded + ASSUMED_ANSWERS)
     }
 
-    /// Returns the likelihood ratio of an attempt being open at that latency ratio: in a failure episode,
-    /// in which the share `stall_share` of requests stall, against at a healthy target. It is at least 1.
+    /// Returns the likelihood ratio of an attempt that is still open at that latency ratio, for a failure
+    /// episode in which the share `stall_share` of requests stall, relative to a healthy target. It is at
+    /// least 1.
     pub fn stall_likelihood_ratio(&self, latency_ratio: f64, stall_share: f64) -> f64 {
         stall_likelihood_ratio(self.share_above(latency_ratio), stall_share)
     }
@@ -76,9 +77,9 @@
     }
 }
 
-/// Returns the likelihood ratio of an attempt being open at an age that the share `late_share` of healthy
-/// answers exceed: in a failure episode, in which the share `stall_share` of requests stall, against at a
-/// healthy target. It is at least 1.
+/// Returns the likelihood ratio of an attempt that is still open at an age which the share `late_share` of
+/// healthy answers exceed, for a failure episode in which the share `stall_share` of requests stall,
+/// relative to a healthy target. It is at least 1.
 pub(crate) fn stall_likelihood_ratio(late_share: f64, stall_share: f64) -> f64 {
     let in_episode = stall_share + (1.0 - stall_share) * late_share;
     let healthy = HEALTHY_STALL_SHARE + (1.0 - HEALTHY_STALL_SHARE) * late_share;
--- a/crates/decide/src/steer/ledger.rs
+++ b/crates/decide/src/steer/ledger.rs
@@ -15,7 +15,7 @@
 
 /// Length of one interval of the window: the resolution with which old counts expire.
 const INTERVAL: Duration = Duration::from_millis(500);
-/// Part of the bound that is used. The rest allows for retries of peers that were not reported yet.
+/// Share of the bound that is used. The rest allows for retries of peers that were not reported yet.
 const USED_PART: f64 = 0.85;
 /// Time without a report after which a peer's requests no longer add to the budget: it may be partitioned
 /// from this box and spend that budget itself. A box reports with each request, about once a second.
@@ -26,7 +26,7 @@
 pub struct RetryBounds {
     /// Retries allowed for each request, 0 to 1.
     pub share: f64,
-    /// Retries allowed in addition to that within the window, whatever the number of requests.
+    /// Retries allowed within the window in addition to the share, whatever the number of requests.
     pub slack: f64,
     /// Length of the sliding window over which requests and retries are counted.
     pub window: Duration,
@@ -57,7 +57,7 @@
 /// Counts of this box in one interval of the window.
 #[derive(Debug)]
 struct WindowInterval {
-    since: TimePoint,
+    started: TimePoint,
     requests: u32,
     retries: u32,
 }
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Whether one more retry is within the bounds, for a box that receives the reports of `reporting` of
-    /// `all` boxes, itself included in both numbers.
+    /// Returns whether one more retry is within the bounds, for a box that receives the reports of
+    /// `reporting` of `all` boxes, itself included in both numbers.
     pub fn allows(
         &mut self,
         now: TimePoint,
@@ -124,14 +124,15 @@
     }
 
     fn current_interval(&mut self, now: TimePoint) -> &mut WindowInterval {
-        if self.intervals.back().is_none_or(|last| now.since(last.since) >= INTERVAL) {
-            self.intervals.push_back(WindowInterval { since: now, requests: 0, retries: 0 });
+        if self.intervals.back().is_none_or(|last| now.since(last.started) >= INTERVAL) {
+            self.intervals.push_back(WindowInterval { started: now, requests: 0, retries: 0 });
         }
         self.intervals.back_mut().expect("an interval was just added")
     }
 
     fn expire(&mut self, now: TimePoint, window: Duration) {
-        let is_expired = |interval: &WindowInterval| now.since(interval.since) >= window + INTERVAL;
+        let is_expired =
+            |interval: &WindowInterval| now.since(interval.started) >= window + INTERVAL;
         while self.intervals.front().is_some_and(is_expired) {
             self.intervals.pop_front();
         }
--- a/crates/decide/src/steer/limit.rs
+++ b/crates/decide/src/steer/limit.rs
@@ -32,7 +32,7 @@
 pub struct LimitReport {
     /// The limit; `None` if the target has lifted it.
     pub rate: Option<RequestRate>,
-    /// When a box received it from the target.
+    /// Time at which a box received the limit from the target.
     pub received_at: TimePoint,
 }
 
@@ -103,8 +103,8 @@
         (report.is_lower_than(&known) || is_later).then(|| (report, Some(report.as_change())))
     }
 
-    /// Returns the report that is in force after a peer passed on a limit that it received `age` ago, and
-    /// the change that it makes; `None` if the known report is as recent. The more recent report wins.
+    /// Returns the report that is in force after a peer reported a limit that it received `age` ago, and the
+    /// change that it makes; `None` if the known report is as recent. The more recent report wins.
     pub(crate) fn after_peer_report(
         known: Option<LimitReport>,
         now: TimePoint,
--- a/crates/decide/src/steer/mechanism.rs
+++ b/crates/decide/src/steer/mechanism.rs
@@ -10,7 +10,7 @@
     Steering,
     /// Use of what peers observe of targets.
     PeerSamples,
-    /// Second attempts beside an attempt that is open for long.
+    /// Second attempts while the first attempt has been open for a long time.
     Hedges,
     /// Second attempts that begin early enough for requests with little time remaining.
     DeadlineHedges,
--- a/crates/decide/src/steer/messages.rs
+++ b/crates/decide/src/steer/messages.rs
@@ -58,7 +58,7 @@
 }
 
 impl HomeRegions<'_> {
-    /// Whether a request may be served in `region`.
+    /// Returns whether a request may be served in `region`.
     pub fn allow(self, region: &str) -> bool {
         match self {
             HomeRegions::Any => true,
@@ -95,7 +95,7 @@
 pub enum RetryUse {
     /// A further attempt after one that failed or was refused. Without it the request is lost.
     Repeat,
-    /// A second attempt beside one that has been open for long and may still be answered.
+    /// A second attempt concurrent with one that has been open for a long time and may still be answered.
     Hedge,
 }
 
@@ -149,7 +149,7 @@
 /// The effect of an attempt's end, or of its age, on the estimates about its target.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct AttemptEffect {
-    /// Whether the attempt counts as stalled. This is to be reported to peers.
+    /// Whether the attempt counts as stalled, which is to be reported to peers.
     pub stalled: bool,
     /// Ratio of a good answer's time, without the wait for a slot, to the typical time of its route, if that
     /// is known.
@@ -174,10 +174,10 @@
     pub good: u32,
     /// Number of failed attempts.
     pub bad: u32,
-    /// Number of attempts that have been open for longer than nearly all.
+    /// Number of attempts that have been open for longer than nearly all attempts take.
     pub overdue: u32,
-    /// Mean ratio of the time of the successful attempts, without the wait for a slot, to the typical time
-    /// of their routes, if it is known.
+    /// Mean ratio of the time of the successful attempts, without the wait for a slot, to the typical time of
+    /// their routes, if known.
     pub latency_ratio: Option<f64>,
     /// Number of requests that the target was working on or had queued, as it last reported.
     pub held: Option<u32>,
--- a/crates/decide/src/steer/mod.rs
+++ b/crates/decide/src/steer/mod.rs
@@ -59,11 +59,12 @@
 pub use record::MIN_SUSPECT_RISK;
 
 /// Wait for a slot above which a request is held back if it has more time than its goal. With waits up to
-/// this a request with a deadline of a second is still answered in time, at typical work times of 0.4 s.
+/// this value, a request with a deadline of a second is still answered in time, at typical work times of 0.4
+/// s.
 const MIN_SATURATED_WAIT: Duration = Duration::from_millis(450);
-/// Probability that an attempt has stalled from which on a second attempt begins beside it: most of the
-/// retries that this uses save a request. On 40 random fleets 6 in 1,000 repeatable requests were lost
-/// with second attempts and 17 without.
+/// Minimum probability that an attempt has stalled at which a second attempt begins: at this probability,
+/// most of the retries that second attempts use save a request. On 40 random fleets 6 in 1,000 repeatable
+/// requests were lost with second attempts and 17 without.
 const MIN_HEDGE_PROBABILITY: f64 = 0.5;
 /// Latency ratio before which no second attempt begins. A suspect that does answer has mostly done so by
 /// then, and the retry is saved for a request that needs it.
@@ -72,14 +73,14 @@
 /// attempt. On a quiet day 82 of 108 lookups that ran out of time had only one attempt, and 85 of the 108 had
 /// less than 1.3 s in total.
 const HEDGE_REMAINING_RATIO: f64 = 1.4;
-/// Lower bound on the probability that an attempt stalls, for the time of a second attempt: it is never
-/// certain that a target is healthy.
+/// Lower bound on the probability that an attempt stalls when the time of a second attempt is computed: no
+/// target is certain to be healthy.
 const MIN_STALL_PROBABILITY: f64 = 0.01;
-/// Upper bound on the probability that an attempt stalls, for the time of a second attempt.
+/// Upper bound on the probability that an attempt stalls when the time of a second attempt is computed.
 const MAX_STALL_PROBABILITY: f64 = 0.9;
 
-/// The targets of all services, what is known of them, and the choice among them. Times are relative to the
-/// start of the process.
+/// The targets of all services with their state, and the choice among them. Times are relative to the start
+/// of the process.
 #[derive(Debug)]
 pub struct SteerCore {
     setup: SteerSetup,
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Replaces the listing by `targets`. What is known of targets that were listed before is kept.
+    /// Replaces the listing by `targets`. Targets that were listed before keep their state.
     pub fn set_targets(&mut self, now: TimePoint, targets: Vec<SteerTarget>) {
         let kept: HashSet<TargetKey> = targets.iter().map(SteerTarget::key).collect();
         let removed = self.services.keys().filter(|key| !kept.contains(key));
@@ -164,7 +165,7 @@
         self.ledger(service).record_request(now);
     }
 
-    /// Takes a retry from the budget that all boxes share; returns false if none is left for that use.
+    /// Takes a retry from the budget that all boxes share; returns false if the budget has none for that use.
     pub fn spend_retry(&mut self, now: TimePoint, service: &str, usage: RetryUse) -> bool {
         let (bounds, reporting) = (self.setup.retries, reporting_boxes(self.local_boxes));
         let all = self.boxes.max(MIN_BOXES);
@@ -314,7 +315,7 @@
         AttemptEffect { latency_ratio, ..pool.record_end(now, handle, outcome) }
     }
 
-    /// Records that an attempt is open for longer than nearly all; returns the effect.
+    /// Records that an attempt is open for longer than nearly all attempts take; returns the effect.
     pub fn record_overdue(&mut self, now: TimePoint, handle: &AttemptHandle) -> AttemptEffect {
         match self.pool_mut(handle.key) {
             Some(pool) if handle.informative => pool.record_overdue(now, handle),
@@ -337,7 +338,7 @@
     }
 
     /// Merges what the peer with the incarnation `peer` observed of a target; returns the change if the
-    /// target became a suspect, or ceased to be one.
+    /// target became a suspect or stopped being one.
     pub fn merge_peer_sample(
         &mut self,
         now: TimePoint,
@@ -360,16 +361,17 @@
         pool.map(open).unwrap_or_default()
     }
 
-    /// Returns the time after the start of an attempt from which on it is open for longer than nearly all.
+    /// Returns the time after the start of an attempt from which on it is open for longer than nearly all
+    /// attempts take.
     pub fn overdue_after(&self, handle: &AttemptHandle) -> Duration {
         self.age_exceeded_by(handle, OVERDUE_SHARE).unwrap_or(ASSUMED_TIME)
     }
 
-    /// Returns the time after the start of an attempt from which on it is likely enough to have stalled
-    /// that a second attempt is worth a retry, or `None` if the target is no longer listed or hedging is
-    /// disabled. The time is the shorter the higher the risk of the target is. If `remaining`, the time
-    /// from the start of the attempt to the deadline, is long enough for two attempts, it also leaves the
-    /// second one time for an answer.
+    /// Returns the time after the start of an attempt from which on it is likely enough to have stalled that
+    /// a second attempt is worth a retry, or `None` if the target is no longer listed or hedging is disabled.
+    /// The higher the risk of the target, the shorter the time. If `remaining`, the time from the start of
+    /// the attempt to the deadline, is long enough for two attempts, it also leaves the second one time for
+    /// an answer.
     pub fn hedge_after(
         &self,
         now: TimePoint,
--- a/crates/decide/src/steer/notice.rs
+++ b/crates/decide/src/steer/notice.rs
@@ -10,8 +10,8 @@
 use crate::steer::limit::{LimitChange, LimitReport, LimitUpdate, RequestRate};
 use crate::time::TimePoint;
 
-/// Upper bound on a back-off. Targets ask for seconds; one that asks for years by mistake is back in use
-/// after ten minutes, when one request of each box finds out whether it still wants to back off.
+/// Upper bound on a back-off. Targets request seconds. If one requests years by mistake, each box sends it
+/// a request again after ten minutes, and backs off again if that request is refused with another back-off.
 const MAX_BACKOFF: Duration = Duration::from_secs(600);
 /// A repeated back-off whose end moves by no more than this is not reported as a change.
 const SAME_END_TOLERANCE: Duration = Duration::from_millis(100);
@@ -78,8 +78,8 @@
 }
 
 impl NoticeState {
-    /// Applies the notice of an answer. A shorter back-off does not end a longer one: the box has already
-    /// agreed to the longer one.
+    /// Applies the notice of an answer. A shorter back-off does not end a longer one that has already
+    /// begun.
     pub(crate) fn apply(&mut self, now: TimePoint, notice: &TargetNotice) -> NoticeChange {
         let draining = notice.draining && self.draining_since.is_none();
         if draining {
@@ -137,7 +137,7 @@
         })
     }
 
-    /// Whether the target has given no notice so far.
+    /// Returns whether the target has given no notice so far.
     pub(crate) fn is_empty(&self) -> bool {
         *self == NoticeState::default()
     }
--- a/crates/decide/src/steer/notices.rs
+++ b/crates/decide/src/steer/notices.rs
@@ -14,7 +14,7 @@
 use crate::time::TimePoint;
 
 impl SteerCore {
-    /// Applies the notice in a target's answer to this box; returns what is new by it.
+    /// Applies the notice in a target's answer to this box; returns the part that was not known before.
     pub fn record_notice(
         &mut self,
         now: TimePoint,
@@ -59,8 +59,8 @@
         self.pool_of(key)?[key].notices.limit_report()
     }
 
-    /// Returns the limit of a target over all boxes: the one that it reported, or the one that applies while
-    /// it is cold.
+    /// Returns the limit of a target over all boxes: the one that it reported, or, while the target is cold,
+    /// the cold rate if that is lower.
     pub fn limit(&self, now: TimePoint, key: TargetKey) -> Option<RequestRate> {
         self.pool_of(key)?[key].limit(now)
     }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Whether operators have evacuated a target's data centre.
+    /// Returns whether operators have evacuated a target's data centre.
     pub fn is_evacuated(&self, key: TargetKey) -> bool {
         self.pool_of(key).is_some_and(|pool| pool[key].is_evacuated())
     }
@@ -107,7 +107,7 @@
         Some(self.pool_of(key)?[key].setup.data_centre.clone())
     }
 
-    /// Whether a target of `service` in the regions `homes`, other than those in `tried`, is eligible.
+    /// Returns whether a target of `service` in the regions `homes`, other than those in `tried`, is eligible.
     pub fn has_eligible_target(
         &self,
         now: TimePoint,
--- a/crates/decide/src/steer/open.rs
+++ b/crates/decide/src/steer/open.rs
@@ -1,9 +1,9 @@
 //! The open attempts at a target: how many there are, and for how long each has been open.
 //!
-//! A stall is visible only as a missing answer, and a single attempt must be open for long before its age
-//! is strong evidence. The ages of all attempts that the boxes of a data centre have open at one target,
-//! combined, are strong evidence much sooner: on 40 random fleets 38 in 1,000 orders were lost with the
-//! combined ages and 43 without.
+//! A stall is visible only as a missing answer, and a single attempt must be open for a long time before
+//! its age is strong evidence. The ages of all attempts that the boxes of a data centre have open at one
+//! target, combined, are strong evidence much sooner: on 40 random fleets 38 in 1,000 orders were lost
+//! with the combined ages and 43 without.
 
 use std::time::Duration;
 
@@ -27,8 +27,8 @@
     /// Whether the age of the attempt is evidence about the target. It is not on a route whose requests
     /// run out of time at every target.
     pub informative: bool,
-    /// Whether the time of the attempt is spent by the target. It is not while the caller still sends the
-    /// request.
+    /// Whether the duration of the attempt depends on the target alone. It does not if the caller is
+    /// still sending the request.
     pub timed: bool,
 }
 
@@ -45,7 +45,7 @@
 struct PeerAttempts {
     peer: u64,
     count: u32,
-    /// The ages of the informative ones among them.
+    /// The ages of the informative attempts among them.
     informative: Vec<OpenAge>,
     received: TimePoint,
 }
@@ -53,8 +53,8 @@
 /// The age of an open attempt without its wait for a slot, and the typical time to compare it with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OpenAge {
-    /// When the target was expected to begin work on the attempt.
-    pub since: TimePoint,
+    /// When the target was expected to have a free slot for the attempt.
+    pub slot_expected_at: TimePoint,
     /// The typical time of the attempt's route.
     pub typical: Duration,
 }
@@ -62,13 +62,13 @@
 impl OpenAge {
     /// Returns the age at `now` as a multiple of the typical time.
     pub fn latency_ratio(&self, now: TimePoint) -> f64 {
-        now.since(self.since).as_secs_f64() / self.typical.as_secs_f64().max(0.001)
+        now.since(self.slot_expected_at).as_secs_f64() / self.typical.as_secs_f64().max(0.001)
     }
 }
 
 impl AttemptHandle {
     pub(crate) fn age(&self) -> OpenAge {
-        OpenAge { since: self.slot_expected_at, typical: self.typical }
+        OpenAge { slot_expected_at: self.slot_expected_at, typical: self.typical }
     }
 }
 
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Replaces what `peer` reported before by its new report.
+    /// Replaces the previous report of `peer` by its new one.
     pub(crate) fn merge_peer(
         &mut self,
         now: TimePoint,
--- a/crates/decide/src/steer/pool.rs
+++ b/crates/decide/src/steer/pool.rs
@@ -28,8 +28,8 @@
 /// Number of successful attempts that are added to the failure share, so that a single failure of an idle
 /// service does not give a high share.
 const ASSUMED_SUCCESSES: f64 = 5.0;
-/// Likelihood ratio of its age from which on an attempt that ended without an answer counts as a stall:
-/// as conclusive as a failure is at a target that was no suspect.
+/// Minimum likelihood ratio of its age at which an attempt that ended without an answer counts as a stall.
+/// At this ratio the age is as conclusive as a failure of a target that was not a suspect.
 const MIN_STALL_RATIO: f64 = 10.0;
 /// Service time that is assumed until one was observed; the work times in production are 160 to 410 ms.
 pub(crate) const ASSUMED_TIME: Duration = Duration::from_millis(300);
@@ -38,7 +38,8 @@
 /// Number of answers over which the typical time and size of a service's answers are averaged.
 const AVERAGE_WINDOW: f64 = 50.0;
 
-/// The properties of a request by which its wait at a target is weighed. They are the same at each target.
+/// The properties of a request by which its wait at a target is weighed. They are the same for all
+/// targets.
 pub(crate) struct LatenessScale {
     goal: Duration,
     /// The typical time of the request's route.
@@ -60,9 +61,9 @@
     episode_stats: EpisodeStats,
     /// The number of attempts that failed, decayed over [`FAILURE_SHARE_TIME`].
     failed: f64,
-    /// The number of attempts that ended, decayed likewise.
+    /// The number of attempts that ended, decayed over [`FAILURE_SHARE_TIME`].
     ended: f64,
-    /// When the two numbers were last updated.
+    /// When `failed` and `ended` were last updated.
     ended_at: TimePoint,
     small_bytes: RunningAverage,
     rate: f64,
@@ -154,7 +155,8 @@
         AttemptEffect::default()
     }
 
-    /// Records that an attempt of this box is open for longer than nearly all; returns the effect.
+    /// Records that an attempt of this box is open for longer than nearly all attempts take; returns the
+    /// effect.
     pub(crate) fn record_overdue(
         &mut self,
         now: TimePoint,
@@ -169,8 +171,8 @@
         AttemptEffect { stalled: true, change, latency_ratio: None }
     }
 
-    /// Merges what a peer observed of a target; returns the change if the target became a suspect, or
-    /// ceased to be one.
+    /// Merges what a peer observed of a target; returns the change if the target became a suspect or
+    /// stopped being one.
     pub(crate) fn merge_peer_sample(
         &mut self,
         now: TimePoint,
@@ -287,8 +289,8 @@
         records.map(|(key, record)| (*key, record))
     }
 
-    /// Returns the time until the first target takes requests again, if each present target has asked for
-    /// none or has reached its limit, and at least one of them only for a limited time.
+    /// Returns the time until the first target takes requests again. Returns `None` if a target takes
+    /// requests now, or if all targets are draining.
     pub(crate) fn time_to_first(&self, now: TimePoint, homes: HomeRegions<'_>) -> Option<Duration> {
         let is_present = |record: &TargetRecord| {
             !record.is_replaced() && !record.is_evacuated() && record.is_in(homes)
@@ -354,7 +356,7 @@
 
     /// Records that an attempt was made here, or at a peer of the data centre.
     ///
-    /// Trials depend on the time since a service came into use. Without that each target counted as idle
+    /// Trials depend on the time since a service came into use. Without this, each target counted as idle
     /// since the start of the box when the first attempt was made: 78 in 100 orders of the first 2 s of
     /// load became trials, and 25 in 100 of these were lost.
     pub(crate) fn record_use(&mut self, now: TimePoint) {
@@ -375,7 +377,7 @@
         record.risk(now, self.age_likelihood_ratio(now, record.open.all_ages(now)))
     }
 
-    /// Returns the likelihood ratio of the ages of open attempts, in a failure episode against at a
+    /// Returns the likelihood ratio of the ages of open attempts for a failure episode relative to a
     /// healthy target.
     fn age_likelihood_ratio(&self, now: TimePoint, ages: impl Iterator<Item = OpenAge>) -> f64 {
         if !self.weighs_ages {
@@ -427,14 +429,14 @@
         self.latency_ratios.ratio_exceeded_by(share)
     }
 
-    /// Returns the scale by which waits are weighed of a request with that goal and typical time.
+    /// Returns the scale by which the waits of a request with that goal and typical time are weighed.
     pub(crate) fn lateness_scale(&self, goal: Duration, typical: Duration) -> LatenessScale {
         LatenessScale { goal, typical, base_share: self.share_later(goal, typical) }
     }
 
-    /// Returns how much a wait of `wait` raises the probability that a request misses its goal. It returns
-    /// early without a wait, as at most targets: a choice among 431 targets took 105 us with a look-up of
-    /// the learned distribution for each of them and 47 us without (`wingbench steer --cost`).
+    /// Returns how much a wait of `wait` raises the probability that a request misses its goal. Most
+    /// targets have no wait, for which it returns early: a choice among 431 targets took 105 us with a
+    /// lookup in the learned distribution for each of them and 47 us without (`wingbench steer --cost`).
     pub(crate) fn lateness(&self, wait: Duration, scale: &LatenessScale) -> f64 {
         let LatenessScale { goal, typical, base_share } = *scale;
         if wait >= goal {
--- a/crates/decide/src/steer/record.rs
+++ b/crates/decide/src/steer/record.rs
@@ -23,11 +23,12 @@
 /// Weight of the newest latency ratio in the slowness of a target. It is low because the work of single
 /// requests varies by a factor of two and more.
 const SLOWNESS_WEIGHT: f64 = 0.1;
-/// Slowness up to which a target counts as no slower than others: chance alone causes as much.
+/// Slowness above which a target counts as slower than others: chance alone causes values up to this.
 const MIN_SLOWNESS: f64 = 1.3;
-/// Time for which a peer's report counts that a target is cold; the listing reaches each box sooner.
+/// Time for which a peer's report that a target is cold counts. The listing, which shows the same, reaches each
+/// box sooner.
 const REPORTED_COLD_FOR: Duration = Duration::from_secs(3);
-/// Factor by which a cold target takes longer; the users give a factor of two.
+/// Factor by which a cold target takes longer; the users state a factor of two.
 const COLD_FACTOR: f64 = 2.0;
 /// A suspect is trusted again once its risk is below this.
 const MAX_TRUSTED_RISK: f64 = 0.1;
@@ -108,8 +109,8 @@
 }
 
 impl TargetRecord {
-    /// Creates the record of a target that is listed now. `at_start` is whether the box has just started,
-    /// `in_use` whether the target's service gets requests, `notices` what the target reported before.
+    /// Creates the record of a newly listed target. `at_start` states whether the box has just started, `in_use`
+    /// whether the target's service gets requests, `notices` what the target reported before.
     pub(crate) fn new(
         setup: SteerTarget,
         now: TimePoint,
@@ -146,8 +147,8 @@
         self
     }
 
-    /// Returns the probability that an attempt fails here. `ratio` is the likelihood ratio of the ages of
-    /// the open attempts, in a failure episode against at a healthy target.
+    /// Returns the probability that an attempt fails here. `ratio` is the likelihood ratio of the ages of the open
+    /// attempts for a failure episode relative to a healthy target.
     pub(crate) fn risk(&self, now: TimePoint, ratio: f64) -> f64 {
         let risk = self.estimate.risk(now, ratio);
         let path = if self.is_path_usable(now) { 0.0 } else { PATH_RISK };
@@ -174,8 +175,8 @@
         self.replaced
     }
 
-    /// Returns whether the target may get requests at all: it is present, it has not asked for none, and
-    /// permits for it are available.
+    /// Returns whether the target may get requests at all: it is present, it is neither draining nor backing off,
+    /// and permits for it are available.
     ///
     /// Every choice of a target applies this filter, also trials, retries and second attempts. When a
     /// refusal was only a cost in the score, three targets that had asked for a back-off were sent 18 to
@@ -188,8 +189,8 @@
             && self.permit_wait(now).is_none()
     }
 
-    /// Returns the limit over all boxes that applies now: the lower of the one that the target names in
-    /// its answers and the one that applies while it is cold.
+    /// Returns the limit over all boxes that applies now: the lower of the limit that the target announces in its
+    /// answers and the limit that applies while it is cold.
     pub(crate) fn limit(&self, now: TimePoint) -> Option<RequestRate> {
         let named = self.notices.limit();
         named.into_iter().chain(self.cold_rate(now)).min()
@@ -207,8 +208,8 @@
         self.reported_cold = Some(ReportedCold { rate, until: now + REPORTED_COLD_FOR });
     }
 
-    /// Returns the remaining time for which no permit is available for the target, or `None` if there may
-    /// be one.
+    /// Returns the remaining time for which no permit is available for the target, or `None` if one may be
+    /// available.
     pub(crate) fn permit_wait(&self, now: TimePoint) -> Option<Duration> {
         self.limit(now)?;
         let until = self.no_permit_until.filter(|until| now < *until)?;
@@ -320,9 +321,9 @@
         self.slowness += (latency_ratio - self.slowness) * SLOWNESS_WEIGHT;
     }
 
-    /// Merges a peer's report of its open attempts. An open attempt of a peer counts as an attempt at the
-    /// target, so that no other box makes a trial at the same time: without that several boxes tried one
-    /// stalled target at once, and half of the orders that were lost within a minute were trials.
+    /// Merges a peer's report of its open attempts. An open attempt of a peer counts as an attempt at the target,
+    /// so that no other box makes a trial at the same time: without this, several boxes tried one stalled target
+    /// at once, and half of the orders that were lost within a minute were trials.
     pub(crate) fn merge_peer_open(
         &mut self,
         now: TimePoint,
@@ -371,7 +372,7 @@
     }
 
     /// Updates the failure estimate by the age of an attempt that ended without an answer. `ratio` is the
-    /// likelihood ratio of that age, in a failure episode against at a healthy target.
+    /// likelihood ratio of that age for a failure episode relative to a healthy target.
     pub(crate) fn record_unanswered(&mut self, now: TimePoint, ratio: f64) {
         self.estimate.record_evidence(now, ratio);
     }
--- a/crates/decide/src/steer/relay.rs
+++ b/crates/decide/src/steer/relay.rs
@@ -3,9 +3,9 @@
 //! All boxes together see some hundred failures per second, each of interest to every box, and traffic between
 //! data centres is expensive. If each box sent a datagram to every remote box, the traffic between data
 //! centres would grow with the square of the number of boxes. So a box sends each update to two boxes of each
-//! other data centre, and these relay it to the others of theirs, where traffic costs nothing. It sends to
-//! two, since one may have failed without having been detected yet. Each update has a number, by which a box
-//! drops updates that it has already received: counted twice, one failure would weigh as two.
+//! other data centre, and these relay it to the other boxes of their data centre, where traffic costs nothing.
+//! There are two relays, since one may have failed undetected. Each update has a number, by which a box drops
+//! updates that it has already received, since a failure that is counted twice would weigh as two.
 
 use std::collections::HashMap;
 
--- a/crates/decide/src/steer/routes.rs
+++ b/crates/decide/src/steer/routes.rs
@@ -23,7 +23,7 @@
 /// change.
 const MAX_COUNTED_ATTEMPTS: u32 = 20;
 
-/// How attempts of each route ended at this box.
+/// Typical latency and outcomes of the attempts of each route at this box.
 #[derive(Debug, Default)]
 pub(crate) struct RouteStats {
     routes: HashMap<Name, RouteEntry>,
--- a/crates/decide/src/steer/split.rs
+++ b/crates/decide/src/steer/split.rs
@@ -4,7 +4,8 @@
 /// there are only a few of them.
 const GOLDEN_STEP: f64 = 0.618_033_988_749_894_9;
 
-/// A sequence of choices among weighted parts that stays close to the weights from the first choices on.
+/// A sequence of choices among weighted parts whose frequencies stay close to the weights from the first
+/// choices on.
 #[derive(Debug, Clone)]
 pub struct WeightedSplit {
     position: f64,
--- a/crates/decide/src/steer/subset.rs
+++ b/crates/decide/src/steer/subset.rs
@@ -26,11 +26,11 @@
 /// Period over which [`MIN_REQUESTS_PER_TARGET`] counts. Operators require that in any period of this length
 /// with many failures a minimum share of the healthy targets gets requests.
 const REACH_PERIOD: Duration = Duration::from_secs(2);
-/// Requests for each target within [`REACH_PERIOD`] from which on the service uses all targets. Evenly spread,
-/// they then reach 70 % of the targets in that period.
+/// Minimum number of requests for each target within [`REACH_PERIOD`] at which the service uses all targets.
+/// Spread evenly, this many requests reach 70 % of the targets in that period.
 const MIN_REQUESTS_PER_TARGET: f64 = 1.2;
 /// Time for which a target that failed is excluded from the subset. Other targets are available, and a target
-/// that has failed fails again sooner than one about which nothing is known.
+/// that has failed is more likely to fail again than one without any record.
 const FAILURE_EXCLUSION: Duration = Duration::from_secs(30);
 
 /// Returns the targets of the subset that are eligible for the request. Returns `None` if the data centre has
--- a/crates/decide/src/steer/trial.rs
+++ b/crates/decide/src/steer/trial.rs
@@ -1,4 +1,4 @@
-//! Trials: requests that go to a target because it had no attempt for long.
+//! Trials: requests that go to a target because it had no attempt for a long time.
 //!
 //! A target that is avoided gives no evidence, so that without trials a healthy one would be avoided
 //! forever. But each trial of a suspect puts a request at risk, so there are no more of them than needed.
@@ -14,12 +14,13 @@
 use crate::time::TimePoint;
 
 /// Idle time after which a target that failed gets a trial, while many requests of its service fail or if
-/// the request can be sent again: a trial costs a retry then, but no request. The users require a minimum
-/// share of healthy targets that get requests, in every 2 s in which more than a tenth of requests are not
-/// served. A target that failed counts as healthy again 2 s later, so it must be tried within 4 s.
+/// the request can be sent again: a failed trial then costs a retry, but the request is not lost. The
+/// users require a minimum share of healthy targets that get requests, in every 2 s in which more than a
+/// tenth of requests are not served. A target that failed counts as healthy again 2 s later, so it must be
+/// tried within 4 s.
 const FAILED_TRIAL_AFTER: Duration = Duration::from_millis(3200);
-/// Idle time after which a target that did not fail gets a trial under the same conditions: within the
-/// same 2 s.
+/// Idle time after which a target that did not fail gets a trial under the conditions of
+/// [`FAILED_TRIAL_AFTER`]. It leaves time for a request within each period of 2 s.
 const IDLE_TRIAL_AFTER: Duration = Duration::from_millis(1000);
 /// Idle time after which a target that failed gets a trial by a request that may run only once, while few
 /// requests of the service fail. The required share of targets does not apply then, and this is often
@@ -34,13 +35,13 @@
 const MAX_LOW_FAILURE_SHARE: f64 = 0.08;
 /// Mean number of trials a second that all boxes together make of each target that is due.
 const TRIALS_PER_S: f64 = 4.0;
-/// Bound on the probability that a request becomes a trial of one target, so that most requests of a
-/// service that gets few of them are no trials.
+/// Bound on the probability that a request becomes a trial of one target, so that at a service with few
+/// requests most of them are not trials.
 const MAX_TRIAL_CHANCE: f64 = 0.3;
 /// Factor by which boxes of other data centres wait longer before a trial. They receive reports of few
-/// successes, so that nearly each remote target seems due to them: 114 of the 397 trials of orders in a
-/// minute were theirs, and 42 of these were lost. While few requests fail they try only remote targets
-/// that joined, since the boxes in the target's own data centre try the others.
+/// successes, so that nearly every remote target appears to be due: boxes of other data centres made 114
+/// of the 397 trials of orders in a minute, and 42 of these were lost. While few requests fail they try
+/// only remote targets that joined, since the boxes in the target's own data centre try the others.
 const REMOTE_TRIAL_FACTOR: f64 = 6.0;
 
 /// The situation of the box, as far as trials depend on it.
@@ -60,8 +61,8 @@
 /// to 1.
 ///
 /// Each box decides independently, such that the boxes of a target's data centre together make about
-/// [`TRIALS_PER_S`] trials of each target that is due. Boxes of other data centres begin later, for the
-/// case that the local ones make none, and never use a request with a large answer.
+/// [`TRIALS_PER_S`] trials of each target that is due. Boxes of other data centres begin later, in case
+/// the local boxes make none, and never use a request with a large answer.
 pub(crate) fn sample_trial(
     now: TimePoint,
     pool: &TargetPool,
@@ -80,9 +81,8 @@
         (trials_per_s(context) / rate).min(MAX_TRIAL_CHANCE)
     };
     let sum: f64 = due.iter().map(chance).sum();
-    // Where more targets are due than there are requests for, each box samples among all of them. When
-    // each took the first ones by key, the boxes of a data centre tried the same few targets at the same
-    // moment.
+    // If more targets are due than requests arrive, each box samples among all of them. When each box took
+    // the first targets by key, the boxes of a data centre tried the same few targets at the same moment.
     let mut remaining = random * sum.max(1.0);
     for due in &due {
         remaining -= chance(due);
@@ -137,8 +137,8 @@
     due
 }
 
-/// Returns the idle time after which a target gets a trial. `spared` is whether the request should not be
-/// put at risk yet.
+/// Returns the idle time after which a target gets a trial. `spared` states whether the request should not
+/// be put at risk yet.
 fn trial_after(record: &TargetRecord, spared: bool) -> Duration {
     match (record.last_failed(), spared && !record.is_unattempted()) {
         (true, false) => FAILED_TRIAL_AFTER,
--- a/crates/decide/src/steer/unlisted.rs
+++ b/crates/decide/src/steer/unlisted.rs
@@ -60,7 +60,7 @@
         change
     }
 
-    /// Removes and returns the notices of a target, which is listed now.
+    /// Removes and returns the notices of a target that is now listed.
     pub(crate) fn take(&mut self, key: TargetKey) -> NoticeState {
         self.targets.remove(&key).map(|target| target.notices).unwrap_or_default()
     }
--- a/crates/decide/tests/stalls.rs
+++ b/crates/decide/tests/stalls.rs
@@ -31,7 +31,7 @@
 
 /// Merges a peer's report that it has `count` attempts open at `id`, each for `age`.
 fn report_open(core: &mut SteerCore, now: TimePoint, id: &str, count: u32, age: Duration) {
-    let open = OpenAge { since: now.before(age), typical: TYPICAL };
+    let open = OpenAge { slot_expected_at: now.before(age), typical: TYPICAL };
     let sample = PeerSample {
         open: Some(count),
         informative: vec![open; count as usize],
--- a/crates/gateway/src/caller_connections.rs
+++ b/crates/gateway/src/caller_connections.rs
@@ -294,9 +294,9 @@
 
     /// Logs why a request could not be read, and answers it if the caller is still connected.
     async fn reject(&mut self, context: &BoxContext, error: &HttpError) {
-        let gone = matches!(error.kind(), ErrorKind::Io | ErrorKind::Truncated);
-        log::info!(reason:% = error, gone; "request-rejected");
-        if gone {
+        let disconnected = matches!(error.kind(), ErrorKind::Io | ErrorKind::Truncated);
+        log::info!(reason:% = error, gone = disconnected; "request-rejected");
+        if disconnected {
             return;
         }
         let answer = if error.kind() == ErrorKind::TimedOut {
--- a/crates/gateway/src/config_sync.rs
+++ b/crates/gateway/src/config_sync.rs
@@ -200,8 +200,8 @@
         };
         let budget = self.context.budget;
         let transfer = transfer_time(bytes, self.context.settings.link_mbps);
-        let rank = self.context.peers().read_priority();
-        let due = budget.config_read_age(rank, self.random.random(), transfer) + READER_DELAY;
+        let priority = self.context.peers().read_priority();
+        let due = budget.config_read_age(priority, self.random.random(), transfer) + READER_DELAY;
         let mut wait = due.saturating_sub(age).max(self.backoff.remaining());
         if let Some((learned_at, _)) = self.context.newer_config().pending() {
             wait = wait.max(budget.peers_only_time().saturating_sub(learned_at.elapsed()));
--- a/crates/gateway/src/gossip/mod.rs
+++ b/crates/gateway/src/gossip/mod.rs
@@ -20,7 +20,7 @@
 
 use crate::context::BoxContext;
 use crate::peers::PeerInfo;
-use crate::quota_manager::quota_requester;
+use crate::quota_manager::token_requester;
 use crate::view_exchange::fetch_targets;
 
 /// Size of the receive buffer; a longer datagram is cut off.
@@ -107,7 +107,7 @@
         match body {
             Some(DatagramBody::Heartbeat(heartbeat)) => {
                 if heartbeat.stopping {
-                    self.context.quotas.record_box_stopped(quota_requester(&box_id, incarnation));
+                    self.context.quotas.record_box_stopped(token_requester(&box_id, incarnation));
                 }
                 self.on_heartbeat(from, &box_id, now, heartbeat).await;
             }
@@ -116,7 +116,7 @@
             }
             Some(DatagramBody::Tokens(message)) => {
                 let context = &self.context;
-                let peer = quota_requester(&box_id, incarnation);
+                let peer = token_requester(&box_id, incarnation);
                 if let Some(reply) = context.quotas.handle_message(context, peer, &message) {
                     self.send_tokens(from, reply).await;
                 }
--- a/crates/gateway/src/gossip/reports.rs
+++ b/crates/gateway/src/gossip/reports.rs
@@ -36,9 +36,9 @@
     /// Sends reports when `wakeups` asks for it, until that channel is closed.
     pub(crate) async fn run_reports(self: Arc<Self>, wakeups: Receiver<Urgency>) {
         while let Ok(mut urgency) = wakeups.recv().await {
-            let since = Instant::now();
+            let started_at = Instant::now();
             while urgency == Urgency::Soon {
-                let remaining = BATCH_TIME.saturating_sub(since.elapsed());
+                let remaining = BATCH_TIME.saturating_sub(started_at.elapsed());
                 match async_std::future::timeout(remaining, wakeups.recv()).await {
                     Ok(Ok(next)) => urgency = next,
                     Ok(Err(_)) => return,
@@ -201,14 +201,14 @@
 
 fn encode_age(now: TimePoint, age: &OpenAge) -> OpenAttempt {
     OpenAttempt {
-        age_ms: short_millis(now.since(age.since)),
+        age_ms: short_millis(now.since(age.slot_expected_at)),
         typical_ms: short_millis(age.typical),
     }
 }
 
 fn decode_age(now: TimePoint, open: &OpenAttempt) -> OpenAge {
     OpenAge {
-        since: now.before(Duration::from_millis(open.age_ms.into())),
+        slot_expected_at: now.before(Duration::from_millis(open.age_ms.into())),
         typical: Duration::from_millis(open.typical_ms.into()),
     }
 }
--- a/crates/gateway/src/listing_source.rs
+++ b/crates/gateway/src/listing_source.rs
@@ -51,7 +51,7 @@
 
 /// A reply that occupies its transfer slot, if it needs one, until this value is dropped.
 #[derive(Debug)]
-pub(crate) struct SentTargets<'a> {
+pub(crate) struct ListingReply<'a> {
     pub(crate) targets: Arc<PackedTargets>,
     _slot: Option<TransferSlot<'a>>,
 }
@@ -88,13 +88,13 @@
         &self,
         key: ListingDeltaKey,
         pack: impl FnOnce() -> PackedTargets,
-    ) -> Option<SentTargets<'_>> {
+    ) -> Option<ListingReply<'_>> {
         let targets = self.packed(key, pack);
         if targets.bytes() <= MAX_SMALL_REPLY_BYTES {
-            return Some(SentTargets { targets, _slot: None });
+            return Some(ListingReply { targets, _slot: None });
         }
         let slot = self.slots.try_acquire()?;
-        Some(SentTargets { targets, _slot: Some(slot) })
+        Some(ListingReply { targets, _slot: Some(slot) })
     }
 
     fn packed(
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -62,8 +62,8 @@
         let Some(Ok(count)) = self.stream.peek(&mut bytes).now_or_never() else {
             return;
         };
-        if let Ok(Some((start, _))) = RawResponseHead::parse(&bytes[..count], self.method) {
-            self.notices.apply_head(&start);
+        if let Ok(Some((head, _))) = RawResponseHead::parse(&bytes[..count], self.method) {
+            self.notices.apply_head(&head);
         }
     }
 }
@@ -90,19 +90,19 @@
     }
 
     /// Applies the notices in the head of an answer.
-    pub(crate) fn apply_head(&self, start: &RawResponseHead) {
+    pub(crate) fn apply_head(&self, head: &RawResponseHead) {
         self.is_head_read.store(true, Ordering::Release);
         let names = &self.context.headers;
-        if !is_from_target(start, names, self.request) {
+        if !is_from_target(head, names, self.request) {
             return;
         }
-        let notice = read_notice(start, names);
+        let notice = read_notice(head, names);
         let now = self.context.now();
         let mut core = self.context.core();
         let change = core.record_notice(now, self.key, &notice);
-        let limit = core.receive_limit(now, self.key, self.started, read_limit(start, names));
+        let limit = core.receive_limit(now, self.key, self.started, read_limit(head, names));
         drop(core);
-        self.report_change(start.status, &change);
+        self.report_change(head.status, &change);
         if let Some(limit) = limit {
             log_limit(self.target, limit, "own");
             if let Some(report) = limit_of(self.context, self.key) {
@@ -126,7 +126,7 @@
             None => match limit {
                 None => return true,
                 // A permit under a higher limit does not hold: the target accepts less now.
-                Some(limit) if self.permit.is_some_and(|permit| permit.under <= limit) => {
+                Some(limit) if self.permit.is_some_and(|permit| permit.limit <= limit) => {
                     self.log_limited_send(limit);
                     return true;
                 }
@@ -196,23 +196,23 @@
 
 /// Returns whether an answer to the request with the id `request` comes from the target that was asked. The notices in
 /// an answer of another instance, or to another request, can't be attributed to a target.
-fn is_from_target(start: &RawResponseHead, names: &HeaderNames, request: Option<&str>) -> bool {
-    let is_success = (200..300).contains(&start.status);
-    let has_proof = !is_success || start.headers.contains(&names.proof);
-    start.status != 421 && !is_for_other_request(start, names, request) && has_proof
+fn is_from_target(head: &RawResponseHead, names: &HeaderNames, request: Option<&str>) -> bool {
+    let is_success = (200..300).contains(&head.status);
+    let has_proof = !is_success || head.headers.contains(&names.proof);
+    head.status != 421 && !is_for_other_request(head, names, request) && has_proof
 }
 
 /// Reads from an answer whether its target is draining, and the back-off that it requests.
-fn read_notice(start: &RawResponseHead, names: &HeaderNames) -> TargetNotice {
-    let mut draining = start.headers.texts(&names.draining);
-    let is_refusal = matches!(start.status, 429 | 503);
-    let backoff = if is_refusal { read_backoff(start, names, SystemTime::now()) } else { None };
+fn read_notice(head: &RawResponseHead, names: &HeaderNames) -> TargetNotice {
+    let mut draining = head.headers.texts(&names.draining);
+    let is_refusal = matches!(head.status, 429 | 503);
+    let backoff = if is_refusal { read_backoff(head, names, SystemTime::now()) } else { None };
     TargetNotice { draining: draining.any(|text| text == DRAINING), backoff }
 }
 
 /// Reads the limit that an answer announces, the lowest one if it has several that are valid.
-fn read_limit(start: &RawResponseHead, names: &HeaderNames) -> LimitUpdate {
-    let mut texts = start.headers.texts(&names.limit).peekable();
+fn read_limit(head: &RawResponseHead, names: &HeaderNames) -> LimitUpdate {
+    let mut texts = head.headers.texts(&names.limit).peekable();
     if texts.peek().is_none() {
         return LimitUpdate::None;
     }
@@ -222,12 +222,12 @@
 
 /// Reads the longest valid back-off that an answer requests. It is a decimal number of seconds, or a date, which
 /// counts from the `Date` of the answer if it has one.
-fn read_backoff(start: &RawResponseHead, names: &HeaderNames, now: SystemTime) -> Option<Duration> {
-    let sent_at = start.headers.text("date").and_then(|text| httpdate::parse_http_date(text).ok());
+fn read_backoff(head: &RawResponseHead, names: &HeaderNames, now: SystemTime) -> Option<Duration> {
+    let sent_at = head.headers.text("date").and_then(|text| httpdate::parse_http_date(text).ok());
     let from = sent_at.unwrap_or(now);
     let until = |text: &str| httpdate::parse_http_date(text).ok()?.duration_since(from).ok();
     let read = |text: &str| read_seconds(text).or_else(|| until(text));
-    start.headers.texts(&names.retry_after).filter_map(read).max()
+    head.headers.texts(&names.retry_after).filter_map(read).max()
 }
 
 /// Parses a decimal number of seconds.
--- a/crates/gateway/src/permit_manager.rs
+++ b/crates/gateway/src/permit_manager.rs
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct SendPermit {
     /// Limit under which it was granted. The permit does not hold for a lower one.
-    pub(crate) under: RequestRate,
+    pub(crate) limit: RequestRate,
     pub(crate) source: PermitSource,
 }
 
@@ -134,7 +134,7 @@
             None => (self.acquire_fallback(context, pick.key, rate), PermitSource::OwnShare),
         };
         match answer {
-            PermitAnswer::Granted => Ok(SendPermit { under: rate, source }),
+            PermitAnswer::Granted => Ok(SendPermit { limit: rate, source }),
             PermitAnswer::Denied(wait) => {
                 let by = source.as_str();
                 log::info!(
--- a/crates/gateway/src/quota_manager.rs
+++ b/crates/gateway/src/quota_manager.rs
@@ -14,11 +14,11 @@
 use wingbridge_decide::Name;
 use wingbridge_decide::names::stable_hash;
 use wingbridge_decide::quota::{
-    Admission, CoordinatorRole, CoordinatorStatus, DueRequest, QuotaCoordinator, QuotaGrant,
-    QuotaLimit, QuotaRequest, QuotaRequester, QuotaSlack, TokenAccounts,
+    Admission, CoordinatorRole, CoordinatorStatus, DueRequest, QuotaCoordinator, QuotaLimit,
+    QuotaSlack, TokenAccounts, TokenGrant, TokenRequest, TokenRequester,
 };
 use wingbridge_decide::time::TimePoint;
-use wingbridge_wire::gossip::{TokenGrant, TokenMessage, TokenRequest};
+use wingbridge_wire::gossip::{TokenGrantMessage, TokenMessage, TokenRequestMessage};
 
 use crate::context::{BoxContext, lock, millis};
 use crate::customers::Customer;
@@ -42,7 +42,7 @@
     /// Time after which a token may be available.
     pub(crate) retry_after: Duration,
     /// Whether this box decided without reaching a coordinator.
-    pub(crate) alone: bool,
+    pub(crate) is_cut_off: bool,
 }
 
 /// Admits requests by their customers' quotas, and coordinates the quotas assigned to this box.
@@ -169,7 +169,7 @@
         loop {
             let manager = &context.quotas;
             let due = manager.due_requests(&context);
-            let own = quota_requester(&context.settings.box_id, gossip.incarnation());
+            let own = token_requester(&context.settings.box_id, gossip.incarnation());
             for (host, message) in manager.group_by_coordinator(&context, own, due) {
                 gossip.send_tokens(host, message).await;
             }
@@ -185,7 +185,7 @@
     pub(crate) fn handle_message(
         &self,
         context: &BoxContext,
-        peer: QuotaRequester,
+        peer: TokenRequester,
         message: &TokenMessage,
     ) -> Option<TokenMessage> {
         for grant in &message.grants {
@@ -197,12 +197,12 @@
             let grant = self.answer(context, peer, &customer, &decode_request(request))?;
             Some(encode_grant(&customer, &grant))
         });
-        let grants: Vec<TokenGrant> = grants.collect();
+        let grants: Vec<TokenGrantMessage> = grants.collect();
         (!grants.is_empty()).then(|| TokenMessage { requests: Vec::new(), grants })
     }
 
     /// Records that a peer announced that it is stopping.
-    pub(crate) fn record_box_stopped(&self, peer: QuotaRequester) {
+    pub(crate) fn record_box_stopped(&self, peer: TokenRequester) {
         lock(&self.state).coordinator.record_box_stopped(peer);
     }
 
@@ -220,7 +220,7 @@
     fn group_by_coordinator(
         &self,
         context: &BoxContext,
-        own: QuotaRequester,
+        own: TokenRequester,
         due: Vec<DueRequest>,
     ) -> HashMap<IpAddr, TokenMessage> {
         let mut sorted: HashMap<IpAddr, TokenMessage> = HashMap::new();
@@ -251,10 +251,10 @@
     fn answer(
         &self,
         context: &BoxContext,
-        requester: QuotaRequester,
+        requester: TokenRequester,
         customer: &Name,
-        request: &QuotaRequest,
-    ) -> Option<QuotaGrant> {
+        request: &TokenRequest,
+    ) -> Option<TokenGrant> {
         let limit = context.config()?.quota_of(customer)?;
         let (primary, reaches_all) = {
             let peers = context.peers();
@@ -269,7 +269,7 @@
         Some(lock(&self.state).coordinator.answer(now, requester, customer, limit, request, status))
     }
 
-    fn apply_grant(&self, context: &BoxContext, customer: &Name, grant: &QuotaGrant) {
+    fn apply_grant(&self, context: &BoxContext, customer: &Name, grant: &TokenGrant) {
         let mut state = lock(&self.state);
         state.accounts.apply_grant(context.now(), customer, grant);
         // Each waiting request checks for itself whether there are enough tokens. Its channel holds one wakeup.
@@ -279,18 +279,18 @@
     }
 
     fn beyond_quota(&self, customer: &Name, retry_after: Duration) -> BeyondQuota {
-        let alone = lock(&self.state).accounts.is_cut_off(customer);
-        BeyondQuota { retry_after: retry_after.max(MIN_RETRY_AFTER), alone }
+        let is_cut_off = lock(&self.state).accounts.is_cut_off(customer);
+        BeyondQuota { retry_after: retry_after.max(MIN_RETRY_AFTER), is_cut_off }
     }
 }
 
 /// Returns the identity under which coordinators of quotas keep the state of a box.
-pub(crate) fn quota_requester(box_id: &str, incarnation: u64) -> QuotaRequester {
-    QuotaRequester { box_key: stable_hash(box_id), incarnation }
+pub(crate) fn token_requester(box_id: &str, incarnation: u64) -> TokenRequester {
+    TokenRequester { box_key: stable_hash(box_id), incarnation }
 }
 
-fn encode_request(customer: &Name, request: &QuotaRequest) -> TokenRequest {
-    TokenRequest {
+fn encode_request(customer: &Name, request: &TokenRequest) -> TokenRequestMessage {
+    TokenRequestMessage {
         customer: customer.to_string(),
         number: request.number,
         debt: request.debt,
@@ -301,13 +301,14 @@
     }
 }
 
-fn decode_request(request: &TokenRequest) -> QuotaRequest {
-    let TokenRequest { number, debt, unused, wanted, share_ppm, is_share_assigned, .. } = *request;
-    QuotaRequest { number, debt, unused, wanted, share: from_ppm(share_ppm), is_share_assigned }
+fn decode_request(request: &TokenRequestMessage) -> TokenRequest {
+    let TokenRequestMessage { number, debt, unused, wanted, share_ppm, is_share_assigned, .. } =
+        *request;
+    TokenRequest { number, debt, unused, wanted, share: from_ppm(share_ppm), is_share_assigned }
 }
 
-fn encode_grant(customer: &Name, grant: &QuotaGrant) -> TokenGrant {
-    TokenGrant {
+fn encode_grant(customer: &Name, grant: &TokenGrant) -> TokenGrantMessage {
+    TokenGrantMessage {
         customer: customer.to_string(),
         number: grant.number,
         granted: grant.granted,
@@ -317,10 +318,10 @@
     }
 }
 
-fn decode_grant(grant: &TokenGrant) -> QuotaGrant {
-    let TokenGrant { number, granted, scarce, wait_ms, share_ppm, .. } = *grant;
+fn decode_grant(grant: &TokenGrantMessage) -> TokenGrant {
+    let TokenGrantMessage { number, granted, scarce, wait_ms, share_ppm, .. } = *grant;
     let wait = Duration::from_millis(wait_ms.into());
-    QuotaGrant { number, granted, scarce, wait, share: from_ppm(share_ppm) }
+    TokenGrant { number, granted, scarce, wait, share: from_ppm(share_ppm) }
 }
 
 fn to_ppm(share: f64) -> u32 {
--- a/crates/gateway/src/request_log.rs
+++ b/crates/gateway/src/request_log.rs
@@ -140,14 +140,14 @@
     context: &BoxContext,
     id: &str,
     path: &str,
-    since: Instant,
+    received_at: Instant,
     trace: RequestTrace,
     answer: &CallerAnswer,
 ) {
     let outcome = answer.outcome.as_str();
     let view_age_ms = context.view_age().map_or(0, millis);
     let config_age_ms = context.config_age().map_or(0, millis);
-    let taken_ms = millis(since.elapsed());
+    let taken_ms = millis(received_at.elapsed());
     log::info!(
         request = id, path, fingerprint:% = trace.fingerprint, route:% = trace.route, service:% = trace.service,
         customer:% = trace.customer, key:% = trace.key, config_version = trace.config_version,
@@ -161,5 +161,6 @@
     );
     let labels = [("service", trace.service), ("outcome", outcome.to_string())];
     metrics::counter!("wingbridge_requests", &labels).increment(1);
-    metrics::histogram!("wingbridge_request_millis").record(since.elapsed().as_secs_f64() * 1000.0);
+    metrics::histogram!("wingbridge_request_millis")
+        .record(received_at.elapsed().as_secs_f64() * 1000.0);
 }
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -249,9 +249,9 @@
     };
     match context.quotas.admit(context, customer, plan.deadline).await {
         Ok(()) => Ok(Some(ReservedToken::new(Arc::clone(context), Arc::clone(customer)))),
-        Err(BeyondQuota { retry_after, alone }) => {
+        Err(BeyondQuota { retry_after, is_cut_off }) => {
             metrics::counter!("wingbridge_beyond_quota").increment(1);
-            let reason = if alone {
+            let reason = if is_cut_off {
                 "its customer is beyond this box's share of its quota"
             } else {
                 "its customer is beyond its quota"
--- a/crates/gateway/src/store_sync.rs
+++ b/crates/gateway/src/store_sync.rs
@@ -53,11 +53,11 @@
     backoff: StoreBackoff,
     started: Instant,
     /// Time at which this box last listed all targets, or took over the readings for its data centre.
-    listed: Option<Instant>,
+    listed_at: Option<Instant>,
     /// Time at which this box last read.
-    read: Option<Instant>,
-    bootstrap_read: Option<Instant>,
-    bootstrap_written: Option<Instant>,
+    read_at: Option<Instant>,
+    bootstrap_read_at: Option<Instant>,
+    bootstrap_written_at: Option<Instant>,
     /// Version of the crash note that this box last wrote; 0 for an empty one.
     crash_note_version: u64,
 }
@@ -76,16 +76,16 @@
             random: SmallRng::seed_from_u64(seed),
             backoff: StoreBackoff::default(),
             started: Instant::now(),
-            listed: None,
-            read: None,
-            bootstrap_read: None,
-            bootstrap_written: None,
+            listed_at: None,
+            read_at: None,
+            bootstrap_read_at: None,
+            bootstrap_written_at: None,
             crash_note_version: 0,
         }
     }
 
     /// Runs until the channel of `notices` is closed. A notice reports that the view has changed.
-    pub(crate) async fn run(mut self, notices: Receiver<()>) {
+    pub(crate) async fn run(mut self, notifications: Receiver<()>) {
         loop {
             self.drop_lapsed();
             let due = self.read_age();
@@ -94,7 +94,7 @@
             if !wait.is_zero() {
                 // A notice reports an update from a peer, which may have changed the age.
                 let wait = self.until_lapse().map_or(wait, |lapse| lapse.min(wait));
-                match timeout(wait, notices.recv()).await {
+                match timeout(wait, notifications.recv()).await {
                     Ok(Err(_)) => return,
                     Ok(Ok(())) | Err(_) => continue,
                 }
@@ -120,9 +120,9 @@
     }
 
     async fn read(&mut self) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let sample = self.context.clock_sample();
-        match self.read_once(began, sample).await {
+        match self.read_once(started_at, sample).await {
             Ok(()) => {
                 let revision = self.context.view().revision();
                 if self.backoff.failures() > 0 {
@@ -146,18 +146,22 @@
 
     /// Polls for changes of a long listing. Otherwise reads all in one call or, if the configuration is
     /// large, lists the targets and refreshes the configuration concurrently.
-    async fn read_once(&mut self, began: Instant, sample: ClockSample) -> Result<(), StoreError> {
+    async fn read_once(
+        &mut self,
+        started_at: Instant,
+        sample: ClockSample,
+    ) -> Result<(), StoreError> {
         if let Some(after) = self.poll_revision()
-            && self.poll_changes(after, began, &sample).await?
+            && self.poll_changes(after, started_at, &sample).await?
         {
             return Ok(());
         }
         let port = &self.context.port;
-        self.listed = Some(began);
+        self.listed_at = Some(started_at);
         if !is_large(self.context.view().config_text()) {
             let view = port.read_all().await?;
             log::info!(
-                revision = view.revision, with_config = true, taken_ms = millis(began.elapsed());
+                revision = view.revision, with_config = true, taken_ms = millis(started_at.elapsed());
                 "view-read"
             );
             self.context.apply_view(view, self.context.corrected_time(&sample), "store");
@@ -167,7 +171,7 @@
         let reading = task::spawn(async move { reader.refresh().await });
         let listing = port.read_targets().await?;
         log::info!(
-            revision = listing.revision, with_config = false, taken_ms = millis(began.elapsed());
+            revision = listing.revision, with_config = false, taken_ms = millis(started_at.elapsed());
             "view-read"
         );
         // Targets don't wait for a configuration that takes long: they are in force from here on, and
@@ -185,11 +189,11 @@
     /// The revision may be of a listing from a peer: polling continues from it as from an own one.
     fn poll_revision(&mut self) -> Option<u64> {
         let now = Instant::now();
-        let takes_over = self.read.replace(now).is_none_or(|read| now - read >= READER_GAP);
+        let takes_over = self.read_at.replace(now).is_none_or(|read| now - read >= READER_GAP);
         if takes_over {
-            self.listed = Some(now);
+            self.listed_at = Some(now);
         }
-        let listed = *self.listed.get_or_insert(now);
+        let listed = *self.listed_at.get_or_insert(now);
         let view = self.context.view();
         if view.listed_count() <= MAX_FULL_LISTING || listed.elapsed() >= FULL_LISTING_PERIOD {
             return None;
@@ -202,7 +206,7 @@
     async fn poll_changes(
         &self,
         after: u64,
-        began: Instant,
+        started_at: Instant,
         sample: &ClockSample,
     ) -> Result<bool, StoreError> {
         let StorePoll::Changed(changes) = self.context.port.poll_changes(after).await? else {
@@ -211,7 +215,7 @@
         };
         log::info!(
             revision = changes.revision, after, written = changes.written.len(),
-            gone = changes.removed.len(), taken_ms = millis(began.elapsed());
+            gone = changes.removed.len(), taken_ms = millis(started_at.elapsed());
             "news-read"
         );
         self.context.apply_changes(*changes, self.context.corrected_time(sample));
@@ -227,9 +231,9 @@
         };
         if boxes == 1
             && self.started.elapsed() >= BOOTSTRAP_DELAY
-            && is_due(self.bootstrap_read, BOOTSTRAP_READ_PERIOD)
+            && is_due(self.bootstrap_read_at, BOOTSTRAP_READ_PERIOD)
         {
-            self.bootstrap_read = Some(Instant::now());
+            self.bootstrap_read_at = Some(Instant::now());
             match self.context.port.read_bootstrap_addresses().await {
                 Ok(hosts) => {
                     log::info!(found = hosts.len(); "contacts-read");
@@ -239,9 +243,9 @@
             }
         }
         let due = self.started.elapsed() >= BOOTSTRAP_DELAY
-            && is_due(self.bootstrap_written, BOOTSTRAP_WRITE_PERIOD);
+            && is_due(self.bootstrap_written_at, BOOTSTRAP_WRITE_PERIOD);
         if priority == 0 && due {
-            self.bootstrap_written = Some(Instant::now());
+            self.bootstrap_written_at = Some(Instant::now());
             let mut hosts = vec![self.context.settings.host()];
             hosts.extend(local_peers.into_iter().take(MAX_BOOTSTRAP_ADDRESSES - 1));
             let centre = self.context.settings.data_centre.as_str();
--- a/crates/gateway/src/target_table.rs
+++ b/crates/gateway/src/target_table.rs
@@ -54,7 +54,7 @@
 pub(crate) struct ListingTime {
     pub(crate) as_of: Instant,
     /// End of the grace period for missing targets, if the store had an outage before.
-    pub(crate) returning: Option<Instant>,
+    pub(crate) grace_until: Option<Instant>,
 }
 
 impl TargetTable {
@@ -218,7 +218,7 @@
         if self.incarnations.has_drained(&target) {
             return;
         }
-        match time.returning {
+        match time.grace_until {
             Some(until) if !target.draining => {
                 self.lapsed.insert(id.clone(), (target, until));
             }
--- a/crates/gateway/src/transfer_slots.rs
+++ b/crates/gateway/src/transfer_slots.rs
@@ -19,7 +19,7 @@
 /// The transfer slots of a box.
 #[derive(Debug)]
 pub(crate) struct TransferSlots {
-    taken: AtomicUsize,
+    in_use: AtomicUsize,
     max: usize,
 }
 
@@ -33,15 +33,15 @@
     /// Creates the slots of a box whose link has `link_mbps`; 0 stands for an unknown capacity.
     pub(crate) fn new(link_mbps: u32) -> TransferSlots {
         TransferSlots {
-            taken: AtomicUsize::new(0),
+            in_use: AtomicUsize::new(0),
             max: MIN_SLOTS + (link_mbps / MBPS_PER_SLOT) as usize,
         }
     }
 
     /// Acquires a slot. Returns `None` if all are taken.
     pub(crate) fn try_acquire(&self) -> Option<TransferSlot<'_>> {
-        if self.taken.fetch_add(1, Ordering::Relaxed) >= self.max {
-            self.taken.fetch_sub(1, Ordering::Relaxed);
+        if self.in_use.fetch_add(1, Ordering::Relaxed) >= self.max {
+            self.in_use.fetch_sub(1, Ordering::Relaxed);
             return None;
         }
         Some(TransferSlot { slots: self })
@@ -50,6 +50,6 @@
 
 impl Drop for TransferSlot<'_> {
     fn drop(&mut self) {
-        self.slots.taken.fetch_sub(1, Ordering::Relaxed);
+        self.slots.in_use.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -19,7 +19,7 @@
 const OUTAGE_GAP: Duration = Duration::from_millis(2500);
 /// Time for which targets that are missing after an outage stay in use, so that they can register
 /// again. The users asked for about two seconds.
-const RETURN_GRACE: Duration = Duration::from_secs(2);
+const OUTAGE_GRACE: Duration = Duration::from_secs(2);
 /// A target as the store lists it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetEntry {
@@ -150,7 +150,7 @@
     config_text: Option<ConfigText>,
     config: Option<Arc<RouteConfig>>,
     config_as_of: Option<Instant>,
-    return_until: Option<Instant>,
+    grace_until: Option<Instant>,
 }
 
 impl CachedView {
@@ -347,8 +347,8 @@
         let mut change = ViewChange::default();
         let is_first = self.as_of.is_none();
         self.record_read(as_of);
-        let returning = self.return_until.filter(|until| as_of < *until);
-        self.targets.apply(delta, evacuated, ListingTime { as_of, returning }, &mut change);
+        let grace_until = self.grace_until.filter(|until| as_of < *until);
+        self.targets.apply(delta, evacuated, ListingTime { as_of, grace_until }, &mut change);
         // The first listing is a change for this box even if it is empty.
         change.targets_changed |= is_first;
         self.revision = revision;
@@ -408,7 +408,7 @@
             Some(before) if as_of <= before => {}
             Some(before) => {
                 if as_of - before > OUTAGE_GAP {
-                    self.return_until = Some(as_of + RETURN_GRACE);
+                    self.grace_until = Some(as_of + OUTAGE_GRACE);
                 }
                 self.as_of = Some(as_of);
             }
--- a/crates/gateway/src/view_exchange.rs
+++ b/crates/gateway/src/view_exchange.rs
@@ -17,7 +17,7 @@
 
 use crate::config_exchange::serve_config;
 use crate::context::{BoxContext, millis};
-use crate::listing_source::{ListingDeltaKey, PackedTargets, SentTargets, unpack};
+use crate::listing_source::{ListingDeltaKey, ListingReply, PackedTargets, unpack};
 use crate::ports::TargetListing;
 use crate::transfer_slots::BUSY_RETRY_DELAY;
 use crate::view::{CachedView, ListingDelta, PeerListingDelta, TargetEntry};
@@ -118,8 +118,8 @@
     host: IpAddr,
     digest: u64,
 ) -> Result<FetchedTargets, WireError> {
-    let began = Instant::now();
-    let start = context.clock_sample();
+    let started_at = Instant::now();
+    let sample = context.clock_sample();
     let question = ExchangeQuestion::Targets(TargetsRequest { digest });
     let max_time = context.budget.fetch_timeout();
     let reply: TargetsReply = query_peer(context, host, question, max_time).await?;
@@ -131,7 +131,7 @@
     let Some(as_of) = Instant::now().checked_sub(age) else {
         return Ok(FetchedTargets::Applied);
     };
-    let as_of = context.correct(&start, as_of);
+    let as_of = context.correct(&sample, as_of);
     if reply.busy {
         return Ok(FetchedTargets::Busy);
     }
@@ -147,7 +147,7 @@
     }
     log::info!(
         peer:% = host, revision = version.revision, age_ms = version.age_ms, bytes,
-        taken_ms = millis(began.elapsed());
+        taken_ms = millis(started_at.elapsed());
         "targets-fetched"
     );
     Ok(FetchedTargets::Applied)
@@ -182,7 +182,7 @@
 fn encode_targets(
     context: &BoxContext,
     request: TargetsRequest,
-) -> (TargetsReply, Option<SentTargets<'_>>) {
+) -> (TargetsReply, Option<ListingReply<'_>>) {
     let view = context.view();
     let evacuated = view.evacuated().iter().map(Name::to_string).collect();
     let reply =
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -49,15 +49,15 @@
 pub struct TokenMessage {
     /// Requests from the sender to the receiver.
     #[prost(message, repeated, tag = "1")]
-    pub requests: Vec<TokenRequest>,
+    pub requests: Vec<TokenRequestMessage>,
     /// Grants from the sender to the receiver.
     #[prost(message, repeated, tag = "2")]
-    pub grants: Vec<TokenGrant>,
+    pub grants: Vec<TokenGrantMessage>,
 }
 
 /// A request for a customer's tokens, with a report of the tokens that the sender spent.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct TokenRequest {
+pub struct TokenRequestMessage {
     /// Name of the customer.
     #[prost(string, tag = "1")]
     pub customer: String,
@@ -81,9 +81,9 @@
     pub unused: u32,
 }
 
-/// A coordinator's answer to a [`TokenRequest`].
+/// A coordinator's answer to a [`TokenRequestMessage`].
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct TokenGrant {
+pub struct TokenGrantMessage {
     /// Name of the customer.
     #[prost(string, tag = "1")]
     pub customer: String,
