--- a/crates/bench/src/decide/report.rs
+++ b/crates/bench/src/decide/report.rs
@@ -181,12 +181,12 @@
     match job {
         Job::Fault { fault, decider, seed } => {
             let (_, fault) = faults[fault];
-            let record = fault_trial(&setup.site, deciders[decider].1, fault, seed);
+            let result = fault_trial(&setup.site, deciders[decider].1, fault, seed);
             let target = faulty_target(&setup.site, seed);
             JobResult::Fault {
-                detected: record.detected,
-                breaches: record.floor_breaches,
-                collateral: has_collateral_ejection(&setup.site, fault, target, &record),
+                detected: result.detected,
+                breaches: result.floor_breaches,
+                collateral: has_collateral_ejection(&setup.site, fault, target, &result),
             }
         }
         Job::Healthy { condition, decider, length, seed } => {
@@ -218,12 +218,12 @@
                 times[*fault][*decider].push((detected, collateral));
                 fault_breaches += breaches;
             }
-            (Job::Healthy { condition, decider, .. }, JobResult::Healthy(record)) => {
+            (Job::Healthy { condition, decider, .. }, JobResult::Healthy(run_result)) => {
                 if *decider == 0 {
                     let name = conditions[*condition].0.to_string();
-                    *by_condition.entry(name).or_default() += record.false_ejections;
+                    *by_condition.entry(name).or_default() += run_result.false_ejections;
                 }
-                healthy[*decider].add(&record);
+                healthy[*decider].add(&run_result);
             }
             _ => unreachable!("a job has a result of its kind"),
         }
@@ -235,7 +235,7 @@
         baselines: (1..deciders.len()).map(|d| (named(d), detection(&times[fault][d]))).collect(),
     });
     let core = &healthy[0];
-    let share = |record: &HealthyResult| record.good as f64 / record.requests.max(1) as f64;
+    let share = |result: &HealthyResult| result.good as f64 / result.requests.max(1) as f64;
     DecideReport {
         site: setup.site.name.to_string(),
         seed: setup.seed,
--- a/crates/bench/src/decide/scenario.rs
+++ b/crates/bench/src/decide/scenario.rs
@@ -74,7 +74,7 @@
     /// Targets are replaced one after the other and start cold.
     ColdStarts,
     /// Targets report random loads.
-    LyingLoads,
+    FalseLoads,
     /// All attempts of one box fail.
     SickBox,
     /// Most requests to all targets fail for some seconds.
@@ -94,7 +94,7 @@
             ("pauses", FleetCondition::Pauses),
             ("uneven", FleetCondition::Uneven),
             ("cold-starts", FleetCondition::ColdStarts),
-            ("lying-loads", FleetCondition::LyingLoads),
+            ("lying-loads", FleetCondition::FalseLoads),
             ("sick-box", FleetCondition::SickBox),
             ("all-fail", FleetCondition::AllFail),
         ]
--- a/crates/bench/src/decide/world.rs
+++ b/crates/bench/src/decide/world.rs
@@ -376,7 +376,7 @@
         let state = &self.targets[target];
         let held = state.busy as usize + state.waiting.len();
         let mut load = held as f32 / self.setup.site.slots as f32;
-        if self.setup.condition == FleetCondition::LyingLoads {
+        if self.setup.condition == FleetCondition::FalseLoads {
             load = self.random.random();
         }
         let cold = self.setup.condition.is_cold(self.second(), target, self.targets.len());
--- a/crates/bench/src/steer/report.rs
+++ b/crates/bench/src/steer/report.rs
@@ -187,14 +187,14 @@
     }
 
     fn cells(&self) -> Vec<String> {
-        let of = |part: u64, whole: u64| format!("{:.4}", part as f64 / whole.max(1) as f64);
+        let ratio = |part: u64, total: u64| format!("{:.4}", part as f64 / total.max(1) as f64);
         vec![
             self.requests.to_string(),
             format!("{:.4}", self.lost()),
-            of(self.in_goal, self.requests),
-            of(self.retries, self.requests),
-            of(self.remote, self.attempts),
-            of(self.trials, self.attempts),
+            ratio(self.in_goal, self.requests),
+            ratio(self.retries, self.requests),
+            ratio(self.remote, self.attempts),
+            ratio(self.trials, self.attempts),
         ]
     }
 }
--- a/crates/bench/tests/faults.rs
+++ b/crates/bench/tests/faults.rs
@@ -102,7 +102,7 @@
         FleetCondition::Noise,
         FleetCondition::Uneven,
         FleetCondition::ColdStarts,
-        FleetCondition::LyingLoads,
+        FleetCondition::FalseLoads,
     ] {
         assert_no_false_ejection(condition);
     }
--- a/crates/bench/tests/steer.rs
+++ b/crates/bench/tests/steer.rs
@@ -21,10 +21,10 @@
         fleets: FLEETS,
         seconds: 20,
         workers: 2,
-        without: without.parse().expect("names of mechanisms"),
+        without: without.parse().expect("the mechanisms are known"),
         pattern,
     };
-    measure_steer(&bench).expect("names of mechanisms")
+    measure_steer(&bench).expect("the mechanisms are known")
 }
 
 struct LossCase {
@@ -50,8 +50,8 @@
 #[test]
 fn reports_of_different_fleets_are_not_compared() {
     let report = measured("");
-    let text = serde_json::to_string(&report).expect("a report");
-    let read: SteerReport = serde_json::from_str(&text).expect("the same report");
+    let text = serde_json::to_string(&report).expect("the report is serializable");
+    let read: SteerReport = serde_json::from_str(&text).expect("the serialized report is readable");
     assert_eq!(read.steered.once, report.steered.once);
     assert!(report.compare(&read).expect("the same fleets").contains("+0.0000"));
     let other = SteerReport { seed: SEED + 1, ..read };
@@ -176,11 +176,11 @@
         backoff_strategy: case.strategy,
         limit_strategy: LimitStrategy::Permits,
     };
-    measure_steer(&bench).expect("names of mechanisms")
+    measure_steer(&bench).expect("the mechanisms are known")
 }
 
-/// Three targets that refused every request received more requests than before, since they had no open
-/// requests and so the lowest load.
+/// Three targets that refused every request received more requests than before, since they were
+/// idle.
 #[test]
 fn no_box_sends_to_a_target_during_its_backoff() {
     for case in BACKOFFS {
@@ -247,7 +247,7 @@
             without: Default::default(),
             pattern: case.pattern,
         };
-        let report = measure_steer(&bench).expect("names of mechanisms");
+        let report = measure_steer(&bench).expect("the mechanisms are known");
         let limits = report.steered.limits;
         let details = format!("{} {:?}: {limits:?}", case.pattern, case.strategy);
         assert_eq!(limits.exceeded > 0, case.is_exceeded, "{details}");
