--- a/crates/bench/src/box_size.rs
+++ b/crates/bench/src/box_size.rs
@@ -1,7 +1,7 @@
-//! Memory and processor time of one box at rest, by how much is configured.
+//! Measures memory and processor time of an idle box for several sizes of its configuration.
 //!
-//! Agent, proxy and the stand-in store run in this process, so the figures are above
-//! what the two programs take. Boxes on the list are there by name only.
+//! Agent, proxy and the stand-in store run in this process, so the figures are higher than those of the two
+//! programs alone. The other boxes on the list are records only and don't run.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -16,27 +16,27 @@
 
 use crate::memory::{processor_time, resident_bytes};
 
-/// Services and boxes of each row; the last is the planned size.
+/// Numbers of services and boxes of each row; the last is the planned size.
 pub const SIZES: [(usize, usize); 4] = [(1, 10), (100, 200), (400, 800), (870, 1800)];
-const TARGETS: usize = 17;
-const REST: Duration = Duration::from_secs(5);
-const IN_FORCE_MOST: Duration = Duration::from_secs(60);
+const TARGETS_PER_SERVICE: usize = 17;
+const IDLE_TIME: Duration = Duration::from_secs(5);
+const MAX_IN_FORCE_TIME: Duration = Duration::from_secs(60);
 const POLICY: &str = "fn plan(request) {\n    if request.method != \"GET\" { return refuse(405, \"reading only\"); }\n    route(\"x\").deadline(2000).repeatable().attempts(3)\n}\n";
 
-/// One row.
+/// Results for one size.
 #[derive(Debug, Clone, Serialize)]
 pub struct BoxSizeRow {
-    /// Services, each with a policy.
+    /// Number of services, each with a policy.
     pub services: usize,
-    /// Targets.
+    /// Number of targets of all services.
     pub targets: usize,
-    /// Boxes on the list.
+    /// Number of boxes on the list.
     pub boxes: usize,
-    /// Memory of the process, in MB.
+    /// Resident memory of the process, in MB.
     pub rss_mb: f64,
-    /// Share of a core at rest.
+    /// Share of a processor core that the process takes while idle.
     pub cpu_share: f64,
-    /// From the last write to all in force, in milliseconds.
+    /// Time from the last write until all entries are in force, in milliseconds.
     pub in_force_ms: f64,
 }
 
@@ -49,43 +49,46 @@
         SystemSetup { boxes: 1, data_centres: 1, services: Vec::new(), leave_time: Duration::ZERO };
     let system = SmallSystem::start(setup)?;
     let mut rows = Vec::new();
-    let mut done = (0, 0);
+    let mut written = (0, 0);
     for (services, boxes) in SIZES {
-        for number in done.1..boxes {
+        for number in written.1..boxes {
             system.store.set_box(box_record(number));
         }
-        for number in done.0..services {
+        for number in written.0..services {
             write(&system, &format!("policy/p{number}"), POLICY);
             write(&system, &format!("service/s{number}"), &service_text(number));
         }
-        done = (services, boxes);
+        written = (services, boxes);
         rows.push(measure_row(&system, services, boxes)?);
     }
     Ok(rows)
 }
 
 fn measure_row(system: &SmallSystem, services: usize, boxes: usize) -> eyre::Result<BoxSizeRow> {
-    let written = Instant::now();
-    while in_force(system) < 2 * services {
-        ensure!(written.elapsed() < IN_FORCE_MOST, "{services} services were not in force in time");
+    let started = Instant::now();
+    while count_in_force(system) < 2 * services {
+        ensure!(
+            started.elapsed() < MAX_IN_FORCE_TIME,
+            "{services} services were not in force within {MAX_IN_FORCE_TIME:?}"
+        );
         thread::sleep(Duration::from_millis(100));
     }
-    let in_force_ms = written.elapsed().as_secs_f64() * 1e3;
-    thread::sleep(REST);
+    let in_force_ms = started.elapsed().as_secs_f64() * 1e3;
+    thread::sleep(IDLE_TIME);
     let before = processor_time();
-    thread::sleep(REST);
+    thread::sleep(IDLE_TIME);
     let spent = processor_time().saturating_sub(before);
     Ok(BoxSizeRow {
         services,
-        targets: services * TARGETS,
+        targets: services * TARGETS_PER_SERVICE,
         boxes,
         rss_mb: resident_bytes() as f64 / 1e6,
-        cpu_share: spent.as_secs_f64() / REST.as_secs_f64(),
+        cpu_share: spent.as_secs_f64() / IDLE_TIME.as_secs_f64(),
         in_force_ms,
     })
 }
 
-fn in_force(system: &SmallSystem) -> usize {
+fn count_in_force(system: &SmallSystem) -> usize {
     let fleet = system.fleet();
     let Ok(boxes) = task::block_on(fleet.boxes()) else { return 0 };
     let own: Vec<_> = boxes.into_iter().filter(|one| one.box_id == "box-1").collect();
@@ -109,7 +112,7 @@
 
 fn service_text(number: usize) -> String {
     let address = |target: usize| format!("\"10.{}.{}.{target}:80\"", number / 250, number % 250);
-    let targets: Vec<String> = (1..=TARGETS).map(address).collect();
+    let targets: Vec<String> = (1..=TARGETS_PER_SERVICE).map(address).collect();
     format!(
         "[[service]]\nname = \"s{number}\"\npolicy = \"p{number}\"\nslots = 3\n\
          routes = [\"/s{number}/a\", \"/s{number}/b\", \"/s{number}/c\", \"/s{number}/d\", \
@@ -119,8 +122,8 @@
 }
 
 fn box_record(number: usize) -> BoxRecord {
-    // Addresses of the documentation's own network: nothing is ever sent there, since
-    // they are in other data centres and listed as leaving.
+    // Addresses of a network that is reserved for documentation. Nothing is ever sent there, since the
+    // boxes are in other data centres and listed as leaving.
     BoxRecord {
         box_id: format!("listed-{number}"),
         revision: 0,
--- a/crates/bench/src/crashes/fleet.rs
+++ b/crates/bench/src/crashes/fleet.rs
@@ -1,7 +1,8 @@
-//! One fleet under one way, in virtual time.
+//! Simulation of one fleet under one strategy in virtual time.
 //!
-//! 40 boxes of four data centres before 36 targets, 100 sound tries a second of 0.25 s, as a small fleet of today
-//! has them. The ledgers are the product's own; targets, callers and datagrams are drawn.
+//! The fleet has 40 boxes in four data centres in front of 36 targets, and 100 ordinary tries per second that take
+//! 0.25 s each, like today's small fleets. Boxes run the product's own [`CrashLedger`]; targets, callers and datagrams
+//! are simulated.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -12,69 +13,73 @@
 use wingbridge_decide::crashes::{CrashLedger, CrashReport};
 use wingbridge_decide::{Fingerprint, TargetKey, TimePoint};
 
-use crate::crashes::{CrashScenario, CrashWay};
+use crate::crashes::{CrashScenario, CrashStrategy};
 
 const BOXES: usize = 40;
 const CENTRES: usize = 4;
 const TARGETS: usize = 36;
-const SOUND_RATE: f64 = 100.0;
-const PLAYED: Duration = Duration::from_secs(40);
-const DEADLY_FROM: Duration = Duration::from_secs(2);
-/// A target is back, as another one, after this long.
-const BACK_AFTER: Duration = Duration::from_secs(3);
-/// Mean work of a sound request, and how soon a target ends under the deadly one.
-const WORK: Duration = Duration::from_millis(250);
+const ORDINARY_RATE_PER_S: f64 = 100.0;
+const RUN_LENGTH: Duration = Duration::from_secs(40);
+const POISON_FROM: Duration = Duration::from_secs(2);
+/// Time after which an ended target is replaced by its next incarnation, which has another key.
+const REPLACED_AFTER: Duration = Duration::from_secs(3);
+/// Mean time that a target works on an ordinary request.
+const MEAN_WORK: Duration = Duration::from_millis(250);
+/// Time after which a target ends once it has received the poison request.
 const ENDS_AFTER: Duration = Duration::from_millis(80);
-/// Callers of the deadly request that hang up do so after this long.
-const LEAVES_AFTER: Duration = Duration::from_millis(30);
-/// After how long a failed caller asks again, at another box; two times at most.
-const ASKS_AGAIN: Duration = Duration::from_millis(300);
-const TRIES: u32 = 3;
-/// Sends of one try.
-const SENDS: u32 = 2;
-const NEAR_DELAY: Duration = Duration::from_millis(2);
-const FAR_DELAY: Duration = Duration::from_millis(6);
-const LOST: f64 = 0.02;
-const BEACONS: Duration = Duration::from_secs(1);
-const READINGS: Duration = Duration::from_millis(700);
-/// Until when a box learns of an ended target that it has nothing open at, at most.
-const LEARNS_WITHIN: Duration = Duration::from_secs(5);
+/// Time after which callers of the poison request hang up, if they do.
+const HANG_UP_AFTER: Duration = Duration::from_millis(30);
+/// Time after which a caller repeats a failed request at a box drawn anew.
+const CALLER_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Maximum number of tries of a caller.
+const MAX_TRIES: u32 = 3;
+/// Maximum number of sends of a box for one try.
+const MAX_SENDS: u32 = 2;
+const LOCAL_DELAY: Duration = Duration::from_millis(2);
+const REMOTE_DELAY: Duration = Duration::from_millis(6);
+const LOSS_RATE: f64 = 0.02;
+const HEARTBEAT_PERIOD: Duration = Duration::from_secs(1);
+const STORE_SYNC_PERIOD: Duration = Duration::from_millis(700);
+/// Longest time until a box learns that a target has ended at which it has no caller waiting.
+const MAX_LEARN_DELAY: Duration = Duration::from_secs(5);
+/// Start and end of the network cut, from the start of the run.
 const CUT: (Duration, Duration) = (Duration::from_secs(3), Duration::from_secs(15));
-/// Sends later than this after the third target are late.
-const LATE: Duration = Duration::from_secs(3);
-/// Bytes of a record besides its targets, and of each of these (encoded and rounded up).
+/// Sends of the poison request more than this after the third lost target count as late.
+const LATE_AFTER: Duration = Duration::from_secs(3);
+/// Encoded bytes of a report without its ended targets, rounded up.
 const RECORD_BYTES: usize = 14;
+/// Encoded bytes of each ended target in a report, rounded up.
 const END_BYTES: usize = 11;
-const DEADLY: Fingerprint = Fingerprint(1);
+const POISON: Fingerprint = Fingerprint(1);
 const HOT: Fingerprint = Fingerprint(2);
 
-/// What came of one fleet.
+/// Counts from the run of one fleet.
 #[derive(Debug, Default)]
 pub struct CrashRun {
-    /// Targets that ended under the deadly request.
-    pub lost: u32,
-    /// Sends of it that reached a target late.
-    pub late: u32,
-    /// Sound tries, and those of them that were refused by mistake.
-    pub sound: u32,
-    /// Sound tries that were refused by mistake.
-    pub mistaken: u32,
-    /// Bytes a second that a box was told.
-    pub bytes: f64,
+    /// Targets that ended because of the poison request.
+    pub targets_lost: u32,
+    /// Sends of the poison request more than 3 s after the third lost target.
+    pub late_sends: u32,
+    /// Tries of ordinary requests.
+    pub ordinary_tries: u32,
+    /// Tries of ordinary requests that were refused.
+    pub wrongly_refused: u32,
+    /// Mean bytes per second of the reports sent to a box.
+    pub bytes_per_box_s: f64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Sound,
-    Deadly,
-    Asks { fingerprint: u64, tries: u32 },
-    Leaves { attempt: u64 },
-    Ends { attempt: u64 },
-    Told { by: usize, at: usize, number: usize },
-    Learns { at: usize, target: u64 },
-    OthersEnd,
-    Beacons,
-    Readings,
+    OrdinaryRequest,
+    PoisonRequest,
+    CallerRetries { fingerprint: u64, tries: u32 },
+    CallerHangsUp { attempt: u64 },
+    AttemptEnds { attempt: u64 },
+    ReportArrives { by: usize, at: usize, number: usize },
+    LearnsOfEnd { at: usize, target: u64 },
+    UnrelatedTargetsEnd,
+    Heartbeats,
+    StoreSync,
     PowerCut,
 }
 
@@ -85,124 +90,128 @@
     target: u64,
     tries: u32,
     sends: u32,
-    /// Whether its caller still waits.
-    waits: bool,
+    /// Whether the caller is still connected.
+    has_caller: bool,
 }
 
 struct Fleet<'a> {
     scenario: &'a CrashScenario,
-    way: &'a CrashWay,
+    strategy: &'a CrashStrategy,
     random: SmallRng,
     now: TimePoint,
     start: TimePoint,
     events: BinaryHeap<Reverse<(TimePoint, u64, Event)>>,
-    numbers: u64,
+    last_number: u64,
     ledgers: Vec<CrashLedger>,
-    /// Targets that run, by name: a place's next life has another one.
+    /// Keys of the targets; the next incarnation of an ended target has a new key at the same index.
     targets: Vec<u64>,
-    /// When each of them is there.
+    /// Time from which each target accepts requests, by key.
     up_from: HashMap<u64, TimePoint>,
     open: BTreeMap<u64, Attempt>,
-    told: Vec<Vec<CrashReport>>,
+    /// Batches of reports that boxes have sent.
+    sent: Vec<Vec<CrashReport>>,
     stored: Vec<CrashReport>,
-    third: Option<TimePoint>,
+    /// Time at which the third target was lost to the poison request.
+    third_lost_at: Option<TimePoint>,
     bytes: usize,
     run: CrashRun,
 }
 
-/// Plays a fleet.
-pub(super) fn play(scenario: &CrashScenario, way: &CrashWay, seed: u64) -> CrashRun {
+/// Runs a fleet of `scenario` under `strategy`.
+pub(super) fn run_fleet(scenario: &CrashScenario, strategy: &CrashStrategy, seed: u64) -> CrashRun {
     let start = TimePoint::default() + Duration::from_secs(100_000);
     let targets: Vec<u64> = (0..TARGETS as u64).collect();
     let mut fleet = Fleet {
         scenario,
-        way,
+        strategy,
         random: SmallRng::seed_from_u64(seed),
         now: start,
         start,
         events: BinaryHeap::new(),
-        numbers: 1_000,
+        last_number: 1_000,
         ledgers: (0..BOXES).map(|_| CrashLedger::default()).collect(),
         up_from: targets.iter().map(|target| (*target, start)).collect(),
         targets,
         open: BTreeMap::new(),
-        told: Vec::new(),
+        sent: Vec::new(),
         stored: Vec::new(),
-        third: None,
+        third_lost_at: None,
         bytes: 0,
         run: CrashRun::default(),
     };
-    fleet.begin();
+    fleet.schedule_initial();
     while let Some(Reverse((at, _, event))) = fleet.events.pop() {
-        if at.since(start) >= PLAYED {
+        if at.since(start) >= RUN_LENGTH {
             break;
         }
         fleet.now = at;
-        fleet.take(event);
+        fleet.handle(event);
     }
-    fleet.run.bytes = fleet.bytes as f64 / BOXES as f64 / PLAYED.as_secs_f64();
+    fleet.run.bytes_per_box_s = fleet.bytes as f64 / BOXES as f64 / RUN_LENGTH.as_secs_f64();
     fleet.run
 }
 
 impl Fleet<'_> {
-    fn begin(&mut self) {
-        self.after(Duration::ZERO, Event::Sound);
-        self.after(BEACONS, Event::Beacons);
-        self.after(READINGS, Event::Readings);
-        if self.scenario.deadly_rate > 0.0 {
-            self.after(DEADLY_FROM, Event::Deadly);
+    fn schedule_initial(&mut self) {
+        self.schedule_after(Duration::ZERO, Event::OrdinaryRequest);
+        self.schedule_after(HEARTBEAT_PERIOD, Event::Heartbeats);
+        self.schedule_after(STORE_SYNC_PERIOD, Event::StoreSync);
+        if self.scenario.poison_rate > 0.0 {
+            self.schedule_after(POISON_FROM, Event::PoisonRequest);
         }
-        if self.scenario.others_end > 0.0 {
-            self.after(BACK_AFTER, Event::OthersEnd);
+        if self.scenario.unrelated_end_probability > 0.0 {
+            self.schedule_after(REPLACED_AFTER, Event::UnrelatedTargetsEnd);
         }
-        if let Some(at) = self.scenario.power_cut {
-            self.after(at, Event::PowerCut);
+        if let Some(at) = self.scenario.power_cut_at {
+            self.schedule_after(at, Event::PowerCut);
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Sound => {
-                let is_hot = self.random.random_bool(self.scenario.hot);
-                let fingerprint = if is_hot { HOT } else { Fingerprint(self.number()) };
-                self.ask(fingerprint, 1);
-                let gap = self.gap(SOUND_RATE);
-                self.after(gap, Event::Sound);
+            Event::OrdinaryRequest => {
+                let is_hot = self.random.random_bool(self.scenario.hot_share);
+                let fingerprint = if is_hot { HOT } else { Fingerprint(self.next_number()) };
+                self.receive_try(fingerprint, 1);
+                let gap = self.exponential_gap(ORDINARY_RATE_PER_S);
+                self.schedule_after(gap, Event::OrdinaryRequest);
             }
-            Event::Deadly => {
-                self.ask(DEADLY, 1);
-                let gap = self.gap(self.scenario.deadly_rate);
-                self.after(gap, Event::Deadly);
+            Event::PoisonRequest => {
+                self.receive_try(POISON, 1);
+                let gap = self.exponential_gap(self.scenario.poison_rate);
+                self.schedule_after(gap, Event::PoisonRequest);
             }
-            Event::Asks { fingerprint, tries } => self.ask(Fingerprint(fingerprint), tries),
-            Event::Leaves { attempt } => self.leave(attempt),
-            Event::Ends { attempt } => self.end(attempt),
-            Event::Told { by, at, number } => self.hear(by, at, number),
-            Event::Learns { at, target } => {
+            Event::CallerRetries { fingerprint, tries } => {
+                self.receive_try(Fingerprint(fingerprint), tries)
+            }
+            Event::CallerHangsUp { attempt } => self.hang_up(attempt),
+            Event::AttemptEnds { attempt } => self.finish_attempt(attempt),
+            Event::ReportArrives { by, at, number } => self.receive_report(by, at, number),
+            Event::LearnsOfEnd { at, target } => {
                 let _ = self.ledgers[at].record_target_ended(self.now, TargetKey(target));
-                self.tell(at);
+                self.report(at);
             }
-            Event::OthersEnd => self.end_others(),
-            Event::Beacons => self.beat(),
-            Event::Readings => self.read(),
+            Event::UnrelatedTargetsEnd => self.end_unrelated_targets(),
+            Event::Heartbeats => self.send_heartbeats(),
+            Event::StoreSync => self.sync_store(),
             Event::PowerCut => {
                 self.open.clear();
                 self.ledgers = (0..BOXES).map(|_| CrashLedger::default()).collect();
-                self.restore();
+                self.load_store();
             }
         }
     }
 
-    /// A caller asks some box.
-    fn ask(&mut self, fingerprint: Fingerprint, tries: u32) {
+    /// Handles the try of a caller at a box drawn at random.
+    fn receive_try(&mut self, fingerprint: Fingerprint, tries: u32) {
         let at = self.random.random_range(0..BOXES);
-        let is_deadly = fingerprint == DEADLY;
-        self.run.sound += u32::from(!is_deadly);
-        if self.ended(at, fingerprint) >= self.way.refused_from {
-            self.run.mistaken += u32::from(!is_deadly);
+        let is_poison = fingerprint == POISON;
+        self.run.ordinary_tries += u32::from(!is_poison);
+        if self.ended_targets(at, fingerprint) >= self.strategy.refusal_threshold {
+            self.run.wrongly_refused += u32::from(!is_poison);
             return;
         }
-        self.send(Attempt { fingerprint, at, target: 0, tries, sends: 1, waits: true });
+        self.send(Attempt { fingerprint, at, target: 0, tries, sends: 1, has_caller: true });
     }
 
     fn send(&mut self, mut attempt: Attempt) {
@@ -216,61 +225,61 @@
             return;
         }
         attempt.target = up[self.random.random_range(0..up.len())];
-        let number = self.number();
-        if attempt.fingerprint == DEADLY {
-            let is_late = self.third.is_some_and(|third| self.now.since(third) > LATE);
-            self.run.late += u32::from(is_late);
-            if self.scenario.hangs_up {
-                self.after(LEAVES_AFTER, Event::Leaves { attempt: number });
+        let number = self.next_number();
+        if attempt.fingerprint == POISON {
+            let is_late = self.third_lost_at.is_some_and(|at| self.now.since(at) > LATE_AFTER);
+            self.run.late_sends += u32::from(is_late);
+            if self.scenario.callers_hang_up {
+                self.schedule_after(HANG_UP_AFTER, Event::CallerHangsUp { attempt: number });
             }
-            self.after(ENDS_AFTER, Event::Ends { attempt: number });
+            self.schedule_after(ENDS_AFTER, Event::AttemptEnds { attempt: number });
         } else {
-            let work = WORK.mul_f64(-self.random.random::<f64>().max(1e-9).ln());
-            self.after(work, Event::Ends { attempt: number });
+            let work = MEAN_WORK.mul_f64(-self.random.random::<f64>().max(1e-9).ln());
+            self.schedule_after(work, Event::AttemptEnds { attempt: number });
         }
         self.open.insert(number, attempt);
     }
 
-    /// A caller hangs up, and its box lets the target go on.
-    fn leave(&mut self, number: u64) {
+    /// Handles a caller that hangs up while the target continues to work on its request.
+    fn hang_up(&mut self, number: u64) {
         let now = self.now;
         let Some(attempt) = self.open.get_mut(&number) else {
             return;
         };
-        attempt.waits = false;
-        if self.way.marks {
+        attempt.has_caller = false;
+        if self.strategy.counts_unknown_outcomes {
             let target = TargetKey(attempt.target);
             self.ledgers[attempt.at].record_unknown_outcome(now, attempt.fingerprint, target);
         }
     }
 
-    /// An attempt comes to its end: its target does as well, or it is answered.
-    fn end(&mut self, number: u64) {
+    /// Ends an attempt: the poison request ends its target, another request is answered.
+    fn finish_attempt(&mut self, number: u64) {
         let Some(attempt) = self.open.get(&number) else {
             return;
         };
-        if attempt.fingerprint == DEADLY {
+        if attempt.fingerprint == POISON {
             let target = attempt.target;
-            self.run.lost += 1;
-            if self.run.lost == 3 {
-                self.third = Some(self.now);
+            self.run.targets_lost += 1;
+            if self.run.targets_lost == 3 {
+                self.third_lost_at = Some(self.now);
             }
             self.end_target(target);
             return;
         }
-        let attempt = self.open.remove(&number).expect("it was there");
+        let attempt = self.open.remove(&number).expect("the attempt was found above");
         let _ = self.ledgers[attempt.at].record_success(self.now, attempt.fingerprint);
-        self.tell(attempt.at);
+        self.report(attempt.at);
     }
 
-    /// A target ends, with all that is open there.
+    /// Ends a target and all attempts that are open at it.
     fn end_target(&mut self, target: u64) {
-        let Some(place) = self.targets.iter().position(|known| *known == target) else {
+        let Some(index) = self.targets.iter().position(|known| *known == target) else {
             return;
         };
-        let next = self.number();
-        self.targets[place] = next;
-        self.up_from.insert(next, self.now + BACK_AFTER);
+        let next = self.next_number();
+        self.targets[index] = next;
+        self.up_from.insert(next, self.now + REPLACED_AFTER);
         let numbers: Vec<u64> = self
             .open
             .iter()
@@ -280,35 +289,38 @@
         let broken: Vec<Attempt> =
             numbers.iter().filter_map(|number| self.open.remove(number)).collect();
         for attempt in &broken {
-            if attempt.waits {
+            if attempt.has_caller {
                 let key = TargetKey(target);
                 let _ = self.ledgers[attempt.at].record_crash(self.now, attempt.fingerprint, key);
-                self.tell(attempt.at);
+                self.report(attempt.at);
             } else {
-                let wait = LEARNS_WITHIN.mul_f64(self.random.random());
-                self.after(wait, Event::Learns { at: attempt.at, target });
+                let wait = MAX_LEARN_DELAY.mul_f64(self.random.random());
+                self.schedule_after(wait, Event::LearnsOfEnd { at: attempt.at, target });
             }
         }
-        for attempt in broken.into_iter().filter(|attempt| attempt.waits) {
-            self.repeat(attempt);
+        for attempt in broken.into_iter().filter(|attempt| attempt.has_caller) {
+            self.retry(attempt);
         }
     }
 
-    /// The box sends it again, or its caller asks again.
-    fn repeat(&mut self, attempt: Attempt) {
-        let ended = self.ended(attempt.at, attempt.fingerprint);
-        let again = attempt.sends < SENDS
-            && ended < self.way.repeated_below
-            && ended < self.way.refused_from;
-        if again {
+    /// Retries a failed attempt at the box, or schedules the next try of its caller.
+    fn retry(&mut self, attempt: Attempt) {
+        let ended = self.ended_targets(attempt.at, attempt.fingerprint);
+        let is_retried = attempt.sends < MAX_SENDS
+            && ended < self.strategy.no_retry_threshold
+            && ended < self.strategy.refusal_threshold;
+        if is_retried {
             self.send(Attempt { sends: attempt.sends + 1, ..attempt });
-        } else if attempt.tries < TRIES {
+        } else if attempt.tries < MAX_TRIES {
             let Fingerprint(fingerprint) = attempt.fingerprint;
-            self.after(ASKS_AGAIN, Event::Asks { fingerprint, tries: attempt.tries + 1 });
+            self.schedule_after(
+                CALLER_RETRY_DELAY,
+                Event::CallerRetries { fingerprint, tries: attempt.tries + 1 },
+            );
         }
     }
 
-    fn end_others(&mut self) {
+    fn end_unrelated_targets(&mut self) {
         let ending: Vec<u64> = self
             .targets
             .iter()
@@ -316,69 +328,75 @@
             .filter(|target| self.up_from[target] <= self.now)
             .collect();
         for target in ending {
-            if self.random.random_bool(self.scenario.others_end) {
+            if self.random.random_bool(self.scenario.unrelated_end_probability) {
                 self.end_target(target);
             }
         }
-        self.after(BACK_AFTER, Event::OthersEnd);
+        self.schedule_after(REPLACED_AFTER, Event::UnrelatedTargetsEnd);
     }
 
-    /// A box tells all others what is new.
-    fn tell(&mut self, by: usize) {
-        let news = self.ledgers[by].take_unreported(self.now);
-        if news.is_empty() || !self.way.told {
+    /// Sends the unreported entries of a box's ledger to all other boxes.
+    fn report(&mut self, by: usize) {
+        let reports = self.ledgers[by].take_unreported(self.now);
+        if reports.is_empty() || !self.strategy.reports {
             return;
         }
-        self.send_news(by, news, |_| true);
+        self.send_reports(by, reports, |_| true);
     }
 
-    fn beat(&mut self) {
-        self.after(BEACONS, Event::Beacons);
-        if !self.way.told {
+    fn send_heartbeats(&mut self) {
+        self.schedule_after(HEARTBEAT_PERIOD, Event::Heartbeats);
+        if !self.strategy.reports {
             return;
         }
         for by in 0..BOXES {
-            let news = self.ledgers[by].reports_to_repeat(self.now, 12);
-            if !news.is_empty() {
-                let far = self.random.random_range(0..BOXES);
-                self.send_news(by, news, |at| at % CENTRES == by % CENTRES || at == far);
+            let reports = self.ledgers[by].reports_to_repeat(self.now, 12);
+            if !reports.is_empty() {
+                let remote = self.random.random_range(0..BOXES);
+                self.send_reports(by, reports, |at| at % CENTRES == by % CENTRES || at == remote);
             }
         }
     }
 
-    fn send_news(&mut self, by: usize, news: Vec<CrashReport>, wanted: impl Fn(usize) -> bool) {
-        let size: usize = news.iter().map(|news| RECORD_BYTES + END_BYTES * news.ends.len()).sum();
-        let number = self.told.len();
-        self.told.push(news);
-        for at in (0..BOXES).filter(|at| *at != by && wanted(*at)) {
+    fn send_reports(
+        &mut self,
+        by: usize,
+        reports: Vec<CrashReport>,
+        is_receiver: impl Fn(usize) -> bool,
+    ) {
+        let size: usize =
+            reports.iter().map(|report| RECORD_BYTES + END_BYTES * report.ends.len()).sum();
+        let number = self.sent.len();
+        self.sent.push(reports);
+        for at in (0..BOXES).filter(|at| *at != by && is_receiver(*at)) {
             self.bytes += size;
-            if !self.random.random_bool(LOST) {
-                let is_near = at % CENTRES == by % CENTRES;
-                let delay = if is_near { NEAR_DELAY } else { FAR_DELAY };
-                self.after(delay, Event::Told { by, at, number });
+            if !self.random.random_bool(LOSS_RATE) {
+                let is_local = at % CENTRES == by % CENTRES;
+                let delay = if is_local { LOCAL_DELAY } else { REMOTE_DELAY };
+                self.schedule_after(delay, Event::ReportArrives { by, at, number });
             }
         }
     }
 
-    fn hear(&mut self, by: usize, at: usize, number: usize) {
+    fn receive_report(&mut self, by: usize, at: usize, number: usize) {
         if self.is_cut_off(by) || self.is_cut_off(at) {
             return;
         }
-        for news in &self.told[number] {
-            let _ = self.ledgers[at].merge_report(self.now, news);
+        for report in &self.sent[number] {
+            let _ = self.ledgers[at].merge_report(self.now, report);
         }
     }
 
     fn is_cut_off(&self, at: usize) -> bool {
         let (from, until) = CUT;
         let since = self.now.since(self.start);
-        (at as f64) < self.scenario.cut_off * BOXES as f64 && since >= from && since < until
+        (at as f64) < self.scenario.cut_off_share * BOXES as f64 && since >= from && since < until
     }
 
-    /// The first box of each data centre writes what is refused; boxes that hear nobody read it.
-    fn read(&mut self) {
-        self.after(READINGS, Event::Readings);
-        if !self.way.stored {
+    /// Writes the refused requests of one box per data centre to the store; boxes that are cut off read them.
+    fn sync_store(&mut self) {
+        self.schedule_after(STORE_SYNC_PERIOD, Event::StoreSync);
+        if !self.strategy.uses_store {
             return;
         }
         let writers = BOXES - CENTRES..BOXES;
@@ -386,40 +404,40 @@
         self.stored = refused.collect();
         for at in 0..BOXES {
             if self.is_cut_off(at) {
-                for news in &self.stored {
-                    let _ = self.ledgers[at].merge_report(self.now, news);
+                for report in &self.stored {
+                    let _ = self.ledgers[at].merge_report(self.now, report);
                 }
             }
         }
     }
 
-    /// Boxes that start read the store.
-    fn restore(&mut self) {
-        if !self.way.stored {
+    /// Loads the stored reports into the ledgers of boxes that have just started.
+    fn load_store(&mut self) {
+        if !self.strategy.uses_store {
             return;
         }
         for ledger in &mut self.ledgers {
-            for news in &self.stored {
-                let _ = ledger.merge_report(self.now, news);
+            for report in &self.stored {
+                let _ = ledger.merge_report(self.now, report);
             }
         }
     }
 
-    fn ended(&self, at: usize, fingerprint: Fingerprint) -> usize {
+    fn ended_targets(&self, at: usize, fingerprint: Fingerprint) -> usize {
         self.ledgers[at].verdict(self.now, fingerprint).ended()
     }
 
-    fn gap(&mut self, rate: f64) -> Duration {
+    fn exponential_gap(&mut self, rate: f64) -> Duration {
         Duration::from_secs_f64(-self.random.random::<f64>().max(1e-9).ln() / rate)
     }
 
-    fn after(&mut self, wait: Duration, event: Event) {
-        let number = self.number();
+    fn schedule_after(&mut self, wait: Duration, event: Event) {
+        let number = self.next_number();
         self.events.push(Reverse((self.now + wait, number, event)));
     }
 
-    fn number(&mut self) -> u64 {
-        self.numbers += 1;
-        self.numbers
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,4 +1,4 @@
-//! `wingbench`: the measurements that decisions are made by.
+//! The library of `wingbench`, which measures wingbridge and compares strategies on simulated fleets.
 
 pub mod box_size;
 pub mod chart;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! The program.
+//! The command `wingbench`.
 
 use std::process::ExitCode;
 
--- a/crates/bench/src/path.rs
+++ b/crates/bench/src/path.rs
@@ -1,4 +1,5 @@
-//! What the proxy adds to a request: through it and straight to the target, in turn.
+//! Measures the latency that the proxy adds: each connection alternates between requests through the proxy
+//! and requests directly to a target.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,35 +14,37 @@
 
 use crate::memory::processor_time;
 
-/// Connections of each row.
+/// Number of connections of each row.
 pub const CONNECTIONS: [usize; 3] = [1, 50, 500];
-const CALL_TIME: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 const POLICY: &str = "fn plan(request) { route(\"path\").repeatable().attempts(2) }";
 
-/// One row.
+/// Results for one number of connections.
 #[derive(Debug, Clone, Serialize)]
 pub struct PathRow {
-    /// Connections.
+    /// Number of connections.
     pub connections: usize,
-    /// Straight to the target, for 99 in 100.
+    /// 99th percentile of the latency directly to the target, in milliseconds.
     pub direct_p99_ms: f64,
-    /// Through the proxy, for 99 in 100.
+    /// 99th percentile of the latency through the proxy, in milliseconds.
     pub proxy_p99_ms: f64,
-    /// What the proxy adds at the median.
+    /// Difference of the medians with and without the proxy, in milliseconds.
     pub added_p50_ms: f64,
-    /// What it adds for 99 in 100.
+    /// Difference of the 99th percentiles with and without the proxy, in milliseconds.
     pub added_p99_ms: f64,
-    /// What it adds for 999 in 1000.
+    /// Difference of the 99.9th percentiles with and without the proxy, in milliseconds.
     pub added_p999_ms: f64,
-    /// Requests a second through the proxy.
+    /// Requests per second through the proxy.
     pub requests_s: f64,
-    /// Processor time of the whole process for each request, callers and target counted in.
+    /// Processor time of the whole process, callers and targets included, for each request through the
+    /// proxy, in microseconds.
     pub cpu_us_per_request: f64,
-    /// Requests that brought no whole answer.
+    /// Number of request pairs of which at least one had no complete answer with status 200.
     pub failed: u64,
 }
 
-/// Measures all rows. `rate` is requests a second over all connections; 0 is as many as go.
+/// Measures all rows for `seconds` each. `rate` is the requests per second through the proxy over all
+/// connections; with 0 each connection sends its next request as soon as it has an answer.
 ///
 /// # Errors
 /// The system did not start.
@@ -70,8 +73,8 @@
     Ok(CONNECTIONS.into_iter().map(measured).collect())
 }
 
-/// Latencies of both ways, in microseconds.
-struct PathBooks {
+/// Latencies with and without the proxy, in microseconds.
+struct PathLatencies {
     proxied: Histogram<u64>,
     direct: Histogram<u64>,
     failed: u64,
@@ -84,12 +87,12 @@
     proxy: SocketAddr,
     targets: &[SocketAddr],
 ) -> PathRow {
-    let histogram = || Histogram::new_with_bounds(1, 60_000_000, 3).expect("sound bounds");
-    let books = PathBooks { proxied: histogram(), direct: histogram(), failed: 0 };
-    let books = Arc::new(Mutex::new(books));
+    let histogram = || Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are valid");
+    let latencies = PathLatencies { proxied: histogram(), direct: histogram(), failed: 0 };
+    let latencies = Arc::new(Mutex::new(latencies));
     let pause = match rate {
         0 => Duration::ZERO,
-        // Each turn makes two requests, one either way; the rate is the proxy's.
+        // Each round makes two requests, one through the proxy and one directly; the rate counts the former.
         _ => Duration::from_secs_f64(connections as f64 / rate as f64),
     };
     let started = processor_time();
@@ -97,64 +100,71 @@
     let callers: Vec<_> = (0..connections)
         .map(|number| {
             let target = targets[number % targets.len()];
-            let first = pause.mul_f64(number as f64 / connections as f64);
-            task::spawn(call_in_turn(proxy, target, first, pause, end, Arc::clone(&books)))
+            let start_delay = pause.mul_f64(number as f64 / connections as f64);
+            task::spawn(call_alternately(
+                proxy,
+                target,
+                start_delay,
+                pause,
+                end,
+                Arc::clone(&latencies),
+            ))
         })
         .collect();
     for caller in callers {
         task::block_on(caller);
     }
     let spent = processor_time().saturating_sub(started);
-    let books = books.lock().unwrap_or_else(PoisonError::into_inner);
+    let latencies = latencies.lock().unwrap_or_else(PoisonError::into_inner);
     let at =
         |histogram: &Histogram<u64>, quantile| histogram.value_at_quantile(quantile) as f64 / 1e3;
-    let added = |quantile| at(&books.proxied, quantile) - at(&books.direct, quantile);
+    let added = |quantile| at(&latencies.proxied, quantile) - at(&latencies.direct, quantile);
     PathRow {
         connections,
-        direct_p99_ms: at(&books.direct, 0.99),
-        proxy_p99_ms: at(&books.proxied, 0.99),
+        direct_p99_ms: at(&latencies.direct, 0.99),
+        proxy_p99_ms: at(&latencies.proxied, 0.99),
         added_p50_ms: added(0.5),
         added_p99_ms: added(0.99),
         added_p999_ms: added(0.999),
-        requests_s: books.proxied.len() as f64 / seconds as f64,
-        cpu_us_per_request: spent.as_micros() as f64 / books.proxied.len().max(1) as f64,
-        failed: books.failed,
+        requests_s: latencies.proxied.len() as f64 / seconds as f64,
+        cpu_us_per_request: spent.as_micros() as f64 / latencies.proxied.len().max(1) as f64,
+        failed: latencies.failed,
     }
 }
 
-async fn call_in_turn(
+async fn call_alternately(
     proxy: SocketAddr,
     target: SocketAddr,
-    first: Duration,
+    start_delay: Duration,
     pause: Duration,
     end: Instant,
-    books: Arc<Mutex<PathBooks>>,
+    latencies: Arc<Mutex<PathLatencies>>,
 ) {
-    task::sleep(first).await;
+    task::sleep(start_delay).await;
     let mut proxied = LoadCaller::new(proxy);
     let mut direct = LoadCaller::new(target);
     let request = CallerRequest::get("/path/x").with_header("x-token", "t");
     while Instant::now() < end {
-        let turn = Instant::now();
-        let through = timed(&mut proxied, &request).await;
-        let straight = timed(&mut direct, &request).await;
+        let round_start = Instant::now();
+        let through_proxy = call_timed(&mut proxied, &request).await;
+        let without_proxy = call_timed(&mut direct, &request).await;
         {
-            let mut books = books.lock().unwrap_or_else(PoisonError::into_inner);
-            match (through, straight) {
-                (Some(through), Some(straight)) => {
-                    books.proxied.saturating_record(through);
-                    books.direct.saturating_record(straight);
+            let mut latencies = latencies.lock().unwrap_or_else(PoisonError::into_inner);
+            match (through_proxy, without_proxy) {
+                (Some(through_proxy), Some(without_proxy)) => {
+                    latencies.proxied.saturating_record(through_proxy);
+                    latencies.direct.saturating_record(without_proxy);
                 }
-                _ => books.failed += 1,
+                _ => latencies.failed += 1,
             }
         }
-        task::sleep(pause.saturating_sub(turn.elapsed())).await;
+        task::sleep(pause.saturating_sub(round_start.elapsed())).await;
     }
 }
 
-/// Microseconds for a whole answer.
-async fn timed(caller: &mut LoadCaller, request: &CallerRequest) -> Option<u64> {
+/// Returns the microseconds until the complete answer, or `None` if the request failed.
+async fn call_timed(caller: &mut LoadCaller, request: &CallerRequest) -> Option<u64> {
     let started = Instant::now();
-    let answer = caller.call(request, CALL_TIME).await.ok()?;
+    let answer = caller.call(request, CALL_TIMEOUT).await.ok()?;
     (answer.status == 200).then(|| started.elapsed().as_micros() as u64)
 }
--- a/crates/bench/src/quota/fleet.rs
+++ b/crates/bench/src/quota/fleet.rs
@@ -1,4 +1,7 @@
-//! A fleet in virtual time: callers that ask, boxes that admit, datagrams that are late or lost.
+//! Simulation of a fleet in virtual time: callers send requests, boxes admit or refuse them, and the
+//! datagrams between boxes are delayed or lost.
+//!
+//! Times are in microseconds from the start of the run unless a name says otherwise.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -11,36 +14,36 @@
 use wingbridge_decide::quota::{Admission, QuotaLimit};
 
 use super::QuotaBench;
-use super::scenario::{LENGTH, QuotaScenario, TROUBLE_FROM, TROUBLE_UNTIL};
-
-/// What a caller sends in a second, usually. Source: the users' sheets.
-const CALLER_RATE: f64 = 0.7;
-/// Time of a datagram on its way, in microseconds: within and between data centres.
-const DELAY: std::ops::Range<u64> = 600..4_000;
-/// Time between two looks of a box at what is due, in microseconds.
-const TICK: u64 = 10_000;
-/// A request waits for credit this long at most, in microseconds.
-const WAIT: u64 = 250_000;
-/// A box that can't be reached is dropped from the others' tables after this long.
-const SILENCE: u64 = 3_500_000;
-/// A box that is silent this long is missed, in microseconds.
-const DOUBT: u64 = 1_600_000;
+use super::scenario::{FAULT_END_S, FAULT_START_S, QuotaScenario, RUN_LENGTH_S};
+
+/// Requests that a caller usually sends per second.
+const CALLER_RATE_PER_S: f64 = 0.7;
+/// Delay of a datagram in microseconds, within and between data centres.
+const DELAY_US: std::ops::Range<u64> = 600..4_000;
+/// Time between two checks of a box for messages that are due, in microseconds.
+const TICK_US: u64 = 10_000;
+/// Longest time that a request waits for a token, in microseconds.
+const MAX_WAIT_US: u64 = 250_000;
+/// Time after which an unreachable box is dropped from the tables of the others, in microseconds.
+const DROP_AFTER_US: u64 = 3_500_000;
+/// Time after which an unresponsive box counts as missing, in microseconds.
+const MISSED_AFTER_US: u64 = 1_600_000;
 /// IP and UDP headers of a datagram, in bytes.
-const PACKET_BYTES: usize = 28;
+const PACKET_HEADER_BYTES: usize = 28;
 
-/// One box, in one way to hold a quota.
-pub(crate) trait WayBox {
-    /// What boxes tell each other.
+/// One box under one strategy to hold a quota.
+pub(crate) trait StrategyBox {
+    /// Message between boxes.
     type Message: Clone;
 
-    /// A box that starts at `now` as the one with that number among `boxes`.
-    fn start(now: TimePoint, number: usize, life: u64, boxes: usize) -> Self;
+    /// Starts the box with this number, out of `boxes`, at `now`.
+    fn start(now: TimePoint, number: usize, incarnation: u64, boxes: usize) -> Self;
 
-    /// A request came, or looks again if `is_new` is false.
+    /// Decides on a request that has arrived, or on one that waits if `is_new` is false.
     fn admit(&mut self, now: TimePoint, limit: QuotaLimit, is_new: bool) -> Admission;
 
-    /// What is to be sent now. `ranks` are the boxes of this one's table, by their rank for the
-    /// customer. Boxes of some ways tell each other nothing.
+    /// Returns the messages to send now, with their receivers. `ranks` lists the boxes of this box's
+    /// table by their rank for the customer. Under some strategies boxes send no messages.
     fn due(
         &mut self,
         _now: TimePoint,
@@ -50,8 +53,8 @@
         Vec::new()
     }
 
-    /// Takes a message; returns the answer.
-    fn take(
+    /// Handles a message from a box and its incarnation, and returns the answer if there is one.
+    fn receive(
         &mut self,
         _now: TimePoint,
         _from: (usize, u64),
@@ -62,60 +65,60 @@
         None
     }
 
-    /// Another box ends as planned, and has told all.
-    fn note_ended(&mut self, _: (usize, u64)) {}
+    /// Handles the planned stop of another box, which has announced it to all.
+    fn on_box_stopped(&mut self, _: (usize, u64)) {}
 
-    /// Bytes of a message without packet headers.
+    /// Returns the encoded size of a message in bytes, without packet headers.
     fn bytes(_message: &Self::Message) -> usize {
         0
     }
 }
 
-/// The boxes that one knows.
+/// The boxes that one box can reach.
 pub(crate) struct BoxTable {
-    /// By their rank for the customer.
+    /// Box numbers by their rank for the customer.
     pub(crate) ranks: Vec<usize>,
-    /// Whether none is missed.
-    pub(crate) hears_all: bool,
+    /// Whether no box counts as missing.
+    pub(crate) reaches_all: bool,
 }
 
-/// What is drawn for a fleet.
+/// Random choices that define a fleet.
 #[derive(Debug, Clone)]
 pub(crate) struct FleetPlan {
     scenario: QuotaScenario,
     seed: u64,
     boxes: usize,
-    /// Boxes that join within the trouble.
+    /// Boxes that join during the fault.
     joining: usize,
     limit: QuotaLimit,
     loss: f64,
-    /// All boxes, by their rank for the customer.
+    /// Numbers of all boxes, by their rank for the customer.
     ranks: Vec<usize>,
-    /// Whether a box is on the smaller side of a cut.
+    /// Whether each box is on the smaller side of a network cut.
     cut: Vec<bool>,
-    /// The box of each caller, at first and once callers have moved.
+    /// The box of each caller before and after callers have moved.
     callers: Vec<(usize, usize)>,
 }
 
-/// What came of a fleet.
+/// Counts from the run of one fleet.
 #[derive(Debug, Clone, Default)]
 pub struct QuotaRun {
-    /// When requests were admitted, in seconds.
+    /// Times at which requests were admitted, in seconds.
     pub admitted: Vec<f64>,
-    /// Requests that one bucket over all would have admitted.
-    pub owed: usize,
-    /// Requests that came.
-    pub asked: usize,
+    /// Requests that a single token bucket over all boxes would have admitted.
+    pub ideally_admitted: usize,
+    /// Requests that arrived at a box.
+    pub requests: usize,
     /// Datagrams sent.
     pub datagrams: usize,
-    /// Their bytes.
+    /// Bytes of these datagrams, packet headers included.
     pub bytes: usize,
-    /// The boxes that sent them.
+    /// Boxes that the fleet starts with.
     pub boxes: usize,
 }
 
 impl FleetPlan {
-    /// Draws a fleet.
+    /// Draws a fleet from `seed`.
     pub(crate) fn draw(bench: &QuotaBench, scenario: QuotaScenario, seed: u64) -> FleetPlan {
         let mut random = SmallRng::seed_from_u64(seed);
         let joining = if scenario == QuotaScenario::Joining { bench.boxes * 83 / 100 } else { 0 };
@@ -123,7 +126,7 @@
         let mut ranks: Vec<usize> = (0..all).collect();
         ranks.shuffle(&mut random);
         let cut = (0..all).map(|_| random.random_bool(1.0 / 3.0)).collect();
-        let callers = (bench.limit.per_second / 1.6 / CALLER_RATE).ceil().max(2.0) as usize;
+        let callers = (bench.limit.per_second / 1.6 / CALLER_RATE_PER_S).ceil().max(2.0) as usize;
         let callers = callers.max(bench.callers);
         let mut draw = || random.random_range(0..bench.boxes);
         let callers = (0..callers).map(|number| {
@@ -145,26 +148,26 @@
     }
 
     fn limit_at(&self, time: u64) -> QuotaLimit {
-        let part = self.scenario.limit(seconds(time));
+        let factor = self.scenario.limit(seconds(time));
         let QuotaLimit { per_second, burst } = self.limit;
-        QuotaLimit { per_second: per_second * part, burst: burst * part }
+        QuotaLimit { per_second: per_second * factor, burst: burst * factor }
     }
 
-    /// Whether two boxes can't reach each other at `time`.
+    /// Returns whether two boxes can't reach each other at `time`.
     fn is_cut(&self, one: usize, other: usize, time: u64) -> bool {
-        let cuts = matches!(self.scenario, QuotaScenario::Cut | QuotaScenario::CutAtTenTimes);
-        cuts && is_troubled(time) && self.cut[one] != self.cut[other]
+        let has_cut = matches!(self.scenario, QuotaScenario::Cut | QuotaScenario::CutAtTenTimes);
+        has_cut && is_fault_time(time) && self.cut[one] != self.cut[other]
     }
 
-    /// Since when two boxes can't reach each other, at `time`.
+    /// Returns the time since which two boxes can't reach each other, if they can't at `time`.
     fn cut_since(&self, one: usize, other: usize, time: u64) -> Option<u64> {
-        self.is_cut(one, other, time).then_some(micros(TROUBLE_FROM))
+        self.is_cut(one, other, time).then_some(micros(FAULT_START_S))
     }
 
-    /// The moments at which a box is started, after which it was away for how long, in
+    /// Returns the times at which a box starts, each with the time for which it was down before, in
     /// microseconds.
     fn starts(&self, number: usize) -> Vec<(u64, u64)> {
-        let from = micros(TROUBLE_FROM);
+        let from = micros(FAULT_START_S);
         match self.scenario {
             _ if number >= self.boxes => vec![(from + number as u64 * 10_000, u64::MAX)],
             QuotaScenario::Power => vec![(from + 3_000_000, 1_000_000)],
@@ -172,7 +175,7 @@
                 vec![(from + 1_000_000, 1_000_000), (from + 4_000_000, 1_000_000)]
             }
             QuotaScenario::Rolling => {
-                let step = (micros(TROUBLE_UNTIL) - from) / self.boxes as u64;
+                let step = (micros(FAULT_END_S) - from) / self.boxes as u64;
                 vec![(from + step * number as u64 + 500_000, 500_000)]
             }
             _ => Vec::new(),
@@ -183,32 +186,32 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum FleetEvent {
     Request { caller: usize },
-    Look { number: usize, until: u64 },
+    Recheck { number: usize, until: u64 },
     Arrive { to: usize, from: usize, slot: usize },
     Tick,
     Stop { number: usize },
     Start { number: usize },
 }
 
-struct Fleet<'a, B: WayBox> {
+struct Fleet<'a, B: StrategyBox> {
     plan: &'a FleetPlan,
     now: u64,
     queue: BinaryHeap<Reverse<(u64, u64, FleetEvent)>>,
     events: u64,
     random: SmallRng,
     boxes: Vec<Option<B>>,
-    lives: Vec<u64>,
-    /// Since when a box is away.
-    away: Vec<Option<u64>>,
-    /// Messages on their way, with the life of their sender.
+    incarnations: Vec<u64>,
+    /// Time since which each box is down, if it is.
+    down_since: Vec<Option<u64>>,
+    /// Messages in transit, with the incarnation of their sender.
     messages: Vec<Option<(u64, B::Message)>>,
     run: QuotaRun,
-    /// The bucket that an exact limit would have, and when it was filled.
-    exact: (f64, u64),
+    /// Tokens of a single bucket over all boxes, and when it was last filled.
+    ideal_bucket: (f64, u64),
 }
 
-/// Plays a fleet in one way.
-pub(crate) fn play<B: WayBox>(plan: &FleetPlan) -> QuotaRun {
+/// Runs a fleet under one strategy.
+pub(crate) fn run_fleet<B: StrategyBox>(plan: &FleetPlan) -> QuotaRun {
     let all = plan.boxes + plan.joining;
     let start = |number: usize| {
         (number < plan.boxes).then(|| B::start(TimePoint::default(), number, 0, plan.boxes))
@@ -220,55 +223,56 @@
         events: 0,
         random: SmallRng::seed_from_u64(plan.seed ^ 0x5eed),
         boxes: (0..all).map(start).collect(),
-        lives: vec![0; all],
-        away: (0..all).map(|number| (number >= plan.boxes).then_some(0)).collect(),
+        incarnations: vec![0; all],
+        down_since: (0..all).map(|number| (number >= plan.boxes).then_some(0)).collect(),
         messages: Vec::new(),
         run: QuotaRun { boxes: plan.boxes, ..QuotaRun::default() },
-        exact: (plan.limit.burst, 0),
+        ideal_bucket: (plan.limit.burst, 0),
     };
-    fleet.plan_all();
+    fleet.schedule_all();
     fleet.run_all();
     fleet.run
 }
 
-impl<B: WayBox> Fleet<'_, B> {
-    fn plan_all(&mut self) {
+impl<B: StrategyBox> Fleet<'_, B> {
+    fn schedule_all(&mut self) {
         for caller in 0..self.plan.callers.len() {
-            self.plan_request(caller);
+            self.schedule_request(caller);
         }
         for number in 0..self.boxes.len() {
-            for (at, away) in self.plan.starts(number) {
-                if away < at {
-                    self.push(at - away, FleetEvent::Stop { number });
+            for (at, downtime) in self.plan.starts(number) {
+                if downtime < at {
+                    self.schedule(at - downtime, FleetEvent::Stop { number });
                 }
-                self.push(at, FleetEvent::Start { number });
+                self.schedule(at, FleetEvent::Start { number });
             }
         }
-        self.push(TICK, FleetEvent::Tick);
+        self.schedule(TICK_US, FleetEvent::Tick);
     }
 
     fn run_all(&mut self) {
         while let Some(Reverse((at, _, event))) = self.queue.pop() {
-            if at > micros(LENGTH) {
+            if at > micros(RUN_LENGTH_S) {
                 return;
             }
             self.now = at;
             match event {
-                FleetEvent::Request { caller } => self.take_request(caller),
-                FleetEvent::Look { number, until } => self.admit(number, until, false),
-                FleetEvent::Arrive { to, from, slot } => self.take_message(to, from, slot),
+                FleetEvent::Request { caller } => self.on_request(caller),
+                FleetEvent::Recheck { number, until } => self.admit(number, until, false),
+                FleetEvent::Arrive { to, from, slot } => self.deliver(to, from, slot),
                 FleetEvent::Tick => {
                     (0..self.boxes.len()).for_each(|number| self.send_due(number));
-                    self.push(self.now + TICK, FleetEvent::Tick);
+                    self.schedule(self.now + TICK_US, FleetEvent::Tick);
                 }
                 FleetEvent::Stop { number } => {
                     self.stop(number);
                 }
                 FleetEvent::Start { number } => {
-                    self.lives[number] += 1;
-                    let (life, boxes) = (self.lives[number], self.boxes.len());
-                    self.boxes[number] = Some(B::start(self.point(), number, life, boxes));
-                    self.away[number] = None;
+                    self.incarnations[number] += 1;
+                    let (incarnation, boxes) = (self.incarnations[number], self.boxes.len());
+                    self.boxes[number] =
+                        Some(B::start(self.time_point(), number, incarnation, boxes));
+                    self.down_since[number] = None;
                 }
             }
         }
@@ -276,90 +280,90 @@
 
     fn stop(&mut self, number: usize) {
         self.boxes[number] = None;
-        self.away[number] = Some(self.now);
+        self.down_since[number] = Some(self.now);
         if self.plan.scenario == QuotaScenario::Rolling {
-            let life = self.lives[number];
+            let incarnation = self.incarnations[number];
             for other in self.boxes.iter_mut().flatten() {
-                other.note_ended((number, life));
+                other.on_box_stopped((number, incarnation));
             }
         }
     }
 
-    fn plan_request(&mut self, caller: usize) {
+    fn schedule_request(&mut self, caller: usize) {
         let demand = self.plan.scenario.demand(seconds(self.now));
         let rate = self.plan.limit.per_second * demand / self.plan.callers.len() as f64;
         let wait = -(1.0 - self.random.random::<f64>()).ln() / rate;
-        self.push(self.now + micros(wait.min(LENGTH)), FleetEvent::Request { caller });
+        self.schedule(self.now + micros(wait.min(RUN_LENGTH_S)), FleetEvent::Request { caller });
     }
 
-    fn take_request(&mut self, caller: usize) {
-        self.plan_request(caller);
+    fn on_request(&mut self, caller: usize) {
+        self.schedule_request(caller);
         let (first, moved) = self.plan.callers[caller];
-        let has_moved = self.plan.scenario == QuotaScenario::Moved && is_troubled(self.now);
-        let home = if has_moved { moved } else { first };
+        let has_moved = self.plan.scenario == QuotaScenario::Moved && is_fault_time(self.now);
+        let assigned = if has_moved { moved } else { first };
         let all = self.boxes.len();
-        let mut tried = (home..all).chain(0..home);
-        // The balancer goes on to the next box if one is away.
-        let Some(number) = tried.find(|number| self.boxes[*number].is_some()) else {
+        let mut candidates = (assigned..all).chain(0..assigned);
+        // The load balancer in front of the boxes skips boxes that are down.
+        let Some(number) = candidates.find(|number| self.boxes[*number].is_some()) else {
             return;
         };
-        self.run.asked += 1;
-        self.run.owed += usize::from(self.is_owed());
-        self.admit(number, self.now + WAIT, true);
+        self.run.requests += 1;
+        self.run.ideally_admitted += usize::from(self.is_ideally_admitted());
+        self.admit(number, self.now + MAX_WAIT_US, true);
     }
 
-    /// Whether one bucket over all boxes would have credit.
-    fn is_owed(&mut self) -> bool {
+    /// Returns whether a single bucket over all boxes has a token for a request now, and takes it.
+    fn is_ideally_admitted(&mut self) -> bool {
         let limit = self.plan.limit_at(self.now);
-        let (credit, filled) = self.exact;
-        let grown = credit + limit.per_second * seconds(self.now - filled);
-        let credit = grown.min(limit.burst);
-        let owed = credit >= 1.0;
-        self.exact = (if owed { credit - 1.0 } else { credit }, self.now);
-        owed
+        let (tokens, filled_at) = self.ideal_bucket;
+        let refilled = tokens + limit.per_second * seconds(self.now - filled_at);
+        let tokens = refilled.min(limit.burst);
+        let is_admitted = tokens >= 1.0;
+        self.ideal_bucket = (if is_admitted { tokens - 1.0 } else { tokens }, self.now);
+        is_admitted
     }
 
     fn admit(&mut self, number: usize, until: u64, is_new: bool) {
-        let (now, limit) = (self.point(), self.plan.limit_at(self.now));
-        let Some(asked) = &mut self.boxes[number] else {
+        let (now, limit) = (self.time_point(), self.plan.limit_at(self.now));
+        let Some(admitting) = &mut self.boxes[number] else {
             return;
         };
-        match asked.admit(now, limit, is_new) {
+        match admitting.admit(now, limit, is_new) {
             Admission::Admitted => self.run.admitted.push(seconds(self.now)),
             Admission::Refused(_) => {}
             Admission::Wait if self.now < until => {
-                // It looks often enough for a grant to be used as it comes.
-                self.push(self.now + 2_000, FleetEvent::Look { number, until });
+                // 2 ms is short enough for a grant to be used soon after it arrives.
+                self.schedule(self.now + 2_000, FleetEvent::Recheck { number, until });
             }
             Admission::Wait => {}
         }
         self.send_due(number);
     }
 
-    /// The boxes that `number` has in its table, by rank.
+    /// Returns the boxes in the table of the box `number`, by rank.
     fn ranks(&self, number: usize) -> Vec<usize> {
-        let known = |other: &&usize| {
+        let is_listed = |other: &&usize| {
             let cut = self.plan.cut_since(number, **other, self.now);
-            let lost = cut.or(self.away[**other]);
-            lost.is_none_or(|since| self.now - since < SILENCE && since > 0)
+            let unreachable = cut.or(self.down_since[**other]);
+            unreachable.is_none_or(|since| self.now - since < DROP_AFTER_US && since > 0)
         };
-        self.plan.ranks.iter().filter(known).copied().collect()
+        self.plan.ranks.iter().filter(is_listed).copied().collect()
     }
 
-    /// Whether `number` hears all boxes but those that ended as planned.
-    fn hears_all(&self, number: usize) -> bool {
+    /// Returns whether the box `number` reaches all boxes except those with a planned stop.
+    fn reaches_all(&self, number: usize) -> bool {
         let is_planned = self.plan.scenario == QuotaScenario::Rolling;
-        let missed = |other: &usize| {
-            let away = self.away[*other].filter(|since| !is_planned && *since > 0);
-            let since = self.plan.cut_since(number, *other, self.now).or(away);
-            since.is_some_and(|since| self.now - since >= DOUBT)
+        let is_missing = |other: &usize| {
+            let down_since = self.down_since[*other].filter(|since| !is_planned && *since > 0);
+            let since = self.plan.cut_since(number, *other, self.now).or(down_since);
+            since.is_some_and(|since| self.now - since >= MISSED_AFTER_US)
         };
-        !(0..self.boxes.len()).any(|other| missed(&other))
+        !(0..self.boxes.len()).any(|other| is_missing(&other))
     }
 
     fn send_due(&mut self, number: usize) {
         let ranks = self.ranks(number);
-        let (now, limit) = (self.point(), self.plan.limit_at(self.now));
+        let (now, limit) = (self.time_point(), self.plan.limit_at(self.now));
         let Some(sender) = &mut self.boxes[number] else {
             return;
         };
@@ -370,51 +374,51 @@
 
     fn send(&mut self, from: usize, to: usize, message: B::Message) {
         if from == to {
-            let slot = self.keep(from, message);
-            return self.take_message(to, from, slot);
+            let slot = self.store_message(from, message);
+            return self.deliver(to, from, slot);
         }
         self.run.datagrams += 1;
-        self.run.bytes += B::bytes(&message) + PACKET_BYTES;
+        self.run.bytes += B::bytes(&message) + PACKET_HEADER_BYTES;
         let lost = self.random.random_bool(self.plan.loss) || self.plan.is_cut(from, to, self.now);
         if lost {
             return;
         }
-        let slot = self.keep(from, message);
-        let delay = self.random.random_range(DELAY);
-        self.push(self.now + delay, FleetEvent::Arrive { to, from, slot });
+        let slot = self.store_message(from, message);
+        let delay = self.random.random_range(DELAY_US);
+        self.schedule(self.now + delay, FleetEvent::Arrive { to, from, slot });
     }
 
-    fn keep(&mut self, from: usize, message: B::Message) -> usize {
-        self.messages.push(Some((self.lives[from], message)));
+    fn store_message(&mut self, from: usize, message: B::Message) -> usize {
+        self.messages.push(Some((self.incarnations[from], message)));
         self.messages.len() - 1
     }
 
-    fn take_message(&mut self, to: usize, from: usize, slot: usize) {
-        let Some((life, message)) = self.messages[slot].take() else {
+    fn deliver(&mut self, to: usize, from: usize, slot: usize) {
+        let Some((incarnation, message)) = self.messages[slot].take() else {
             return;
         };
-        let table = BoxTable { ranks: self.ranks(to), hears_all: self.hears_all(to) };
-        let (now, limit) = (self.point(), self.plan.limit_at(self.now));
-        let Some(taker) = &mut self.boxes[to] else {
+        let table = BoxTable { ranks: self.ranks(to), reaches_all: self.reaches_all(to) };
+        let (now, limit) = (self.time_point(), self.plan.limit_at(self.now));
+        let Some(receiver) = &mut self.boxes[to] else {
             return;
         };
-        if let Some(answer) = taker.take(now, (from, life), &message, limit, &table) {
+        if let Some(answer) = receiver.receive(now, (from, incarnation), &message, limit, &table) {
             self.send(to, from, answer);
         }
     }
 
-    fn push(&mut self, at: u64, event: FleetEvent) {
+    fn schedule(&mut self, at: u64, event: FleetEvent) {
         self.events += 1;
         self.queue.push(Reverse((at, self.events, event)));
     }
 
-    fn point(&self) -> TimePoint {
+    fn time_point(&self) -> TimePoint {
         TimePoint::default() + Duration::from_micros(self.now)
     }
 }
 
-fn is_troubled(time: u64) -> bool {
-    (micros(TROUBLE_FROM)..micros(TROUBLE_UNTIL)).contains(&time)
+fn is_fault_time(time: u64) -> bool {
+    (micros(FAULT_START_S)..micros(FAULT_END_S)).contains(&time)
 }
 
 fn micros(seconds: f64) -> u64 {
--- a/crates/bench/src/quota/mod.rs
+++ b/crates/bench/src/quota/mod.rs
@@ -1,12 +1,13 @@
-//! Ways to hold a customer's quota, or the limit of a target, over all boxes together, on fleets drawn at
-//! random in virtual time: what ran in the worst window against the bound, what was refused below the limit, and what
-//! boxes tell each other for it.
+//! Compares strategies to hold a customer's quota, or the limit of a target, over all boxes together.
+//!
+//! Fleets are drawn at random and run in virtual time. The report gives the requests admitted in the worst
+//! window against the bound, the requests refused below the limit, and the traffic between boxes.
 
+mod customer_strategies;
 mod fleet;
 pub mod report;
 pub mod scenario;
-mod target_ways;
-mod ways;
+mod target_strategies;
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,126 +15,140 @@
 
 use wingbridge_decide::quota::QuotaLimit;
 
+use customer_strategies::{
+    AllotmentBox, CoordinatorBox, EXCESS_SHARE, QUOTA_WINDOW, SLACK_REQUESTS, WindowSumBox,
+};
 pub use fleet::QuotaRun;
-use fleet::{FleetPlan, play};
+use fleet::{FleetPlan, run_fleet};
 use report::{QuotaReport, QuotaRow};
 use scenario::QuotaScenario;
-use target_ways::{HolderBox, PermitBox, ShareBox};
-use ways::{AllotmentBox, EXCESS, KeeperBox, SLACK, SumsBox, WINDOW};
+use target_strategies::{EqualShareBox, HolderBox, PermitBox};
 
-/// A way to hold a quota over all boxes.
+/// A strategy to hold a quota over all boxes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum QuotaWay {
-    /// One box keeps the credit of a customer and grants it to the others: what boxes run.
-    Keepers,
-    /// Each box tells all others what it admitted within the window, and counts all of it.
-    Sums,
-    /// Each box may spend a part of the rate, by what it and the others lately asked.
+pub enum QuotaStrategy {
+    /// One box holds the tokens of a customer and grants them to the others. Boxes run this one.
+    Coordinators,
+    /// Each box reports to all others what it admitted within the window, and limits the sum.
+    WindowSums,
+    /// Each box may spend a share of the rate, in proportion to its recent demand.
     Allotments,
-    /// One box keeps the permits of a target and is asked for each: what boxes run for limits.
+    /// One box grants the permits of a target, one per send. Boxes run this one for limits.
     Permits,
-    /// Each box sends its equal share of a target's limit, at moments that are drawn.
-    Shares,
-    /// A few boxes hold the whole limit of a target.
+    /// Each box sends its equal share of a target's limit, with a phase of its own.
+    EqualShares,
+    /// A few boxes divide the whole limit of a target among them.
     Holders,
 }
 
-/// All ways, with their names.
-pub const WAYS: [(QuotaWay, &str); 6] = [
-    (QuotaWay::Keepers, "keepers"),
-    (QuotaWay::Sums, "sums"),
-    (QuotaWay::Allotments, "allotments"),
-    (QuotaWay::Permits, "permits"),
-    (QuotaWay::Shares, "shares"),
-    (QuotaWay::Holders, "holders"),
+/// All strategies, with their names in settings and reports.
+pub const STRATEGIES: [(QuotaStrategy, &str); 6] = [
+    (QuotaStrategy::Coordinators, "keepers"),
+    (QuotaStrategy::WindowSums, "sums"),
+    (QuotaStrategy::Allotments, "allotments"),
+    (QuotaStrategy::Permits, "permits"),
+    (QuotaStrategy::EqualShares, "shares"),
+    (QuotaStrategy::Holders, "holders"),
 ];
 
-impl fmt::Display for QuotaWay {
+impl fmt::Display for QuotaStrategy {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let named = WAYS.iter().find(|(way, _)| way == self);
+        let named = STRATEGIES.iter().find(|(strategy, _)| strategy == self);
         f.write_str(named.map_or("", |(_, name)| name))
     }
 }
 
-/// A way that is not known.
+/// Error for a name that is none of [`STRATEGIES`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct UnknownWay;
+pub struct UnknownStrategy;
 
-impl FromStr for QuotaWay {
-    type Err = UnknownWay;
+impl FromStr for QuotaStrategy {
+    type Err = UnknownStrategy;
 
-    fn from_str(name: &str) -> Result<QuotaWay, UnknownWay> {
-        WAYS.iter().find(|(_, known)| *known == name).map(|(way, _)| *way).ok_or(UnknownWay)
+    fn from_str(name: &str) -> Result<QuotaStrategy, UnknownStrategy> {
+        STRATEGIES
+            .iter()
+            .find(|(_, known)| *known == name)
+            .map(|(strategy, _)| *strategy)
+            .ok_or(UnknownStrategy)
     }
 }
 
-/// What is allowed within a window.
+/// Bound on the requests that are admitted within a window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WindowBound {
-    /// The time over which requests are counted.
+    /// Time over which requests are counted.
     pub window: Duration,
-    /// In multiples of what the limit comes to.
-    pub times: f64,
-    /// Whether the burst counts to that.
-    pub with_burst: bool,
-    /// Requests beyond that.
-    pub more: f64,
+    /// Factor on the requests that the limit allows within the window.
+    pub factor: f64,
+    /// Whether the factor applies to the burst as well as to the rate.
+    pub includes_burst: bool,
+    /// Requests allowed on top of the product.
+    pub extra_requests: f64,
 }
 
 impl WindowBound {
-    /// That of customers' quotas. Source: the users' sheet.
-    pub const OF_CUSTOMERS: WindowBound =
-        WindowBound { window: WINDOW, times: 1.0 + EXCESS, with_burst: true, more: SLACK };
-    /// That of targets' limits. Source: the users' rules.
-    pub const OF_TARGETS: WindowBound =
-        WindowBound { window: Duration::from_secs(4), times: 1.5, with_burst: false, more: 5.0 };
+    /// Bound of customers' quotas.
+    pub const CUSTOMERS: WindowBound = WindowBound {
+        window: QUOTA_WINDOW,
+        factor: 1.0 + EXCESS_SHARE,
+        includes_burst: true,
+        extra_requests: SLACK_REQUESTS,
+    };
+    /// Bound of targets' limits.
+    pub const TARGETS: WindowBound = WindowBound {
+        window: Duration::from_secs(4),
+        factor: 1.5,
+        includes_burst: false,
+        extra_requests: 5.0,
+    };
 }
 
-/// What is played.
+/// Settings of a comparison.
 #[derive(Debug, Clone)]
 pub struct QuotaBench {
-    /// The first fleet's seed.
+    /// Seed of the first fleet; each further fleet takes the next number.
     pub seed: u64,
-    /// How many fleets.
+    /// Number of fleets in each row.
     pub fleets: usize,
-    /// How many boxes each has.
+    /// Number of boxes in each fleet.
     pub boxes: usize,
-    /// The customer's limit.
+    /// Limit of the customer or target.
     pub limit: QuotaLimit,
-    /// Datagrams that are lost, 0 to 1.
+    /// Share of the datagrams that are lost, 0 to 1.
     pub loss: f64,
-    /// What happens.
+    /// Scenarios that each strategy runs under.
     pub scenarios: Vec<QuotaScenario>,
-    /// Ways that are compared.
-    pub ways: Vec<QuotaWay>,
-    /// What is allowed.
+    /// Strategies that are compared.
+    pub strategies: Vec<QuotaStrategy>,
+    /// Bound that the windows are checked against.
     pub bound: WindowBound,
-    /// Callers at least; each comes by one box.
+    /// Minimum number of callers; each of them uses one box.
     pub callers: usize,
 }
 
-/// Plays all fleets in each way.
+/// Runs all fleets under each strategy and scenario.
 pub fn measure_quota(bench: &QuotaBench) -> QuotaReport {
     let mut rows = Vec::new();
     for scenario in &bench.scenarios {
-        for way in &bench.ways {
+        for strategy in &bench.strategies {
             let runs = (0..bench.fleets as u64).map(|number| {
-                play_one(*way, &FleetPlan::draw(bench, *scenario, bench.seed + number))
+                run_one(*strategy, &FleetPlan::draw(bench, *scenario, bench.seed + number))
             });
-            rows.push(QuotaRow::of(*scenario, *way, bench, &runs.collect::<Vec<_>>()));
+            rows.push(QuotaRow::of(*scenario, *strategy, bench, &runs.collect::<Vec<_>>()));
         }
     }
     QuotaReport { seed: bench.seed, fleets: bench.fleets, boxes: bench.boxes, rows }
 }
 
-/// Plays one fleet in one way.
-fn play_one(way: QuotaWay, plan: &FleetPlan) -> QuotaRun {
-    match way {
-        QuotaWay::Keepers => play::<KeeperBox>(plan),
-        QuotaWay::Sums => play::<SumsBox>(plan),
-        QuotaWay::Allotments => play::<AllotmentBox>(plan),
-        QuotaWay::Permits => play::<PermitBox>(plan),
-        QuotaWay::Shares => play::<ShareBox>(plan),
-        QuotaWay::Holders => play::<HolderBox>(plan),
+/// Runs one fleet under one strategy.
+fn run_one(strategy: QuotaStrategy, plan: &FleetPlan) -> QuotaRun {
+    match strategy {
+        QuotaStrategy::Coordinators => run_fleet::<CoordinatorBox>(plan),
+        QuotaStrategy::WindowSums => run_fleet::<WindowSumBox>(plan),
+        QuotaStrategy::Allotments => run_fleet::<AllotmentBox>(plan),
+        QuotaStrategy::Permits => run_fleet::<PermitBox>(plan),
+        QuotaStrategy::EqualShares => run_fleet::<EqualShareBox>(plan),
+        QuotaStrategy::Holders => run_fleet::<HolderBox>(plan),
     }
 }
--- a/crates/bench/src/quota/scenario.rs
+++ b/crates/bench/src/quota/scenario.rs
@@ -1,34 +1,34 @@
-//! What happens to a fleet while a customer asks.
+//! Scenarios of a fleet while a customer sends requests.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// What happens from [`TROUBLE_FROM`] on.
+/// What happens to a fleet from [`FAULT_START_S`] on, most of it until [`FAULT_END_S`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaScenario {
-    /// Nothing.
+    /// Nothing happens.
     Steady,
-    /// The customer sends ten times its usual.
+    /// The customer sends ten times its usual rate.
     TenTimes,
-    /// Half of the callers come by other boxes.
+    /// Half of the callers move to boxes drawn anew.
     Moved,
     /// A third of the boxes is cut off from the others.
     Cut,
-    /// The same while the customer sends ten times its usual.
+    /// A third of the boxes is cut off while the customer sends ten times its usual rate.
     CutAtTenTimes,
-    /// All boxes lose power for a second, while the customer sends three times its usual.
+    /// All boxes lose power for a second while the customer sends three times its usual rate.
     Power,
-    /// Two thirds of the boxes are killed and back a second later, twice.
+    /// Two thirds of the boxes are killed and start again a second later, twice.
     Killed,
-    /// Boxes are stopped and started in turn, while the customer sends three times its usual.
+    /// Boxes are restarted one after the other while the customer sends three times its usual rate.
     Rolling,
-    /// As many boxes again, less some, join, while the customer sends three times its usual.
+    /// 83 % more boxes join while the customer sends three times its usual rate.
     Joining,
-    /// The limit falls to a third.
+    /// The limit falls to a third and stays there.
     Lowered,
 }
 
-/// All scenarios, with their names.
+/// All scenarios, with their names in settings and reports.
 pub const SCENARIOS: [(QuotaScenario, &str); 10] = [
     (QuotaScenario::Steady, "steady"),
     (QuotaScenario::TenTimes, "ten-times"),
@@ -42,31 +42,34 @@
     (QuotaScenario::Lowered, "lowered"),
 ];
 
-/// Seconds of a run.
-pub(crate) const LENGTH: f64 = 30.0;
-/// When the trouble begins and ends, in seconds.
-pub(crate) const TROUBLE_FROM: f64 = 9.0;
-pub(crate) const TROUBLE_UNTIL: f64 = 21.0;
-/// What a customer usually asks, as a part of its limit. Source: the users' sheet, 1 in 1.6.
-const USUAL: f64 = 0.625;
+/// Length of a run in seconds.
+pub(crate) const RUN_LENGTH_S: f64 = 30.0;
+/// Time at which the fault begins, in seconds from the start of the run.
+pub(crate) const FAULT_START_S: f64 = 9.0;
+/// Time at which the fault ends, in seconds from the start of the run.
+pub(crate) const FAULT_END_S: f64 = 21.0;
+/// Usual demand of a customer as a fraction of its limit: 1 in 1.6.
+const USUAL_DEMAND: f64 = 0.625;
 
 impl QuotaScenario {
-    /// What the customer asks at `time`, as a part of its limit.
+    /// Returns the demand of the customer at `time`, as a fraction of its initial limit.
     pub(crate) fn demand(self, time: f64) -> f64 {
-        let troubled = (TROUBLE_FROM..TROUBLE_UNTIL).contains(&time);
-        let times = match self {
-            QuotaScenario::TenTimes | QuotaScenario::CutAtTenTimes if troubled => 10.0,
-            QuotaScenario::Power | QuotaScenario::Rolling | QuotaScenario::Joining if troubled => {
+        let is_fault_time = (FAULT_START_S..FAULT_END_S).contains(&time);
+        let factor = match self {
+            QuotaScenario::TenTimes | QuotaScenario::CutAtTenTimes if is_fault_time => 10.0,
+            QuotaScenario::Power | QuotaScenario::Rolling | QuotaScenario::Joining
+                if is_fault_time =>
+            {
                 3.0
             }
             _ => 1.0,
         };
-        USUAL * times
+        USUAL_DEMAND * factor
     }
 
-    /// The limit at `time`, as a part of that at first.
+    /// Returns the limit at `time`, as a fraction of the initial limit.
     pub(crate) fn limit(self, time: f64) -> f64 {
-        if self == QuotaScenario::Lowered && time >= TROUBLE_FROM { 1.0 / 3.0 } else { 1.0 }
+        if self == QuotaScenario::Lowered && time >= FAULT_START_S { 1.0 / 3.0 } else { 1.0 }
     }
 }
 
@@ -77,7 +80,7 @@
     }
 }
 
-/// A scenario that is not known.
+/// Error for a name that is none of [`SCENARIOS`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnknownScenario;
 
--- a/crates/bench/src/run.rs
+++ b/crates/bench/src/run.rs
@@ -1,4 +1,4 @@
-//! From the command line to the measurement.
+//! Runs the measurement that the command line names, and prints its report as JSON or tables.
 
 use std::path::Path;
 
@@ -24,12 +24,12 @@
 use crate::settings::{resolve_decide, resolve_quota, resolve_steer};
 use crate::spread::cores::measure_cores;
 use crate::spread::real::measure_real;
-use crate::spread::{REAL_MOST, SpreadBench, SpreadRow};
+use crate::spread::{MAX_REAL_BOXES, SpreadBench, SpreadRow};
 use crate::steer::cost::{measure_picks, pick_table};
 use crate::steer::measure_steer;
 use crate::steer::report::SteerReport;
 
-/// Rows of a table, as JSON.
+/// JSON form of a report that consists of rows only.
 #[derive(Debug, Serialize)]
 struct RowsReport<'a, T> {
     rows: &'a [T],
@@ -38,7 +38,7 @@
 /// Runs the measurement that `matches` names.
 ///
 /// # Errors
-/// A setting is not allowed, or the measurement could not be made.
+/// A setting is not allowed, or the measurement failed.
 pub fn run(matches: &ArgMatches) -> eyre::Result<Outcome> {
     let json = matches.get_flag("json");
     match matches.subcommand() {
@@ -49,42 +49,42 @@
                 number(matches, "seconds", 1..=60)?,
                 number(matches, "rate", 0..=1_000_000)?,
             )?;
-            show(json, &RowsReport { rows: &rows }, || path_table(&rows))
+            print_report(json, &RowsReport { rows: &rows }, || path_table(&rows))
         }
         Some(("box", _)) => {
             start_metrics();
             start_io_pool(1);
             let rows = measure_box()?;
-            show(json, &RowsReport { rows: &rows }, || box_table(&rows))
+            print_report(json, &RowsReport { rows: &rows }, || box_table(&rows))
         }
         Some(("spread", matches)) => {
             let rows = run_spread(matches)?;
-            show(json, &RowsReport { rows: &rows }, || spread_table(&rows))
+            print_report(json, &RowsReport { rows: &rows }, || spread_table(&rows))
         }
         Some(("quota", matches)) => {
             let report = measure_quota(&resolve_quota(matches)?);
-            show(json, &report, || quota_table(&report.rows))
+            print_report(json, &report, || quota_table(&report.rows))
         }
         Some(("crashes", matches)) => {
             let seed = number(matches, "seed", 0..=u64::from(u32::MAX))?;
             let rows = measure_crashes(seed, number(matches, "fleets", 1..=1000)?);
-            show(json, &RowsReport { rows: &rows }, || crash_table(&rows))
+            print_report(json, &RowsReport { rows: &rows }, || crashes_table(&rows))
         }
         Some(("steer", matches)) if matches.get_flag("cost") => {
             let rows = measure_picks();
-            show(json, &RowsReport { rows: &rows }, || pick_table(&rows))
+            print_report(json, &RowsReport { rows: &rows }, || pick_table(&rows))
         }
         Some(("steer", matches)) => {
             let baseline = matches.get_one::<String>("baseline");
             let baseline = baseline.map(|file| SteerReport::read(file)).transpose()?;
             let report = measure_steer(&resolve_steer(matches)?)?;
-            let compared = baseline.map(|baseline| report.compare(&baseline)).transpose()?;
-            show(json, &report, || {
-                let compared = compared.map(|text| format!("\n\n{text}")).unwrap_or_default();
-                format!("{}{compared}", report.as_text())
+            let comparison = baseline.map(|baseline| report.compare(&baseline)).transpose()?;
+            print_report(json, &report, || {
+                let comparison = comparison.map(|text| format!("\n\n{text}")).unwrap_or_default();
+                format!("{}{comparison}", report.as_text())
             })
         }
-        _ => Err(eyre!("no measurement was named")),
+        _ => Err(eyre!("no measurement given")),
     }
 }
 
@@ -96,23 +96,23 @@
         keys: number(matches, "keys", 0..=100_000)? as usize,
         seed: number(matches, "seed", 0..=u64::from(u32::MAX))?,
     };
-    if bench.boxes > REAL_MOST || matches.get_flag("cores") {
+    if bench.boxes > MAX_REAL_BOXES || matches.get_flag("cores") {
         return Ok(measure_cores(&bench));
     }
     start_metrics();
     measure_real(&bench)
 }
 
-fn crash_table(rows: &[CrashRow]) -> String {
+fn crashes_table(rows: &[CrashRow]) -> String {
     let cells = rows.iter().map(|row| {
         vec![
             row.scenario.to_string(),
-            row.way.to_string(),
-            format!("{:.1}", row.lost),
-            row.most_lost.to_string(),
-            row.most_late.to_string(),
-            format!("{:.1}", row.mistaken),
-            format!("{:.1}", row.bytes),
+            row.strategy.to_string(),
+            format!("{:.1}", row.mean_lost),
+            row.max_lost.to_string(),
+            row.max_late_sends.to_string(),
+            format!("{:.1}", row.wrongly_refused),
+            format!("{:.1}", row.bytes_per_box_s),
         ]
     });
     let headings = [
@@ -131,10 +131,10 @@
     let cells = rows.iter().map(|row| {
         vec![
             row.scenario.clone(),
-            row.way.clone(),
+            row.strategy.clone(),
             row.windows.to_string(),
             format!("{:.2}", row.median),
-            format!("{:.2}", row.nearly_all),
+            format!("{:.2}", row.p99),
             format!("{:.2}", row.worst),
             row.broken.to_string(),
             format!("{:.2}", row.refused),
@@ -211,7 +211,7 @@
                 "{:.0}/{:.0}/{:.0}",
                 row.in_force_p50_ms, row.in_force_p99_ms, row.in_force_max_ms
             ),
-            row.lacking.to_string(),
+            row.unreached.to_string(),
             row.reverts.to_string(),
             format!("{:.0}", row.bytes_per_box_s),
             format!("{:.2}", row.messages_per_box_s),
@@ -243,28 +243,28 @@
     let setup = resolve_decide(matches)?;
     if matches.get_flag("cost") {
         let report = CostReport { rows: measure_cost(), evidence: measure_evidence() };
-        return show(json, &report, || cost_table(&report));
+        return print_report(json, &report, || cost_table(&report));
     }
     if let Some(file) = matches.get_one::<String>("curve") {
         let points = measure_curve(&setup);
         draw_curve(Path::new(file), setup.site.name, &points)?;
-        return show(json, &RowsReport { rows: &points }, || format!("drawn to {file}"));
+        return print_report(json, &RowsReport { rows: &points }, || format!("drawn to {file}"));
     }
     let report = measure(&setup);
-    show(json, &report, || decide_table(&setup, &report))
+    print_report(json, &report, || decide_table(&setup, &report))
 }
 
-fn show(
+fn print_report(
     json: bool,
     value: &impl Serialize,
     text: impl FnOnce() -> String,
 ) -> eyre::Result<Outcome> {
-    let shown = if json { serde_json::to_string(value)? } else { text() };
-    println!("{shown}");
+    let output = if json { serde_json::to_string(value)? } else { text() };
+    println!("{output}");
     Ok(Outcome::Done)
 }
 
-/// What decisions cost.
+/// Time and memory that decisions take.
 #[derive(Debug, Serialize)]
 struct CostReport {
     rows: Vec<CostRow>,
@@ -322,21 +322,25 @@
         setup.trials,
         table(&headings, &rows)
     );
-    let mut ends = vec![vec![
+    let mut summary = vec![vec![
         "core".to_string(),
         report.false_ejections.to_string(),
         format!("{:.4}", report.goodput),
     ]];
     for name in names {
         let goodput = format!("{:.4}", report.baseline_goodput[name]);
-        ends.push(vec![name.clone(), report.baseline_false_ejections[name].to_string(), goodput]);
+        summary.push(vec![
+            name.clone(),
+            report.baseline_false_ejections[name].to_string(),
+            goodput,
+        ]);
     }
     text.push_str(&format!(
         "{:.2} healthy target-days for each decider\n{}\n\ncore: false ejections in {:?}\n\
          by cause and box {:?}\n\
          floor breaches {}, attempts for each request {:.4}",
         report.healthy_target_days,
-        table(&["decider", "false ejections", "goodput"], &ends),
+        table(&["decider", "false ejections", "goodput"], &summary),
         report.false_ejections_in,
         report.false_ejection_causes,
         report.floor_breaches,
--- a/crates/bench/src/settings.rs
+++ b/crates/bench/src/settings.rs
@@ -1,4 +1,4 @@
-//! `wingbench`'s command line.
+//! The command line of `wingbench`, and the checks of its settings.
 
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use wingbridge_decide::quota::QuotaLimit;
@@ -9,17 +9,17 @@
 use crate::decide::DecideSetup;
 use crate::decide::site::SiteSetup;
 use crate::quota::scenario::SCENARIOS;
-use crate::quota::{QuotaBench, WAYS, WindowBound};
+use crate::quota::{QuotaBench, STRATEGIES, WindowBound};
 use crate::steer::SteerBench;
 use crate::steer::backoffs::BackoffStrategy;
 use crate::steer::limits::LimitStrategy;
 use crate::steer::pattern::LoadPattern;
 
-/// The whole command line.
+/// Returns the command line with all measurements as subcommands.
 pub fn bench_command() -> Command {
     Command::new("wingbench")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("The measurements that wingbridge is built by")
+        .about("Measures wingbridge, and compares strategies on simulated fleets")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .arg(
@@ -43,7 +43,7 @@
 
 fn crashes_command() -> Command {
     Command::new("crashes")
-        .about("Requests under which targets end: ways to keep them from further targets")
+        .about("Compares strategies that keep a request that crashes targets away from further targets")
         .arg(setting("seed", "The first fleet's seed", "0 to 4294967295.").default_value("1"))
         .arg(setting("fleets", "How many fleets", "1 to 1000.").default_value("40"))
 }
@@ -51,9 +51,12 @@
 fn decide_command() -> Command {
     Command::new("decide")
         .about("Detection time and false ejections of the decision core, against baselines")
-        .arg(setting("site", "Whose sizes and rates", "sedlo or dakar.").default_value("sedlo"))
         .arg(
-            setting("seed", "The first seed", "Trials take it and those after it.")
+            setting("site", "Site whose sizes and rates are used", "sedlo or dakar.")
+                .default_value("sedlo"),
+        )
+        .arg(
+            setting("seed", "The first seed", "Each further trial takes the next number.")
                 .default_value("1"),
         )
         .arg(
@@ -63,8 +66,8 @@
         .arg(
             setting(
                 "days",
-                "Target-days of healthy stretches, for each decider",
-                "A target-day is some four million requests.",
+                "Target-days of healthy operation for each decider",
+                "A target-day is about four million requests.",
             )
             .default_value("0.5"),
         )
@@ -72,7 +75,7 @@
             setting(
                 "bias",
                 "Target-days between two false ejections",
-                "Without it the site's own.",
+                "Empty: the default of the site.",
             )
             .default_value(""),
         )
@@ -81,25 +84,24 @@
             Arg::new("core-only")
                 .long("core-only")
                 .action(ArgAction::SetTrue)
-                .help("Leave the baselines out"),
+                .help("Run without the baselines"),
         )
         .arg(
             Arg::new("cost")
                 .long("cost")
                 .action(ArgAction::SetTrue)
-                .help("Measure what decisions cost instead"),
+                .help("Measure the time and memory of decisions instead"),
         )
         .arg(
-            Arg::new("curve")
-                .long("curve")
-                .value_name("FILE")
-                .help("Measure over the bias instead, and draw it to FILE as SVG"),
+            Arg::new("curve").long("curve").value_name("FILE").help(
+                "Measure for a range of bias values instead, and write the chart to FILE as SVG",
+            ),
         )
 }
 
 fn path_command() -> Command {
     Command::new("path")
-        .about("What the proxy adds to a request, against straight to the target")
+        .about("Measures the latency that the proxy adds to a direct request")
         .arg(
             setting("seconds", "Seconds for each number of connections", "1 to 60.")
                 .default_value("8"),
@@ -108,15 +110,15 @@
             setting(
                 "io-threads",
                 "Threads of the I/O pool",
-                "It is shared by callers, proxy and targets here.",
+                "Callers, proxy and targets share them.",
             )
             .default_value("1"),
         )
         .arg(
             setting(
                 "rate",
-                "Requests a second over all connections",
-                "0 sends as fast as answers come.",
+                "Requests per second over all connections",
+                "0: each connection sends the next request as soon as it has an answer.",
             )
             .default_value("200"),
         )
@@ -124,22 +126,25 @@
 
 fn steer_command() -> Command {
     Command::new("steer")
-        .about("The choice of targets on fleets drawn at random, against uniform picks")
+        .about("Compares the choice of targets with uniform picks, on fleets drawn at random")
         .arg(setting("seed", "The first fleet's seed", "0 to 4294967295.").default_value("1"))
         .arg(setting("fleets", "How many fleets", "1 to 1000.").default_value("40"))
-        .arg(setting("seconds", "Seconds of traffic for each", "1 to 600.").default_value("30"))
+        .arg(
+            setting("seconds", "Seconds of traffic for each fleet", "1 to 600.")
+                .default_value("30"),
+        )
         .arg(setting("workers", "Threads", "1 to 64.").default_value("4"))
         .arg(
             Arg::new("cost")
                 .long("cost")
                 .action(ArgAction::SetTrue)
-                .help("Time single choices among 16 to 1,500 targets instead"),
+                .help("Measure the time of single picks among 16 to 1,500 targets instead"),
         )
         .arg(
             Arg::new("baseline")
                 .long("baseline")
                 .value_name("FILE")
-                .help("Compare with the report of another version, as --json printed it"),
+                .help("Compare with the report of another version, as printed with --json"),
         )
         .arg(
             setting(
@@ -153,7 +158,7 @@
         .arg(
             setting(
                 "rests",
-                "What boxes do when a target asks for rest",
+                "What boxes do when a target asks them to back off",
                 "own, ignored, told, spread or held.",
             )
             .default_value("own"),
@@ -161,7 +166,7 @@
         .arg(
             setting(
                 "limits",
-                "What boxes do when a target names a limit over all boxes",
+                "What boxes do when a target sets a limit for all boxes together",
                 "permits, ignored, each-alone or shares.",
             )
             .default_value("permits"),
@@ -169,8 +174,8 @@
         .arg(
             setting(
                 "without",
-                "Parts of the choice that are switched off",
-                "Names with commas between; a wrong one lists all.",
+                "Mechanisms of the choice that are switched off",
+                "Names separated by commas; an unknown name lists them all.",
             )
             .default_value(""),
         )
@@ -210,34 +215,34 @@
 
 fn quota_command() -> Command {
     Command::new("quota")
-        .about("Ways to hold a quota or a target's limit over all boxes, on fleets drawn at random")
+        .about("Compares strategies to hold a quota or a target's limit over all boxes, on random fleets")
         .arg(setting("seed", "The first fleet's seed", "0 to 4294967295.").default_value("1"))
         .arg(setting("fleets", "How many fleets", "1 to 1000.").default_value("20"))
-        .arg(setting("boxes", "Boxes of each", "2 to 2000.").default_value("113"))
+        .arg(setting("boxes", "Boxes of each fleet", "2 to 2000.").default_value("113"))
         .arg(
             setting(
                 "rate",
-                "What the customer may ask in a second, or the target takes",
+                "Requests per second that the customer may send or the target accepts",
                 "0.1 to 100000.",
             )
             .default_value("100"),
         )
         .arg(
-            setting("burst", "What it may ask above that at once", "0 to 100000.")
+            setting("burst", "Requests that are allowed at once on top of the rate", "0 to 100000.")
                 .default_value("100"),
         )
-        .arg(setting("loss", "Datagrams that are lost", "0 to 0.9.").default_value("0.002"))
+        .arg(setting("loss", "Share of the datagrams that are lost", "0 to 0.9.").default_value("0.002"))
         .arg(
-            setting("bound", "What is allowed", "That of customers or of targets.")
+            setting("bound", "Bound that windows are checked against", "customers or targets.")
                 .default_value("customers"),
         )
-        .arg(setting("callers", "Callers at least", "0 to 100000.").default_value("0"))
+        .arg(setting("callers", "Minimum number of callers", "0 to 100000.").default_value("0"))
         .arg(
-            setting("scenarios", "What happens", "Names with commas between; empty: all.")
+            setting("scenarios", "Scenarios", "Names separated by commas; empty: all.")
                 .default_value(""),
         )
         .arg(
-            setting("ways", "What is compared", "Names with commas between; empty: all.")
+            setting("ways", "Strategies", "Names separated by commas; empty: all.")
                 .default_value(""),
         )
 }
@@ -248,8 +253,8 @@
 /// The first setting that is not allowed.
 pub fn resolve_quota(matches: &ArgMatches) -> Result<QuotaBench, SettingError> {
     let bound = match raw_text(matches, "bound").as_str() {
-        "customers" => WindowBound::OF_CUSTOMERS,
-        "targets" => WindowBound::OF_TARGETS,
+        "customers" => WindowBound::CUSTOMERS,
+        "targets" => WindowBound::TARGETS,
         other => return Err(SettingError::new("bound", other, "customers or targets")),
     };
     Ok(QuotaBench {
@@ -263,13 +268,13 @@
             burst: decimal("burst", &raw_text(matches, "burst"), 0.0..=100_000.0)?,
         },
         loss: decimal("loss", &raw_text(matches, "loss"), 0.0..=0.9)?,
-        scenarios: some_of(matches, "scenarios", &SCENARIOS)?,
-        ways: some_of(matches, "ways", &WAYS)?,
+        scenarios: resolve_list(matches, "scenarios", &SCENARIOS)?,
+        strategies: resolve_list(matches, "ways", &STRATEGIES)?,
     })
 }
 
-/// The named ones of `all`, or all of them if none is named.
-fn some_of<T: Copy>(
+/// Returns the values that the setting `name` lists, or all of `all` if it is empty.
+fn resolve_list<T: Copy>(
     matches: &ArgMatches,
     name: &str,
     all: &[(T, &str)],
@@ -290,30 +295,30 @@
 
 fn spread_command() -> Command {
     Command::new("spread")
-        .about("How fast a change is in force everywhere, and what the exchange costs")
+        .about("Measures how fast a change takes effect in all boxes, and the cost of the exchange")
         .arg(
             setting(
                 "boxes",
                 "How many boxes",
-                "Up to 40 real agents run in this process; cores alone beyond that.",
+                "Up to 40 run as real agents in this process; more run as simulated cores.",
             )
             .default_value("40"),
         )
         .arg(setting("centres", "How many data centres", "1 to 64.").default_value("3"))
+        .arg(setting("changes", "Timed changes in each row", "1 to 10000.").default_value("40"))
         .arg(
-            setting("changes", "Changes that are timed in each row", "1 to 10000.")
-                .default_value("40"),
+            setting("keys", "Keys that exist before the first change", "0 to 100000.")
+                .default_value("200"),
         )
-        .arg(setting("keys", "Keys that are there before", "0 to 100000.").default_value("200"))
         .arg(
-            setting("seed", "The first seed", "Fixes losses, delays and choices.")
+            setting("seed", "The first seed", "Determines losses, delays and random choices.")
                 .default_value("1"),
         )
         .arg(
             Arg::new("cores")
                 .long("cores")
                 .action(ArgAction::SetTrue)
-                .help("Use cores in virtual time whatever the number"),
+                .help("Simulate cores in virtual time for any number of boxes"),
         )
 }
 
--- a/crates/bench/src/spread/cores.rs
+++ b/crates/bench/src/spread/cores.rs
@@ -1,4 +1,4 @@
-//! The agents' cores in virtual time.
+//! Simulates the agents' cores in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -14,33 +14,39 @@
 use wingbridge_wire::{Entry, Frame, FrameBody, Stamp};
 
 use crate::memory::{processor_time, resident_bytes};
-use crate::spread::{LOSSES, SpreadBench, SpreadRow, at_quantile};
+use crate::spread::{LOSSES, SpreadBench, SpreadRow, value_at_quantile};
 
 const REGIONS: usize = 5;
-const TICK: u64 = 50_000;
+/// Period of a core's timer, in microseconds.
+const TICK_US: u64 = 50_000;
 const DIGEST_PERIOD: Duration = Duration::from_secs(1);
 const NEIGHBOUR_PERIOD: Duration = Duration::from_secs(600);
-/// Length and packet headers of one message.
-const OVERHEAD: usize = 4 + 66;
-/// One way between boxes, in microseconds: in a data centre, a region, the world.
-const NEAR: u64 = 400;
-const REGION: u64 = 1_500;
-const FAR: u64 = 60_000;
-/// Between two changes.
-const CHANGE_GAP: u64 = 2_000_000;
-/// Time to settle first, to measure rest in, and after the last change.
-const SETTLE: u64 = 20_000_000;
-const REST: u64 = 20_000_000;
-const TAIL: u64 = 30_000_000;
-/// Bytes of a value.
+/// Bytes of the length prefix and the packet headers of one message.
+const MESSAGE_OVERHEAD_BYTES: usize = 4 + 66;
+/// One-way delay between boxes of one data centre, in microseconds.
+const SAME_CENTRE_DELAY_US: u64 = 400;
+/// One-way delay between data centres of one region, in microseconds.
+const SAME_REGION_DELAY_US: u64 = 1_500;
+/// One-way delay between regions, in microseconds.
+const CROSS_REGION_DELAY_US: u64 = 60_000;
+/// Time between two changes, in microseconds.
+const CHANGE_GAP_US: u64 = 2_000_000;
+/// Time for the fleet to settle before the measurement, in microseconds.
+const SETTLE_US: u64 = 20_000_000;
+/// Time in which the idle traffic is measured, in microseconds.
+const IDLE_US: u64 = 20_000_000;
+/// Time that the run continues after the last change, in microseconds.
+const TAIL_US: u64 = 30_000_000;
+/// Bytes of a configuration value.
 const VALUE_BYTES: usize = 1500;
-/// An answer of the store takes up to this.
-const STORE_MICROS: u64 = 10_000;
-/// Time that a watch waits, and between two whole readings.
+/// Longest time until a watcher receives a change from the store, in microseconds.
+const MAX_STORE_DELAY_US: u64 = 10_000;
+/// Time that a watch of the store waits, in seconds.
 const WATCH_SECONDS: f64 = 10.0;
+/// Time between two complete reads of the store, in seconds.
 const RESYNC_SECONDS: f64 = 600.0;
 
-/// Measures all rows.
+/// Measures all rows, each with a new fleet.
 pub fn measure_cores(bench: &SpreadBench) -> Vec<SpreadRow> {
     let mut rows = Vec::new();
     for loss in LOSSES {
@@ -58,7 +64,7 @@
     cores: Vec<SpreadCore>,
     numbers: HashMap<Arc<str>, usize>,
     events: BinaryHeap<Reverse<(u64, u64, usize)>>,
-    letters: HashMap<u64, (usize, FrameBody)>,
+    in_transit: HashMap<u64, (usize, FrameBody)>,
     sequence: u64,
     now: u64,
     bytes: u64,
@@ -79,7 +85,7 @@
             cores: Vec::new(),
             numbers: HashMap::new(),
             events: BinaryHeap::new(),
-            letters: HashMap::new(),
+            in_transit: HashMap::new(),
             sequence: 0,
             now: 0,
             bytes: 0,
@@ -101,32 +107,33 @@
                 neighbour_period: NEIGHBOUR_PERIOD,
                 seed: bench.seed + number as u64,
             });
-            // All of it is there from before: nobody pushes it.
+            // The core reads these entries from the store, so it does not push them to others.
             core.handle(0, SpreadEvent::StoreRead(entries.clone()), &mut Vec::new());
             run.cores.push(core);
-            run.schedule(run.random_tick(number), number);
+            run.schedule(run.tick_offset(number), number);
         }
         run
     }
 
     fn run(mut self) -> SpreadRow {
-        self.run_until(SETTLE);
-        let (bytes, messages) = (self.bytes, self.messages);
-        self.run_until(SETTLE + REST);
-        let rest_bytes = (self.bytes - bytes) as f64;
-        let rest_messages = (self.messages - messages) as f64;
+        self.run_until(SETTLE_US);
+        let (idle_start_bytes, idle_start_messages) = (self.bytes, self.messages);
+        self.run_until(SETTLE_US + IDLE_US);
+        let idle_bytes = (self.bytes - idle_start_bytes) as f64;
+        let idle_messages = (self.messages - idle_start_messages) as f64;
         let started = processor_time();
-        let before = self.bytes;
+        let change_start_bytes = self.bytes;
         for change in 0..self.bench.changes {
             self.change(change);
-            self.run_until(self.now + CHANGE_GAP);
+            self.run_until(self.now + CHANGE_GAP_US);
         }
-        self.run_until(self.now + TAIL);
+        self.run_until(self.now + TAIL_US);
         let spent = processor_time().saturating_sub(started);
-        let virtual_seconds = (self.bench.changes as u64 * CHANGE_GAP + TAIL) as f64 / 1e6;
+        let virtual_seconds = (self.bench.changes as u64 * CHANGE_GAP_US + TAIL_US) as f64 / 1e6;
         let boxes = self.bench.boxes as f64;
-        let rest_rate = rest_bytes / boxes / (REST as f64 / 1e6);
-        let changing = (self.bytes - before) as f64 / boxes - rest_rate * virtual_seconds;
+        let idle_rate = idle_bytes / boxes / (IDLE_US as f64 / 1e6);
+        let changing =
+            (self.bytes - change_start_bytes) as f64 / boxes - idle_rate * virtual_seconds;
         let reached = self.delays.len();
         self.delays.sort_by(f64::total_cmp);
         SpreadRow {
@@ -134,13 +141,13 @@
             boxes: self.bench.boxes,
             loss: self.loss,
             store_cut: self.store_cut,
-            in_force_p50_ms: at_quantile(&self.delays, 0.5),
-            in_force_p99_ms: at_quantile(&self.delays, 0.99),
+            in_force_p50_ms: value_at_quantile(&self.delays, 0.5),
+            in_force_p99_ms: value_at_quantile(&self.delays, 0.99),
             in_force_max_ms: self.delays.last().copied().unwrap_or(0.0),
-            lacking: self.bench.boxes * self.bench.changes - reached,
+            unreached: self.bench.boxes * self.bench.changes - reached,
             reverts: self.reverts,
-            bytes_per_box_s: rest_rate,
-            messages_per_box_s: rest_messages / boxes / (REST as f64 / 1e6),
+            bytes_per_box_s: idle_rate,
+            messages_per_box_s: idle_messages / boxes / (IDLE_US as f64 / 1e6),
             bytes_per_change: changing / self.bench.changes as f64,
             store_calls_s: self.store_calls(),
             cpu_share: spent.as_secs_f64() / virtual_seconds / boxes,
@@ -148,7 +155,8 @@
         }
     }
 
-    /// Keys and box list are watched side by side, and read whole now and then.
+    /// Returns the calls to the store per second: watchers watch keys and box list separately, and read
+    /// both completely every [`RESYNC_SECONDS`].
     fn store_calls(&self) -> f64 {
         let watchers = self.watchers().len() as f64;
         watchers * 2.0 * (1.0 / WATCH_SECONDS + 1.0 / RESYNC_SECONDS)
@@ -163,8 +171,8 @@
         (0..self.bench.boxes).filter(watches).collect()
     }
 
-    /// A change is accepted now. With the store cut off it is handed to the watchers of two
-    /// data centres and to nobody else, which is what accepted means.
+    /// Accepts a change now. With the store cut off, only the watchers of two data centres receive it:
+    /// that is the condition under which a change counts as accepted.
     fn change(&mut self, number: usize) {
         let key = format!("policy/p{number}");
         let entry = entry(&key, 1);
@@ -174,9 +182,9 @@
             if self.store_cut && watcher % self.bench.centres >= 2 {
                 continue;
             }
-            let delay = self.random.random_range(1_000..STORE_MICROS);
+            let delay = self.random.random_range(1_000..MAX_STORE_DELAY_US);
             let body = wingbridge_wire::Entries { entries: vec![entry.clone()], push: true };
-            self.post(delay, watcher, FrameBody::Entries(body));
+            self.deliver_after(delay, watcher, FrameBody::Entries(body));
         }
     }
 
@@ -187,14 +195,14 @@
             }
             self.events.pop();
             self.now = time;
-            match self.letters.remove(&sequence) {
+            match self.in_transit.remove(&sequence) {
                 Some((from, body)) => {
                     let event = SpreadEvent::Received { from: box_id(from), body };
                     self.handle(number, event);
                 }
                 None => {
                     self.handle(number, SpreadEvent::TimerFired);
-                    self.schedule(TICK, number);
+                    self.schedule(TICK_US, number);
                 }
             }
         }
@@ -215,30 +223,30 @@
     fn apply(&mut self, number: usize, entry: &Entry) {
         let Some(changed) = self.changed_at.get(&entry.key) else { return };
         self.delays.push((self.now - changed) as f64 / 1000.0);
-        let held = self.in_force.insert((number, entry.key.clone()), entry.stamp.clone());
-        self.reverts += usize::from(held.is_some_and(|held| held >= entry.stamp));
+        let earlier = self.in_force.insert((number, entry.key.clone()), entry.stamp.clone());
+        self.reverts += usize::from(earlier.is_some_and(|earlier| earlier >= entry.stamp));
     }
 
     fn send(&mut self, from: usize, to: &Arc<str>, body: FrameBody) {
         let Some(&to) = self.numbers.get(to) else { return };
         let frame = Frame { clock: self.now, body: Some(body) };
-        self.bytes += (frame.encoded_len() + OVERHEAD) as u64;
+        self.bytes += (frame.encoded_len() + MESSAGE_OVERHEAD_BYTES) as u64;
         self.messages += 1;
         if self.random.random::<f64>() < self.loss {
             return;
         }
-        let least = self.distance(from, to);
-        let delay = least + self.random.random_range(0..=least / 4);
+        let min_delay = self.min_delay(from, to);
+        let delay = min_delay + self.random.random_range(0..=min_delay / 4);
         if let Some(body) = frame.body {
             self.sequence += 1;
-            self.letters.insert(self.sequence, (from, body));
+            self.in_transit.insert(self.sequence, (from, body));
             self.events.push(Reverse((self.now + delay, self.sequence, to)));
         }
     }
 
-    fn post(&mut self, delay: u64, to: usize, body: FrameBody) {
+    fn deliver_after(&mut self, delay: u64, to: usize, body: FrameBody) {
         self.sequence += 1;
-        self.letters.insert(self.sequence, (to, body));
+        self.in_transit.insert(self.sequence, (to, body));
         self.events.push(Reverse((self.now + delay, self.sequence, to)));
     }
 
@@ -247,20 +255,20 @@
         self.events.push(Reverse((self.now + delay, self.sequence, number)));
     }
 
-    fn random_tick(&self, number: usize) -> u64 {
-        (number as u64).wrapping_mul(7919) % TICK
+    fn tick_offset(&self, number: usize) -> u64 {
+        (number as u64).wrapping_mul(7919) % TICK_US
     }
 
     fn centre(&self, number: usize) -> Arc<str> {
         Arc::from(format!("dc-{}", number % self.bench.centres))
     }
 
-    fn distance(&self, from: usize, to: usize) -> u64 {
+    fn min_delay(&self, from: usize, to: usize) -> u64 {
         let (from, to) = (from % self.bench.centres, to % self.bench.centres);
         match (from == to, from % REGIONS == to % REGIONS) {
-            (true, _) => NEAR,
-            (false, true) => REGION,
-            (false, false) => FAR,
+            (true, _) => SAME_CENTRE_DELAY_US,
+            (false, true) => SAME_REGION_DELAY_US,
+            (false, false) => CROSS_REGION_DELAY_US,
         }
     }
 }
--- a/crates/bench/src/spread/mod.rs
+++ b/crates/bench/src/spread/mod.rs
@@ -1,71 +1,73 @@
-//! How fast a change is in force everywhere, and what the exchange costs.
+//! Measures how fast a change takes effect in all boxes, and the cost of the exchange between them.
 //!
-//! Up to [`REAL_MOST`] boxes run as real agents and proxies with a real (stand-in)
-//! store in this process; more run as the agents' cores in virtual time, with delays
-//! between data centres and messages lost on purpose.
+//! Up to [`MAX_REAL_BOXES`] boxes run in this process as real agents and proxies with a stand-in store.
+//! Larger fleets run as the agents' cores in virtual time, with simulated delays between data centres and
+//! simulated message loss.
 
 pub mod cores;
 pub mod real;
 
 use serde::Serialize;
 
-/// Boxes that run as real agents in one process.
-pub const REAL_MOST: usize = 40;
-/// Shares of messages that are lost, one row each.
+/// Maximum number of boxes that run as real agents in one process.
+pub const MAX_REAL_BOXES: usize = 40;
+/// Shares of messages that are lost; each has a row with the store reachable and one with it cut off.
 pub const LOSSES: [f64; 3] = [0.0, 0.1, 0.3];
 
-/// What is measured.
+/// Settings of a measurement.
 #[derive(Debug, Clone, Copy)]
 pub struct SpreadBench {
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Data centres.
+    /// Number of data centres.
     pub centres: usize,
-    /// Changes that are timed in each row.
+    /// Number of timed changes in each row.
     pub changes: usize,
-    /// Keys that are there before.
+    /// Number of keys that exist before the first change.
     pub keys: usize,
-    /// Fixes losses, delays and choices.
+    /// Seed of losses, delays and random choices in virtual time.
     pub seed: u64,
 }
 
-/// One row.
+/// Results for one loss rate, with or without the store.
 #[derive(Debug, Clone, Serialize)]
 pub struct SpreadRow {
-    /// `agents` or `cores`.
+    /// What ran: `agents` or `cores`.
     pub kind: &'static str,
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
     /// Share of messages lost.
     pub loss: f64,
-    /// Whether the store was cut off right after each acceptance.
+    /// Whether the store was cut off right after it accepted each change.
     pub store_cut: bool,
-    /// From accepted to in force in a box: median over boxes and changes, milliseconds.
+    /// Time from the acceptance of a change until it is in force in a box: median over boxes and
+    /// changes, in milliseconds.
     pub in_force_p50_ms: f64,
-    /// The same for 99 in 100.
+    /// The 99th percentile of this time, in milliseconds.
     pub in_force_p99_ms: f64,
-    /// The same for all.
+    /// The maximum of this time, in milliseconds.
     pub in_force_max_ms: f64,
-    /// Boxes that some change did not reach before the row's end.
-    pub lacking: usize,
-    /// Versions that went down.
+    /// Number of pairs of a change and a box that it did not reach before the end of the row.
+    #[serde(rename = "lacking")]
+    pub unreached: usize,
+    /// Number of times that a box replaced a version by an older one; cores count the same one, too.
     pub reverts: usize,
-    /// Bytes that a box sends a second at rest, packet headers counted.
+    /// Bytes per second that a box sends while idle, packet headers included.
     pub bytes_per_box_s: f64,
-    /// Messages that a box sends a second at rest.
+    /// Messages per second that a box sends while idle.
     pub messages_per_box_s: f64,
-    /// Bytes that a box sends for one change.
+    /// Bytes that a box sends for one change, in addition to the idle traffic.
     pub bytes_per_change: f64,
-    /// Calls to the store a second at rest, waiting watches counted once for each wait.
+    /// Calls to the store per second by all boxes while idle; a watch counts once for each wait.
     pub store_calls_s: f64,
-    /// Share of a core that a box takes, changes counted in.
+    /// Share of a processor core that a box takes: idle for agents, while changes spread for cores.
     pub cpu_share: f64,
-    /// Memory of the whole process, in MB.
+    /// Resident memory of the whole process, in MB.
     pub rss_mb: f64,
 }
 
-/// The value at `quantile` of sorted values, 0 if there is none.
-fn at_quantile(sorted: &[f64], quantile: f64) -> f64 {
+/// Returns the value at `quantile` of sorted values, 0 if there are none.
+fn value_at_quantile(sorted: &[f64], quantile: f64) -> f64 {
     let index = (sorted.len() as f64 * quantile).ceil() as usize;
     sorted.get(index.clamp(1, sorted.len().max(1)) - 1).copied().unwrap_or(0.0)
 }
--- a/crates/bench/src/spread/real.rs
+++ b/crates/bench/src/spread/real.rs
@@ -1,4 +1,4 @@
-//! Real agents and proxies in this process, with a stand-in store.
+//! Measures real agents and proxies in this process, with a stand-in store.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -15,19 +15,19 @@
 use wingctl::fleet::{BoxReply, KeyView};
 
 use crate::memory::{processor_time, resident_bytes};
-use crate::spread::{LOSSES, SpreadBench, SpreadRow, at_quantile};
+use crate::spread::{LOSSES, SpreadBench, SpreadRow, value_at_quantile};
 
-const SETTLE: Duration = Duration::from_secs(2);
-const REST: Duration = Duration::from_secs(4);
-const GAP: Duration = Duration::from_millis(400);
-const IN_FORCE_MOST: Duration = Duration::from_secs(30);
-/// Proxies send their events on at least this often.
-const EVENTS_PERIOD: Duration = Duration::from_millis(1500);
+const SETTLE_TIME: Duration = Duration::from_secs(2);
+const IDLE_TIME: Duration = Duration::from_secs(4);
+const CHANGE_GAP: Duration = Duration::from_millis(400);
+const MAX_IN_FORCE_TIME: Duration = Duration::from_secs(30);
+/// Longest time until proxies have forwarded their events to the agents.
+const EVENT_FORWARD_PERIOD: Duration = Duration::from_millis(1500);
 
-/// Measures all rows on one system.
+/// Measures all rows, one after the other on one system.
 ///
 /// # Errors
-/// The system did not start, or a change was not accepted.
+/// The system did not start, a change was not accepted, or it was not in force in time.
 pub fn measure_real(bench: &SpreadBench) -> eyre::Result<Vec<SpreadRow>> {
     let setup = SystemSetup {
         boxes: bench.boxes,
@@ -57,11 +57,11 @@
     loss: f64,
     store_cut: bool,
 ) -> eyre::Result<SpreadRow> {
-    thread::sleep(SETTLE);
-    let rest = Meters::read(system);
-    thread::sleep(REST);
-    let rest = Meters::read(system).since(&rest);
-    let changing = Meters::read(system);
+    thread::sleep(SETTLE_TIME);
+    let idle_start = Counters::read(system);
+    thread::sleep(IDLE_TIME);
+    let idle = Counters::read(system).since(&idle_start);
+    let change_start = Counters::read(system);
     let mut accepted = Vec::new();
     for change in 0..bench.changes {
         let key = format!("policy/c{}-{}-{change}", (loss * 100.0) as u32, u8::from(store_cut));
@@ -73,37 +73,37 @@
         }
         wait_in_force(system, &key)?;
         system.store.set_faults(StoreFaults::default());
-        thread::sleep(GAP);
+        thread::sleep(CHANGE_GAP);
     }
-    let changing = Meters::read(system).since(&changing);
-    thread::sleep(EVENTS_PERIOD);
+    let changing = Counters::read(system).since(&change_start);
+    thread::sleep(EVENT_FORWARD_PERIOD);
     let events = task::block_on(wingctl::event_trace::collect_events(&system.fleet()))?.0;
-    let mut delays = delays_of(&accepted, &events);
+    let mut delays = in_force_delays(&accepted, &events);
     delays.sort_by(f64::total_cmp);
     let boxes = bench.boxes as f64;
-    let rest_bytes = rest.bytes / boxes / rest.seconds;
+    let idle_bytes = idle.bytes / boxes / idle.seconds;
     Ok(SpreadRow {
         kind: "agents",
         boxes: bench.boxes,
         loss,
         store_cut,
-        in_force_p50_ms: at_quantile(&delays, 0.5),
-        in_force_p99_ms: at_quantile(&delays, 0.99),
+        in_force_p50_ms: value_at_quantile(&delays, 0.5),
+        in_force_p99_ms: value_at_quantile(&delays, 0.99),
         in_force_max_ms: delays.last().copied().unwrap_or(0.0),
-        lacking: (bench.boxes * bench.changes).saturating_sub(delays.len()),
-        reverts: reverts_of(&events),
-        bytes_per_box_s: rest_bytes,
-        messages_per_box_s: rest.messages / boxes / rest.seconds,
-        bytes_per_change: (changing.bytes / boxes - rest_bytes * changing.seconds)
+        unreached: (bench.boxes * bench.changes).saturating_sub(delays.len()),
+        reverts: count_reverts(&events),
+        bytes_per_box_s: idle_bytes,
+        messages_per_box_s: idle.messages / boxes / idle.seconds,
+        bytes_per_change: (changing.bytes / boxes - idle_bytes * changing.seconds)
             / bench.changes as f64,
-        store_calls_s: rest.calls / rest.seconds,
-        cpu_share: rest.processor / rest.seconds / boxes,
+        store_calls_s: idle.calls / idle.seconds,
+        cpu_share: idle.processor / idle.seconds / boxes,
         rss_mb: resident_bytes() as f64 / 1e6,
     })
 }
 
-/// Readings of what is counted, or their difference.
-struct Meters {
+/// Counters at one time, or their differences between two times.
+struct Counters {
     at: Instant,
     seconds: f64,
     bytes: f64,
@@ -112,18 +112,18 @@
     processor: f64,
 }
 
-impl Meters {
-    fn read(system: &SmallSystem) -> Meters {
+impl Counters {
+    fn read(system: &SmallSystem) -> Counters {
         let text = wingbridge_process::metrics::render_metrics();
         let counter = |name: &str| {
             let line = text.lines().find_map(|line| line.strip_prefix(name));
             line.and_then(|rest| rest.trim().parse().ok()).unwrap_or(0.0)
         };
         let messages = counter("wingbridge_messages_sent ");
-        Meters {
+        Counters {
             at: Instant::now(),
             seconds: 0.0,
-            // Each message travels in a packet of its own.
+            // Each message is sent in a packet of its own: 70 bytes for its length prefix and packet headers.
             bytes: counter("wingbridge_bytes_sent ") + messages * 70.0,
             messages,
             calls: system.store.calls() as f64,
@@ -131,8 +131,8 @@
         }
     }
 
-    fn since(&self, earlier: &Meters) -> Meters {
-        Meters {
+    fn since(&self, earlier: &Counters) -> Counters {
+        Counters {
             at: self.at,
             seconds: self.at.duration_since(earlier.at).as_secs_f64(),
             bytes: self.bytes - earlier.bytes,
@@ -162,11 +162,11 @@
     }
 }
 
-/// Asks all boxes until `enough` of what they say.
+/// Queries all boxes until `is_done` accepts their answers.
 fn wait_until(
     system: &SmallSystem,
     key: &str,
-    enough: impl Fn(&[BoxReply<Vec<KeyView>>]) -> bool,
+    is_done: impl Fn(&[BoxReply<Vec<KeyView>>]) -> bool,
 ) -> eyre::Result<()> {
     let fleet = system.fleet();
     let boxes = task::block_on(fleet.boxes())?;
@@ -174,10 +174,13 @@
     let started = Instant::now();
     loop {
         let answers = task::block_on(fleet.query_all(&boxes, &path));
-        if enough(&answers) {
+        if is_done(&answers) {
             return Ok(());
         }
-        ensure!(started.elapsed() < IN_FORCE_MOST, "{key} was not in force in time");
+        ensure!(
+            started.elapsed() < MAX_IN_FORCE_TIME,
+            "{key} was not in force in the required boxes within {MAX_IN_FORCE_TIME:?}"
+        );
         thread::sleep(Duration::from_millis(50));
     }
 }
@@ -192,17 +195,17 @@
 
 fn wait_for_two_centres(system: &SmallSystem, key: &str) -> eyre::Result<()> {
     wait_until(system, key, |answers| {
-        let holding = answers
+        let boxes_with_key = answers
             .iter()
             .filter(|answer| answer.result.as_ref().is_ok_and(|views| !views.is_empty()));
         let centres: std::collections::BTreeSet<&str> =
-            holding.map(|answer| answer.queried.data_centre.as_str()).collect();
+            boxes_with_key.map(|answer| answer.queried.data_centre.as_str()).collect();
         centres.len() >= 2
     })
 }
 
-/// Milliseconds from each acceptance to its being in force, for each box.
-fn delays_of(accepted: &[(String, u64)], events: &[TraceEvent]) -> Vec<f64> {
+/// Returns the milliseconds from the acceptance of each change until it is in force, for each box.
+fn in_force_delays(accepted: &[(String, u64)], events: &[TraceEvent]) -> Vec<f64> {
     let mut delays = Vec::new();
     for (key, at) in accepted {
         let in_force = events.iter().filter(|event| {
@@ -215,15 +218,16 @@
     delays
 }
 
-/// Versions of a key that went down in some box, by the time line.
-fn reverts_of(events: &[TraceEvent]) -> usize {
-    let mut held: std::collections::HashMap<(&str, &str), u64> = std::collections::HashMap::new();
+/// Counts the events in the trace in which a box replaced the version of a key by an older one.
+fn count_reverts(events: &[TraceEvent]) -> usize {
+    let mut generations: std::collections::HashMap<(&str, &str), u64> =
+        std::collections::HashMap::new();
     let mut reverts = 0;
     for event in events.iter().filter(|event| event.kind == "config-in-force") {
         let key = event.fields.get("key").map_or("", String::as_str);
         let generation = event.fields.get("generation").and_then(|text| text.parse().ok());
         let generation: u64 = generation.unwrap_or(0);
-        let earlier = held.insert((&event.box_id, key), generation);
+        let earlier = generations.insert((&event.box_id, key), generation);
         reverts += usize::from(earlier.is_some_and(|earlier| earlier > generation));
     }
     reverts
--- a/crates/bench/tests/quota.rs
+++ b/crates/bench/tests/quota.rs
@@ -1,14 +1,14 @@
-//! Customers' quotas over a fleet in virtual time: no window above the bound, whatever is cut off,
-//! restarted or late, and hardly anything refused below the limit.
+//! Quotas of customers and limits of targets over fleets in virtual time: no window exceeds the bound under
+//! network cuts, restarts and delays, and few requests below the limit are refused.
 
 use proptest::prelude::*;
 use wingbench::quota::scenario::{QuotaScenario, SCENARIOS};
-use wingbench::quota::{QuotaBench, QuotaWay, WAYS, WindowBound, measure_quota};
+use wingbench::quota::{QuotaBench, QuotaStrategy, STRATEGIES, WindowBound, measure_quota};
 use wingbridge_decide::quota::QuotaLimit;
 
 const SEED: u64 = 40;
 
-fn bench(scenario: QuotaScenario, way: QuotaWay, boxes: usize, rate: f64) -> QuotaBench {
+fn bench(scenario: QuotaScenario, strategy: QuotaStrategy, boxes: usize, rate: f64) -> QuotaBench {
     QuotaBench {
         seed: SEED,
         fleets: 2,
@@ -16,8 +16,8 @@
         limit: QuotaLimit { per_second: rate, burst: rate },
         loss: 0.002,
         scenarios: vec![scenario],
-        ways: vec![way],
-        bound: WindowBound::OF_CUSTOMERS,
+        strategies: vec![strategy],
+        bound: WindowBound::CUSTOMERS,
         callers: 0,
     }
 }
@@ -25,7 +25,7 @@
 struct QuotaCase {
     scenario: QuotaScenario,
     rate: f64,
-    /// Requests in 100 that may be refused below the limit.
+    /// Maximum percentage of requests below the limit that are refused.
     refused: f64,
 }
 
@@ -40,7 +40,7 @@
     QuotaCase { scenario: QuotaScenario::CutAtTenTimes, rate: 100.0, refused: 10.0 },
     QuotaCase { scenario: QuotaScenario::CutAtTenTimes, rate: 20.0, refused: 10.0 },
     QuotaCase { scenario: QuotaScenario::Power, rate: 100.0, refused: 15.0 },
-    // For a second twice most keepers are away with their deputies.
+    // Twice, most coordinators are down for a second together with their standbys.
     QuotaCase { scenario: QuotaScenario::Killed, rate: 100.0, refused: 8.0 },
     QuotaCase { scenario: QuotaScenario::Killed, rate: 3.0, refused: 8.0 },
     QuotaCase { scenario: QuotaScenario::Rolling, rate: 100.0, refused: 20.0 },
@@ -49,9 +49,10 @@
 ];
 
 #[test]
-fn keepers_hold_the_bound_and_refuse_little_below_the_limit() {
+fn coordinators_hold_the_bound_and_refuse_few_requests_below_the_limit() {
     for case in CASES {
-        let report = measure_quota(&bench(case.scenario, QuotaWay::Keepers, 60, case.rate));
+        let report =
+            measure_quota(&bench(case.scenario, QuotaStrategy::Coordinators, 60, case.rate));
         let row = &report.rows[0];
         let name = format!("{} at {}: {row:?}", case.scenario, case.rate);
         assert_eq!(row.broken, 0, "{name}");
@@ -60,51 +61,57 @@
 }
 
 #[test]
-fn sums_told_to_all_break_the_bound_under_a_cut() {
-    // The check finds a fault where there is one.
-    let broken = bench(QuotaScenario::CutAtTenTimes, QuotaWay::Sums, 60, 100.0);
+fn reported_window_sums_break_the_bound_under_a_network_cut() {
+    // Shows that the check detects a strategy that breaks the bound.
+    let broken = bench(QuotaScenario::CutAtTenTimes, QuotaStrategy::WindowSums, 60, 100.0);
     let row = &measure_quota(&broken).rows[0];
     assert!(row.broken > 0 && row.worst > 1.0, "{row:?}");
 }
 
 #[test]
-fn names_of_ways_and_scenarios_are_read_back() {
-    for (way, name) in WAYS {
-        assert_eq!((name.parse(), way.to_string()), (Ok(way), name.to_string()));
+fn names_of_strategies_and_scenarios_parse_back() {
+    for (strategy, name) in STRATEGIES {
+        assert_eq!((name.parse(), strategy.to_string()), (Ok(strategy), name.to_string()));
     }
     for (scenario, name) in SCENARIOS {
         assert_eq!((name.parse(), scenario.to_string()), (Ok(scenario), name.to_string()));
     }
-    assert!("none".parse::<QuotaWay>().is_err());
+    assert!("none".parse::<QuotaStrategy>().is_err());
     assert!("none".parse::<QuotaScenario>().is_err());
 }
 
-fn of_a_target(scenario: QuotaScenario, way: QuotaWay, boxes: usize, rate: f64) -> QuotaBench {
+fn target_bench(
+    scenario: QuotaScenario,
+    strategy: QuotaStrategy,
+    boxes: usize,
+    rate: f64,
+) -> QuotaBench {
     QuotaBench {
         limit: QuotaLimit { per_second: rate, burst: 2.0 },
-        bound: WindowBound::OF_TARGETS,
-        // From all boxes.
+        bound: WindowBound::TARGETS,
+        // Enough callers for requests to arrive at nearly all boxes.
         callers: boxes * 2,
-        ..bench(scenario, way, boxes, rate)
+        ..bench(scenario, strategy, boxes, rate)
     }
 }
 
-/// Customers' keepers let boxes spend ahead of their word: of forty boxes each one.
+/// Under customers' coordinators each box may admit requests ahead of its grant, which adds up over forty
+/// boxes to more than twice the limit of a target.
 #[test]
-fn the_limit_of_a_target_is_kept_by_permits_and_broken_by_customers_keepers() {
-    let worst = |way| {
-        let bench = of_a_target(QuotaScenario::TenTimes, way, 40, 1.0);
+fn permits_hold_the_limit_of_a_target_and_customer_coordinators_break_it() {
+    let worst = |strategy| {
+        let bench = target_bench(QuotaScenario::TenTimes, strategy, 40, 1.0);
         measure_quota(&bench).rows[0].worst
     };
-    assert!(worst(QuotaWay::Permits) <= 1.0);
-    assert!(worst(QuotaWay::Keepers) > 2.0);
+    assert!(worst(QuotaStrategy::Permits) <= 1.0);
+    assert!(worst(QuotaStrategy::Coordinators) > 2.0);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
     #[test]
-    fn no_target_gets_more_than_its_limit_allows(
+    fn permits_never_exceed_the_limit_of_a_target(
         seed in 0u64..1_000_000,
         which in 0..SCENARIOS.len(),
         boxes in 4usize..50,
@@ -115,14 +122,14 @@
             seed,
             fleets: 1,
             loss,
-            ..of_a_target(SCENARIOS[which].0, QuotaWay::Permits, boxes, rate)
+            ..target_bench(SCENARIOS[which].0, QuotaStrategy::Permits, boxes, rate)
         };
         let row = &measure_quota(&bench).rows[0];
         prop_assert_eq!(row.broken, 0, "{:?}", row);
     }
 
     #[test]
-    fn no_window_is_above_the_bound(
+    fn coordinators_never_exceed_the_bound_in_any_window(
         seed in 0u64..1_000_000,
         which in 0..SCENARIOS.len(),
         boxes in 4usize..50,
@@ -133,7 +140,7 @@
             seed,
             fleets: 1,
             loss,
-            ..bench(SCENARIOS[which].0, QuotaWay::Keepers, boxes, rate)
+            ..bench(SCENARIOS[which].0, QuotaStrategy::Coordinators, boxes, rate)
         };
         let row = &measure_quota(&bench).rows[0];
         prop_assert_eq!(row.broken, 0, "{:?}", row);
