--- a/crates/decide/src/crashes/mod.rs
+++ b/crates/decide/src/crashes/mod.rs
@@ -24,12 +24,12 @@
 use crate::names::TargetKey;
 use crate::time::TimePoint;
 
-/// Number of targets that ended under a request from which on the request is sent to no target. Of 86
+/// Minimum number of targets that ended under a request at which the request is sent to no target. Of 86
 /// harmless requests that were open at targets which a poison request ended, 3 were hit twice and none
 /// three times (at 40 boxes, while 18 targets ended).
 pub const REFUSAL_THRESHOLD: usize = 3;
-/// Number of targets that ended under a request from which on a box does not retry it. A harmless request
-/// that was hit once is served by its second attempt.
+/// Minimum number of targets that ended under a request at which a box does not retry it. A harmless
+/// request that was hit once is served by its second attempt.
 pub const NO_RETRY_THRESHOLD: usize = 2;
 /// Time for which a request is refused after the last target that ended under it. It doubles with each
 /// further target. A poison request that is repeated continuously ends two targets in the first hour
@@ -42,7 +42,8 @@
 /// Upper bound on the number of requests with a record, some 200 KB. Each of them has ended a target or
 /// was open at one that ended, so no caller fills this without ending as many targets.
 const MAX_REQUESTS: usize = 1024;
-/// Time for which a change is reported again, so that boxes that were cut off for seconds receive it.
+/// Time for which a change is reported repeatedly, so that boxes that were cut off for some seconds
+/// receive it.
 const REPEAT_TIME: Duration = Duration::from_secs(30);
 
 /// Whether a request may be sent to a target.
--- a/crates/decide/src/crashes/unresolved_attempts.rs
+++ b/crates/decide/src/crashes/unresolved_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of this box of which it is not known whether they ended their target.
+//! Attempts of this box for which it is unknown whether their target ended while it ran them.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use crate::time::TimePoint;
 
 /// Time within which a target must be found to have ended for an attempt at it to count. Refused
-/// connections show the end at once, the store's listing after some five seconds.
+/// connections show the end immediately, the store's listing after some five seconds.
 const ATTEMPT_RETENTION: Duration = Duration::from_secs(10);
 /// Upper bound on the number of attempts; the oldest are dropped first. They come from callers that hang
 /// up: at 100 a second they cover ten seconds, in 30 KB.
--- a/crates/decide/src/floor.rs
+++ b/crates/decide/src/floor.rs
@@ -8,7 +8,7 @@
 /// The state of a target that the guard needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GuardedTarget {
-    /// Number of requests that the target works on at once.
+    /// Number of requests that the target processes concurrently.
     pub slots: u32,
     /// Whether the target would be in service without an ejection.
     pub in_service: bool,
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -139,7 +139,7 @@
 }
 
 impl TargetHealth {
-    /// Creates the health of a target of a service that is new in this box. The target gets its full share at once.
+    /// Creates the health of a target of a service that is new in this box. The target gets its full share immediately.
     pub fn healthy(now: TimePoint) -> TargetHealth {
         TargetHealth {
             state: HealthState::Healthy,
--- a/crates/decide/src/permits/share.rs
+++ b/crates/decide/src/permits/share.rs
@@ -40,7 +40,7 @@
         if now < next {
             return PermitAnswer::Denied(next.since(now));
         }
-        // Unused intervals are lost: if they were saved, those of many boxes could be used at once.
+        // Unused intervals are lost. If they were saved, many boxes could use theirs at the same time.
         self.next = Some(now + interval);
         PermitAnswer::Granted
     }
--- a/crates/decide/src/quota/accounts.rs
+++ b/crates/decide/src/quota/accounts.rs
@@ -380,7 +380,8 @@
         let alternation = self.failures.saturating_sub(STANDBY_AFTER_FAILURES) % COORDINATORS;
         let rank = u32::from(is_failover && alternation == 0);
         let wanted = if self.waiting > 0 {
-            // The product is rounded down, because unused tokens are returned too late for other boxes.
+            // Only few tokens are prefetched, because unused ones are returned too late for other
+            // boxes.
             let prefetched = (self.rate() * PREFETCH_TIME.as_secs_f64()).floor();
             (f64::from(self.waiting) + prefetched).min(MAX_WANTED) as u32
         } else {
--- a/crates/decide/src/service.rs
+++ b/crates/decide/src/service.rs
@@ -99,7 +99,7 @@
 }
 
 impl ServiceState {
-    /// Creates a service that is new in this box. All its targets get their full share at once.
+    /// Creates a service that is new in this box. All its targets get their full share immediately.
     pub(crate) fn new(setup: ServiceSetup, now: TimePoint) -> ServiceState {
         let new =
             |target: &TargetSetup| TargetState::new(target.clone(), TargetHealth::healthy(now));
--- a/crates/decide/src/setup.rs
+++ b/crates/decide/src/setup.rs
@@ -32,7 +32,7 @@
 pub struct TargetSetup {
     /// Address on which the target listens, as `IP:port`.
     pub address: Name,
-    /// Number of requests that the target handles concurrently.
+    /// Number of requests that the target processes concurrently.
     pub slots: u32,
 }
 
--- a/crates/decide/src/steer/failure_estimate.rs
+++ b/crates/decide/src/steer/failure_estimate.rs
@@ -70,8 +70,8 @@
     }
 
     /// Returns the likelihood ratio of a stalled attempt for an episode relative to a healthy target. It
-    /// is close to 1 at a service whose failures are answered with errors, where an attempt that is open
-    /// for long is mostly just slow.
+    /// is close to 1 at a service whose failures are answered with errors, where an attempt that has been
+    /// open for a long time is usually just slow.
     fn stalled_ratio(&self) -> f64 {
         stall_likelihood_ratio(OVERDUE_SHARE, self.episode_stall_share())
     }
--- a/crates/decide/src/steer/mechanism.rs
+++ b/crates/decide/src/steer/mechanism.rs
@@ -10,9 +10,9 @@
     Steering,
     /// Use of what peers observe of targets.
     PeerSamples,
-    /// Second attempts while the first attempt has been open for a long time.
+    /// Hedges: second attempts while the first one has been open for a long time.
     Hedges,
-    /// Second attempts that begin early enough for requests with little time remaining.
+    /// Hedges that begin early enough for requests with little time remaining.
     DeadlineHedges,
     /// Use of the ages of open attempts as evidence about targets.
     OpenAges,
--- a/crates/decide/src/steer/messages.rs
+++ b/crates/decide/src/steer/messages.rs
@@ -95,7 +95,7 @@
 pub enum RetryUse {
     /// A further attempt after one that failed or was refused. Without it the request is lost.
     Repeat,
-    /// A second attempt concurrent with one that has been open for a long time and may still be answered.
+    /// A hedge: a second attempt while the first one has been open for a long time and may still be answered.
     Hedge,
 }
 
@@ -163,7 +163,7 @@
 pub struct LoadReport {
     /// Number of requests that the target is working on or has queued.
     pub held: u32,
-    /// Number of requests that the target works on at once.
+    /// Number of requests that the target processes concurrently.
     pub slots: u32,
 }
 
--- a/crates/decide/src/steer/mod.rs
+++ b/crates/decide/src/steer/mod.rs
@@ -62,21 +62,21 @@
 /// this value, a request with a deadline of a second is still answered in time, at typical work times of 0.4
 /// s.
 const MIN_SATURATED_WAIT: Duration = Duration::from_millis(450);
-/// Minimum probability that an attempt has stalled at which a second attempt begins: at this probability,
-/// most of the retries that second attempts use save a request. On 40 random fleets 6 in 1,000 repeatable
-/// requests were lost with second attempts and 17 without.
+/// Minimum probability that an attempt has stalled at which a hedge begins, that is, a second attempt while
+/// the first one is still open. At this probability, most of the retries that hedges use save a request. On
+/// 40 random fleets 6 in 1,000 repeatable requests were lost with hedges and 17 without.
 const MIN_HEDGE_PROBABILITY: f64 = 0.5;
-/// Latency ratio before which no second attempt begins. A suspect that does answer has mostly done so by
-/// then, and the retry is saved for a request that needs it.
+/// Minimum latency ratio of an attempt at which a hedge begins. A suspect that does answer has mostly done so
+/// by then, and the retry is saved for a request that needs it.
 const MIN_HEDGE_RATIO: f64 = 0.6;
-/// Remaining time, as a multiple of the typical time, at which a request with little time gets its second
-/// attempt. On a quiet day 82 of 108 lookups that ran out of time had only one attempt, and 85 of the 108 had
-/// less than 1.3 s in total.
+/// Remaining time, as a multiple of the typical time, at which a request with little time is hedged. On a
+/// quiet day 82 of 108 lookups that ran out of time had only one attempt, and 85 of the 108 had less than 1.3
+/// s in total.
 const HEDGE_REMAINING_RATIO: f64 = 1.4;
-/// Lower bound on the probability that an attempt stalls when the time of a second attempt is computed: no
-/// target is certain to be healthy.
+/// Lower bound on the probability that an attempt stalls when the time of a hedge is computed: no target is
+/// certain to be healthy.
 const MIN_STALL_PROBABILITY: f64 = 0.01;
-/// Upper bound on the probability that an attempt stalls when the time of a second attempt is computed.
+/// Upper bound on the probability that an attempt stalls when the time of a hedge is computed.
 const MAX_STALL_PROBABILITY: f64 = 0.9;
 
 /// The targets of all services with their state, and the choice among them. Times are relative to the start
@@ -361,17 +361,17 @@
         pool.map(open).unwrap_or_default()
     }
 
-    /// Returns the time after the start of an attempt from which on it is open for longer than nearly all
-    /// attempts take.
+    /// Returns the time after the start of an attempt at which the attempt counts as overdue, because nearly
+    /// all attempts take less time.
     pub fn overdue_after(&self, handle: &AttemptHandle) -> Duration {
         self.age_exceeded_by(handle, OVERDUE_SHARE).unwrap_or(ASSUMED_TIME)
     }
 
-    /// Returns the time after the start of an attempt from which on it is likely enough to have stalled that
-    /// a second attempt is worth a retry, or `None` if the target is no longer listed or hedging is disabled.
-    /// The higher the risk of the target, the shorter the time. If `remaining`, the time from the start of
-    /// the attempt to the deadline, is long enough for two attempts, it also leaves the second one time for
-    /// an answer.
+    /// Returns the time after the start of an attempt at which the attempt is likely enough to have stalled
+    /// that a hedge is worth a retry, or `None` if the target is no longer listed or hedging is disabled. The
+    /// higher the risk of the target, the shorter the time. If `remaining`, the time from the start of the
+    /// attempt to the deadline, is long enough for two attempts, the result also leaves the hedge enough time
+    /// for an answer.
     pub fn hedge_after(
         &self,
         now: TimePoint,
--- a/crates/decide/src/steer/record.rs
+++ b/crates/decide/src/steer/record.rs
@@ -32,7 +32,7 @@
 const COLD_FACTOR: f64 = 2.0;
 /// A suspect is trusted again once its risk is below this.
 const MAX_TRUSTED_RISK: f64 = 0.1;
-/// Failure probability from which on a target is a suspect.
+/// Minimum failure probability at which a target is a suspect.
 pub const MIN_SUSPECT_RISK: f64 = 0.2;
 
 /// A listed target that takes requests.
@@ -48,7 +48,7 @@
     pub service: Name,
     /// The data centre of the target.
     pub data_centre: Name,
-    /// Number of requests that the target works on at the same time.
+    /// Number of requests that the target processes concurrently.
     pub slots: u32,
     /// Time until which the target is slow because it has just started.
     pub cold_until: TimePoint,
@@ -69,7 +69,7 @@
     }
 }
 
-/// A listed target with everything that is known of it.
+/// A listed target with its state in this box.
 #[derive(Debug)]
 pub struct TargetRecord {
     pub(crate) setup: SteerTarget,
@@ -178,10 +178,9 @@
     /// Returns whether the target may get requests at all: it is present, it is neither draining nor backing off,
     /// and permits for it are available.
     ///
-    /// Every choice of a target applies this filter, also trials, retries and second attempts. When a
-    /// refusal was only a cost in the score, three targets that had asked for a back-off were sent 18 to
-    /// 53 requests a second, all refused, of the 50 to 84 of their service (counted by the targets over
-    /// six seconds).
+    /// Every choice of a target applies this filter, also for trials, retries and hedges. When a refusal was only
+    /// a cost in the score, three targets that had asked for a back-off were sent 18 to 53 requests a second, all
+    /// refused, of the 50 to 84 of their service (counted by the targets over six seconds).
     pub(crate) fn is_eligible(&self, now: TimePoint) -> bool {
         !self.replaced
             && !self.setup.evacuated
--- a/crates/decide/src/steer/routes.rs
+++ b/crates/decide/src/steer/routes.rs
@@ -17,7 +17,7 @@
 /// Number of answers over which the typical time of a route is averaged: the work of single requests
 /// varies by a factor of two and more.
 const AVERAGE_WINDOW: f64 = 50.0;
-/// Number of answers from which on the typical time of a route is known.
+/// Minimum number of answers at which the typical time of a route is known.
 const MIN_ANSWERS: u32 = 3;
 /// Number of attempts of a route above which its counts are halved, since its deadline or its work may
 /// change.
--- a/crates/decide/src/steer/trial.rs
+++ b/crates/decide/src/steer/trial.rs
@@ -30,7 +30,7 @@
 /// Idle time after which a target that did not fail gets a trial under the conditions of
 /// [`RELAXED_FAILED_TRIAL_AFTER`].
 const RELAXED_IDLE_TRIAL_AFTER: Duration = Duration::from_millis(3000);
-/// Failure share below which few requests of a service fail. It is less than the tenth from which on the
+/// Failure share below which few requests of a service fail. It is less than the tenth above which the
 /// users' required share of targets applies.
 const MAX_LOW_FAILURE_SHARE: f64 = 0.08;
 /// Mean number of trials a second that all boxes together make of each target that is due.
--- a/crates/gateway/src/answers.rs
+++ b/crates/gateway/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: those of targets, which are forwarded, and those that the box gives itself.
+//! Answers to callers: forwarded answers of targets, and answers of the box itself.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 
 /// Minimum retry time in the answer to a refused caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// Random time that is added to the retry time of a refusal, at most, so that callers don't return at
-/// once.
+/// Maximum random time that is added to the retry time of a refusal, so that callers don't all return at the
+/// same time.
 const MAX_RETRY_JITTER: Duration = Duration::from_millis(700);
 
 /// Jitter of the retry time for callers beyond their quota, as a fraction of that time.
@@ -73,7 +73,7 @@
     pub(crate) headers: HeaderList,
     pub(crate) body: AnswerBody,
     pub(crate) outcome: CallerOutcome,
-    /// What decided the answer, for the log.
+    /// Reason for the answer, for the log.
     pub(crate) reason: &'static str,
 }
 
@@ -127,8 +127,9 @@
         answer
     }
 
-    /// Refuses a request that has not run and is beyond its customer's quota, which has room again after
-    /// `wait`. The answer has no retry time if the caller's deadline, `remaining` from now, is earlier.
+    /// Refuses a request that has not run and is beyond its customer's quota, which allows requests again
+    /// after `wait`. The answer has no retry time if the caller's deadline, `remaining` from now, is
+    /// earlier.
     pub(crate) fn beyond_quota(
         header_name: &str,
         wait: Duration,
@@ -150,8 +151,8 @@
         answer
     }
 
-    /// Encodes the head and, if it is buffered, the body. `closes` tells the caller that the connection ends
-    /// after the answer.
+    /// Encodes the head and, if it is buffered, the body. `closes` adds the header that announces the end of
+    /// the connection after the answer.
     pub(crate) fn encode(&self, closes: bool) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(512);
         bytes.extend_from_slice(
@@ -178,7 +179,7 @@
     }
 }
 
-/// Adds a random time of up to `fraction` of `wait`, so that callers don't all return at once.
+/// Adds a random time of up to `fraction` of `wait`, so that callers don't all return at the same time.
 fn with_jitter(wait: Duration, fraction: f64) -> Duration {
     wait.mul_f64(1.0 + fraction * rand::rng().random::<f64>())
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,9 +1,9 @@
 //! One attempt of a request at one target, over a connection of its own.
 //!
-//! Connections to targets are not reused. One box sends a given target a request about every ten
-//! seconds, and targets close idle connections after about that time. A pool would therefore save
-//! little, and a request that may not be repeated is lost if its connection closes under it. Without
-//! reuse, superfluous or late bytes of a target can't be taken for the answer to another request.
+//! Connections to targets are not reused. One box sends a given target a request about every ten seconds, and
+//! targets close idle connections after about that time. A pool would therefore save little, and a request that
+//! may not be repeated is lost if its connection closes while it is open. Without reuse, superfluous or late
+//! bytes of a target can't be mistaken for the answer to another request.
 
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
@@ -233,8 +233,8 @@
     Ok((head, (body, decoder)))
 }
 
-/// Returns whether the answer has the id of a request other than `expected_id`. Answers without an id are not
-/// counted, as some refusals have none.
+/// Returns whether the answer has the id of a request other than `expected_id`. It is false for an answer
+/// without an id, as some refusals have none.
 pub(crate) fn is_for_other_request(
     head: &RawResponseHead,
     names: &HeaderNames,
@@ -259,7 +259,8 @@
     if is_for_other_request(&head, names, expected_id) {
         return AttemptResult::NoValidAnswer(REQUEST_ID_MISMATCH.into());
     }
-    // Such an answer has the "not run" header, too, but the chosen target no longer exists.
+    // An answer with status 421 has the "not run" header, too, but its meaning is different: the chosen target
+    // no longer exists.
     if head.status == 421 {
         return AttemptResult::WrongTarget;
     }
--- a/crates/gateway/src/caller_connections.rs
+++ b/crates/gateway/src/caller_connections.rs
@@ -34,7 +34,7 @@
 /// Maximum length of a request's body that is buffered, in bytes. A request that is buffered completely can be sent
 /// to another target after the first one has refused it; the remainder of a longer body is streamed.
 const MAX_BUFFERED_BYTES: usize = 1 << 20;
-/// Interval at which a request checks for buffer memory while too much of it is in use.
+/// Interval at which a request checks for free buffer memory while too much is in use.
 const BUFFER_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum wait for buffer memory. Other long bodies are normally complete within this time; if not, the box is
 /// overloaded and can't serve the request.
@@ -165,8 +165,8 @@
     /// are handled at the same time and answered in the order in which they arrived. Returns whether the
     /// connection stays open.
     ///
-    /// No request is handled behind an answer that closes the connection: its caller would assume that it was not
-    /// read.
+    /// No request is handled after an answer that closes the connection, because the caller would assume that the
+    /// request was not read.
     async fn answer_pipelined(&mut self, context: &Arc<BoxContext>, first: CallerRequest) -> bool {
         let mut answers = FuturesOrdered::new();
         answers.push_back(start_request(context, first));
@@ -329,7 +329,7 @@
     }
 
     /// Forwards a long body. If it is cut short, the caller's connection is closed before the declared end of the
-    /// body, so that no client can take the answer for complete.
+    /// body, so that no client can mistake the answer for complete.
     async fn forward_body(&mut self, mut stream: AnswerStream) -> bool {
         let chunked = !matches!(stream.length, BodyLength::Known(_));
         let mut part = std::mem::take(&mut stream.beginning);
@@ -349,8 +349,8 @@
     }
 
     /// Reads more of a long answer. Returns false if it is cut short or the caller has disconnected. The caller's
-    /// connection is watched here because the next write would notice a closed one too late: the target worked
-    /// on for up to [`ANSWER_PART_TIMEOUT`] in vain.
+    /// connection is watched here because the next write would detect a closed one too late: the target would keep
+    /// working for nobody, for up to [`ANSWER_PART_TIMEOUT`].
     async fn read_part(&mut self, stream: &mut AnswerStream, part: &mut Vec<u8>) -> bool {
         let read = stream.reader.read_body(&mut stream.decoder, part);
         let read = std::pin::pin!(async_std::future::timeout(ANSWER_PART_TIMEOUT, read));
--- a/crates/gateway/src/config_exchange.rs
+++ b/crates/gateway/src/config_exchange.rs
@@ -80,8 +80,8 @@
     let source = context.config_source.reply(request, age_ms);
     let timed_out =
         |_| WireError::new(ErrorKind::Io, "timed out sending the configuration to a peer");
-    // The requesting peer waits as long: a shorter time limit would discard transfers that are
-    // nearly complete.
+    // The requesting peer has the same time limit. A shorter one here would discard transfers that
+    // are nearly complete.
     let time_limit = context.budget.config_fetch_timeout();
     timeout(time_limit, send_message(stream, source.message())).await.map_err(timed_out)??;
     if !source.message().deltas.is_empty() {
--- a/crates/gateway/src/config_source.rs
+++ b/crates/gateway/src/config_source.rs
@@ -63,7 +63,7 @@
         ConfigSource { state: Mutex::default(), slots: TransferSlots::new(link_mbps) }
     }
 
-    /// Replaces the held configuration by `text` if that is newer. `deltas` are those by which
+    /// Replaces the held configuration by `text` if that is newer. `deltas` are the deltas in which
     /// a peer sent it; if they are empty, the delta from the previous text is computed.
     pub fn put(&self, text: ConfigText, deltas: Vec<ConfigDelta>) {
         let previous = {
--- a/crates/gateway/src/config_sync.rs
+++ b/crates/gateway/src/config_sync.rs
@@ -187,8 +187,8 @@
         Some(fetched)
     }
 
-    /// Returns the time until this box reads the store itself. Returns `None` if it doesn't:
-    /// small configurations are read with the targets.
+    /// Returns the time until this box reads the store itself. Returns `None` if the configuration
+    /// is small, since small configurations are read with the targets.
     fn until_read(&mut self) -> Option<Duration> {
         let (age, bytes) = {
             let cached = self.context.view();
@@ -227,8 +227,8 @@
         }
     }
 
-    /// Logs once per revision that peers have had a newer configuration for longer than the
-    /// whole time budget of a change.
+    /// Logs once per revision that peers have had a newer configuration for longer than the total
+    /// time budget of a change.
     fn log_stale(&mut self) {
         if !self.context.is_stale() {
             return;
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -33,8 +33,8 @@
     CachedView, ConfigText, PeerListingDelta, StoreView, TargetEntry, TargetUpdate, ViewChange,
 };
 
-/// Number of simultaneously joining targets that are logged by name; of more, as after a start, only the
-/// count is logged.
+/// Maximum number of simultaneously joining targets that are logged by name. If there are more, as after a
+/// start, only their count is logged.
 const MAX_JOINED_LOGGED: usize = 20;
 
 /// Number of homes without a region that are logged by name for each configuration.
@@ -65,7 +65,8 @@
     /// Tracks which requests terminate targets.
     pub(crate) crashes: CrashTracker,
     pub(crate) view_changed: async_channel::Sender<()>,
-    /// Signals that a peer has a configuration that this box lacks, or that another one is in force.
+    /// Signals that a peer has a configuration that this box lacks, or that another configuration has come into
+    /// force here.
     pub(crate) config_changed: async_channel::Sender<()>,
     /// Time limits for the steps by which a change reaches this box.
     pub(crate) budget: ChangeBudget,
@@ -81,8 +82,8 @@
     view: Mutex<CachedView>,
     core: Mutex<SteerCore>,
     split: Mutex<WeightedSplit>,
-    /// Opens once both a configuration and the targets are known: a box that had just started and
-    /// had only the configuration turned every caller away.
+    /// Opens once both a configuration and the targets are known: a box that had just started and had only the
+    /// configuration refused every caller.
     pub(crate) first_view: ReadyLatch,
 }
 
@@ -147,7 +148,7 @@
         lock(&self.core)
     }
 
-    /// Locks what is known of the store. Its ages include the time for which this machine was suspended.
+    /// Locks the cached view of the store. Its ages include the time for which this machine was suspended.
     pub(crate) fn view(&self) -> MutexGuard<'_, CachedView> {
         let mut view = lock(&self.view);
         if let Some(time) = self.suspension.newly_suspended(self.port.suspended()) {
@@ -163,18 +164,18 @@
         ClockSample::now(self.port.suspended())
     }
 
-    /// Returns `time` as a clock would have it that had counted the time of suspensions since `sample`.
+    /// Returns `time`, corrected for the suspensions since `sample`, which the clock did not count.
     pub(crate) fn correct(&self, sample: &ClockSample, time: Instant) -> Instant {
         sample.correct(time, self.port.suspended())
     }
 
-    /// Returns the time of `sample` on a clock that had counted the time of suspensions since then.
+    /// Returns the time of `sample`, corrected for the suspensions since then, which the clock did not count.
     pub(crate) fn corrected_time(&self, sample: &ClockSample) -> Instant {
         sample.corrected_time(self.port.suspended())
     }
 
-    /// Returns whether this machine resumed from a suspension moments ago; the age of what peers sent in
-    /// the meantime is unknown then.
+    /// Returns whether this machine resumed from a suspension moments ago; the age of data that peers sent in
+    /// the meantime is then unknown.
     pub(crate) fn recently_resumed(&self) -> bool {
         drop(self.view());
         self.suspension.recently_resumed()
@@ -215,8 +216,8 @@
         self.first_view.is_open() && !self.stopping.is_stopping() && !self.is_stale()
     }
 
-    /// Returns whether peers have had a newer configuration for the whole time budget of a change
-    /// and this box could not get it. Callers are then better served by those peers.
+    /// Returns whether peers have had a newer configuration for the total time budget of a change and this box
+    /// could not get it. Callers are then better served by those peers.
     pub(crate) fn is_stale(&self) -> bool {
         let pending = self.newer_config().pending();
         pending.is_some_and(|(learned_at, _)| learned_at.elapsed() >= self.budget.total())
@@ -225,7 +226,8 @@
     /// Applies a complete reading of the store.
     pub(crate) fn apply_view(&self, mut view: StoreView, as_of: Instant, source: &str) {
         let revision = view.revision;
-        // Applied before the box opens to callers, whose first request may be a poison request.
+        // The notes are applied before the box accepts callers, because the first request may be a poison
+        // request.
         self.crashes.apply_notes(std::mem::take(&mut view.crash_notes));
         let change = self.change_view(|cached| cached.apply(view, as_of, &*self.port));
         let learned_at = self.publish_config(Vec::new());
@@ -267,8 +269,8 @@
         );
     }
 
-    /// Applies a configuration that was the newest one at `as_of`. `deltas` are those by which a
-    /// peer sent it.
+    /// Applies a configuration that was the newest one at `as_of`. `deltas` are the deltas in which a peer sent
+    /// it.
     pub(crate) fn apply_config(
         &self,
         config: ConfigText,
@@ -319,9 +321,9 @@
             log_customer_problems(&config);
             log_invalid_entries(&config);
             self.log_unknown_homes(&config);
-            // The configuration task waits according to the configuration held before. Without this
-            // signal, a configuration that arrived with the targets left a box without a read of its
-            // own for a minute. A full channel already has a signal pending.
+            // The configuration task waits according to the configuration held before. Without this signal, a
+            // box whose configuration had arrived with the targets did not read it by itself for a minute. A
+            // full channel already has a signal pending.
             let _ = self.config_changed.try_send(());
         }
         // A full channel already has a signal pending.
@@ -339,8 +341,8 @@
         }
     }
 
-    /// Changes what is known of the store, and passes the resulting changes of the eligible targets to the
-    /// core. The view stays locked meanwhile, so that an older one can't overtake it.
+    /// Changes the cached view of the store, and passes the resulting changes of the eligible targets to the
+    /// core. The view stays locked meanwhile, so that an older change can't overtake a newer one.
     pub(crate) fn change_view<T>(&self, change: impl FnOnce(&mut CachedView) -> T) -> T {
         let mut cached = self.view();
         let changed = change(&mut cached);
@@ -380,7 +382,7 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// The box whose attempts changed the suspicion of a target.
+/// The origin of the attempts that changed the suspicion of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ObservedBy {
     /// This box.
@@ -391,9 +393,9 @@
 
 /// Logs and counts that a target became suspected or is no longer suspected.
 ///
-/// Only changes caused by attempts of this box are logged: the peer that made the other attempts logs
-/// theirs. When each box logged all of them, a quiet day of 113 boxes had 4.4 lines about attempts of
-/// peers for each request.
+/// Only changes caused by attempts of this box are logged: each peer logs the changes caused by its own
+/// attempts. When each box logged all of them, a quiet day of 113 boxes had 4.4 lines about attempts of peers
+/// for each request.
 pub(crate) fn log_suspicion(change: Option<SuspicionChange>, by: ObservedBy) {
     let Some(SuspicionChange { id, service, risk, suspect }) = change else {
         return;
--- a/crates/gateway/src/crash_tracker.rs
+++ b/crates/gateway/src/crash_tracker.rs
@@ -80,7 +80,7 @@
         lock(&self.ledger).reports_to_repeat(self.now(), max).iter().map(encode_report).collect()
     }
 
-    /// Applies the notes that boxes wrote to the store. Their times are those of the writers' clocks, which may
+    /// Applies the notes that boxes wrote to the store. Their times are from the clocks of the writers, which may
     /// differ by seconds. That is little compared with the minutes for which a request is refused.
     pub(crate) fn apply_notes(&self, notes: Vec<Vec<u8>>) {
         let mut known = lock(&self.notes);
@@ -103,8 +103,8 @@
         *known = notes;
     }
 
-    /// Returns the encoded requests that are refused now, for the store, and before them a version that changes with
-    /// the set of requests or the number of their crashes.
+    /// Returns the note for the store: a version, which changes with the set of refused requests or the number of
+    /// their crashes, and the encoded records of the refused requests.
     pub(crate) fn encode_note(&self) -> (u64, Vec<u8>) {
         let refused = lock(&self.ledger).refused_reports(self.now(), MAX_NOTED);
         let known = refused.iter().map(|report| (report.fingerprint.0, report.ends.len()));
@@ -142,7 +142,7 @@
 
 fn unix_millis() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    // A clock before 1970 has no valid time. What was written then counts as new.
+    // A clock before 1970 is invalid. It counts as 1970, so that all notes count as new.
     since.map_or(0, millis)
 }
 
--- a/crates/gateway/src/customers.rs
+++ b/crates/gateway/src/customers.rs
@@ -30,7 +30,7 @@
 }
 
 impl fmt::Display for KeyDigest {
-    /// Writes the first digits only, so that logs don't contain the digest as a whole.
+    /// Writes the first digits only, so that logs don't contain the complete digest.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0[..PRINTED_DIGEST_BYTES].iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
@@ -47,7 +47,8 @@
 pub struct Customer {
     /// Name of the customer, which is sent to targets.
     pub name: Name,
-    /// Priority of the customer's requests, which replaces that of the route; 0 is the most urgent.
+    /// Priority of the customer's requests, which replaces the priority of the route; 0 is the most
+    /// urgent.
     pub priority: Option<u32>,
     /// Quota of the customer over all boxes together; `None` for no limit.
     pub quota: Option<QuotaLimit>,
--- a/crates/gateway/src/gossip/heartbeats.rs
+++ b/crates/gateway/src/gossip/heartbeats.rs
@@ -41,8 +41,8 @@
 /// Time after the start during which a box that knows only boxes of other data centres still asks the seeds
 /// every [`SEARCH_PERIOD`]. Seeds learn of other boxes some seconds late.
 const LOCAL_SEARCH_TIME: Duration = Duration::from_secs(8);
-/// Number of boxes that are notified at once when this box has received a configuration from a peer. Most
-/// others have been notified by the box that read the store, and wait until they may fetch it there.
+/// Number of boxes that are notified at once when this box has received a configuration from a peer. Most of the
+/// others have been notified by the box that read the store, and wait for one of its transfer slots.
 const CONFIG_NOTIFIED_PEERS: usize = 4;
 
 impl Gossip {
@@ -51,9 +51,9 @@
         let started = Instant::now();
         let mut round: u32 = 0;
         loop {
+            update_excluded_gauges(&self.context);
             // The first box found may be in another data centre, which does not help with the state that
             // boxes of one data centre share, so the search goes on for a while.
-            update_excluded_gauges(&self.context);
             let no_local_peer = self.context.peers().local().is_empty();
             let no_peer = self.context.peers().boxes() == 1;
             if no_peer || (no_local_peer && started.elapsed() < LOCAL_SEARCH_TIME) {
@@ -87,7 +87,7 @@
         .await;
     }
 
-    /// Notifies all peers that this box is about to stop.
+    /// Notifies all peers that this box is stopping.
     pub(crate) async fn broadcast_stopping(&self) {
         let mut all = self.context.peers().local();
         all.extend(self.context.peers().remote());
@@ -104,7 +104,7 @@
         self.send_heartbeat(hosts, heartbeat).await;
     }
 
-    /// Asks a random box of another data centre for a heartbeat, which has the version of its view.
+    /// Asks a random box of another data centre for a heartbeat, which contains the version of its view.
     pub(crate) async fn request_remote_heartbeat(&self) {
         let remote = self.context.peers().random_remote();
         self.request_heartbeats(remote.as_slice()).await;
@@ -190,7 +190,7 @@
             found.into_iter().filter(|host| peers.is_local(*host)).collect()
         };
         if !found.is_empty() {
-            // These boxes may not know this one yet.
+            // These boxes may not have received anything from this one yet.
             self.send_heartbeat(
                 &found,
                 Heartbeat { view_version: self.view_version(), ..Heartbeat::default() },
@@ -215,8 +215,8 @@
         }
     }
 
-    /// Compares a peer's view with this box's one: marks the view as confirmed if the peer has the same, and
-    /// schedules a fetch if the peer has a newer one.
+    /// Compares the version of a peer's view with this box's view: marks the view as confirmed if both are the
+    /// same, and schedules a fetch if the peer has a newer one.
     fn compare_view(&self, from: IpAddr, now: Instant, version: ViewVersion) {
         let before = |age_ms| now.checked_sub(Duration::from_millis(age_ms));
         let (Some(as_of), Some(config_as_of)) =
--- a/crates/gateway/src/gossip/mod.rs
+++ b/crates/gateway/src/gossip/mod.rs
@@ -33,7 +33,7 @@
     context: Arc<BoxContext>,
     socket: UdpSocket,
     incarnation: u64,
-    /// Takes the peers from which a newer listing of targets is to be fetched.
+    /// Channel for the peers from which a newer listing of targets is to be fetched.
     fetching: async_channel::Sender<IpAddr>,
     /// Number of updates that were sent to relays of other data centres.
     update_count: AtomicU64,
@@ -62,7 +62,7 @@
         self.send(&[host], DatagramBody::Tokens(message)).await;
     }
 
-    /// Sends requests for permits, or replies to such, to the box at `host`.
+    /// Sends requests for permits, or replies to them, to the box at `host`.
     pub(crate) async fn send_permits(&self, host: IpAddr, message: PermitMessage) {
         self.send(&[host], DatagramBody::Permits(message)).await;
     }
--- a/crates/gateway/src/gossip/reports.rs
+++ b/crates/gateway/src/gossip/reports.rs
@@ -2,7 +2,8 @@
 //! records, and numbers of retries.
 //!
 //! The full-report peers of the own data centre receive all samples, the other local boxes only the important
-//! ones. A box sends those also to a few relays in each other data centre, which pass them on to their neighbours.
+//! ones. A box sends those also to a few relays in each other data centre, which relay them to the other boxes
+//! there.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -33,7 +34,7 @@
 const MAX_CRASHES: usize = 8;
 
 impl Gossip {
-    /// Sends reports when `wakeups` asks for it, until that channel is closed.
+    /// Sends reports whenever `wakeups` yields, until that channel is closed.
     pub(crate) async fn run_reports(self: Arc<Self>, wakeups: Receiver<Urgency>) {
         while let Ok(mut urgency) = wakeups.recv().await {
             let started_at = Instant::now();
@@ -80,7 +81,7 @@
         }
         let urgent = pending.iter().filter(|one| one.is_urgent).map(|one| one.sample.clone());
         let urgent: Vec<PassiveSample> = urgent.collect();
-        // These have no counts of open attempts. By the counts a box detects that it receives full reports.
+        // These have no counts of open attempts. A box that receives counts treats the report as a full one.
         for part in into_parts(&urgent, Vec::new(), &crashes) {
             if !relays.is_empty() {
                 let number = self.update_count.fetch_add(1, Ordering::Relaxed) + 1;
--- a/crates/gateway/src/incarnations.rs
+++ b/crates/gateway/src/incarnations.rs
@@ -1,8 +1,9 @@
 //! Incarnations of targets: an instance that restarts keeps its name and loses its state.
 //!
 //! The store holds one entry per name, and a delayed write of an older incarnation may overwrite the
-//! entry of a newer one: a write that was done but not answered is repeated seconds later. The newest
-//! incarnation that was seen under a name therefore takes precedence over the listed entry.
+//! entry of a newer one: a target repeats a write that took effect without an answer seconds later.
+//! The newest incarnation that was seen under a name therefore takes precedence over the listed
+//! entry.
 
 use std::collections::HashMap;
 
@@ -13,12 +14,12 @@
 /// Number of restarted instances above which those that are no longer listed are evicted.
 const MAX_RESTARTED: usize = 1024;
 
-/// The incarnations that were seen of each target.
+/// The incarnations of targets that were seen so far.
 #[derive(Debug, Default)]
 pub(crate) struct TargetIncarnations {
     /// Start of the newest incarnation that was seen draining, by name. A drained incarnation never
-    /// returns. One whose entry was merely removed may, because entries lapse while the target can't
-    /// reach the store.
+    /// returns. An incarnation whose entry was merely removed may return, because entries lapse
+    /// while the target can't reach the store.
     drained: HashMap<Name, u64>,
     /// Instances that have restarted, by name.
     restarted: HashMap<Name, NewestIncarnation>,
--- a/crates/gateway/src/invalid_entries.rs
+++ b/crates/gateway/src/invalid_entries.rs
@@ -5,7 +5,7 @@
 //! invalid entry depends on the configuration alone, so it is the same in every box, however the
 //! configuration arrived there.
 
-/// Number of invalid entries that are logged individually; of the others only the count is logged.
+/// Maximum number of invalid entries that are logged individually; the others are only counted.
 const MAX_LOGGED: usize = 16;
 /// Number of characters kept of a name and of a reason: either may repeat the contents of the entry.
 const MAX_TEXT_CHARS: usize = 200;
--- a/crates/gateway/src/listing_history.rs
+++ b/crates/gateway/src/listing_history.rs
@@ -1,7 +1,7 @@
 //! Recent changes of the listing of targets, so that a peer can be sent the delta alone.
 //!
-//! A rolling release changes one target in each reading, and a listing of 3,000 targets has 240 KB:
-//! sent in full to 30 peers, that is six seconds of a link with 10 Mbit/s.
+//! During a rolling release each reading has one changed target, and a listing of 3,000 targets has
+//! 240 KB: sending it in full to 30 peers takes a link with 10 Mbit/s six seconds.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
@@ -12,11 +12,11 @@
 /// Maximum number of recorded changes: about 20 s of readings that all differ.
 const MAX_CHANGES: usize = 24;
 /// Maximum number of names in all recorded changes, unless half of the listing is more. A peer that
-/// misses more changes is sent the full listing, which is not longer then.
+/// lacks more changes is sent the full listing, which is then no longer than the delta.
 const MAX_NAMES: usize = 2048;
 
-/// The latest changes of the listing, oldest first. Each starts from the listing that the one before
-/// resulted in.
+/// The latest changes of the listing, oldest first. Each change starts from the result of the
+/// previous one.
 #[derive(Debug, Default)]
 pub(crate) struct ListingHistory {
     changes: VecDeque<ListingChange>,
--- a/crates/gateway/src/listing_source.rs
+++ b/crates/gateway/src/listing_source.rs
@@ -1,10 +1,10 @@
 //! Encoding and sending of the listing of targets to peers.
 //!
 //! All boxes of a data centre need the same change of some thousand targets at the same moment, from
-//! whichever box has it first. With a separate reply packed for each of them and all replies sent at
-//! once, two hundred replies took a link of 200 Mbit/s longer than any box waits, and then all boxes
-//! read the store. A reply is therefore packed once for all peers that lack the same changes, and a box
-//! sends a long reply to a few peers at a time. Those that have received it serve the others.
+//! whichever box has it first. When a separate reply was packed for each of them and all replies were
+//! sent at once, two hundred replies took a link of 200 Mbit/s longer than any box waits, and all boxes
+//! then read the store. A reply is therefore packed once for all peers that lack the same changes, and
+//! a box sends a long reply to a few peers at a time. Those that have received it serve the others.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
@@ -83,7 +83,7 @@
     }
 
     /// Returns the reply for `key`, packed by `pack` unless it is kept from before. Returns `None` if
-    /// the reply is long and all transfer slots are taken.
+    /// the reply is long and all transfer slots are in use.
     pub(crate) fn send(
         &self,
         key: ListingDeltaKey,
--- a/crates/gateway/src/newer_config.rs
+++ b/crates/gateway/src/newer_config.rs
@@ -19,8 +19,9 @@
 }
 
 impl NewerConfig {
-    /// Records that the box at `host` has the configuration of `revision`, while this box holds
-    /// that of `held`. Returns whether this is the first report of that revision.
+    /// Records that the box at `host` has the configuration of `revision`, while this box has the
+    /// configuration of the revision `held`. Returns whether this is the first report of that
+    /// revision.
     pub(crate) fn record(
         &mut self,
         host: IpAddr,
@@ -44,7 +45,8 @@
         first
     }
 
-    /// Clears the record if the configuration of `held`, which this box holds, is as new.
+    /// Clears the record if the configuration of this box, of the revision `held`, is at least as
+    /// new.
     pub(crate) fn clear_if_held(&mut self, held: u64) {
         if self.revision <= held {
             *self = NewerConfig::default();
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -1,8 +1,8 @@
 //! Notices that targets give in the heads of their answers: that they are draining, request a back-off, or have a
 //! limit.
 //!
-//! A notice is applied as soon as the head has arrived. It holds even if the body is long, is cut short, or has no
-//! caller any more.
+//! A notice is applied as soon as the head has arrived. It applies even if the body is long or truncated, or if the
+//! caller has disconnected.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, SystemTime};
@@ -26,7 +26,7 @@
 /// Value of the header by which a target announces that it is draining.
 const DRAINING: &str = "1";
 
-/// Applies the notices in the answer to one attempt, and checks those of its target before the attempt is sent.
+/// Applies the notices in the answer to one attempt, and checks the notices of its target before the attempt is sent.
 pub(crate) struct AttemptNotices<'a> {
     context: &'a BoxContext,
     key: TargetKey,
@@ -58,7 +58,8 @@
             return;
         }
         let mut bytes = [0; MAX_UNREAD_BYTES];
-        // A head that has not arrived yet is not awaited. The connection closes, which cancels the work.
+        // A head that has not arrived yet is not awaited. The connection closes, which cancels the work of the
+        // target.
         let Some(Ok(count)) = self.stream.peek(&mut bytes).now_or_never() else {
             return;
         };
@@ -125,7 +126,7 @@
             Some(Ineligibility::BackingOff { since, .. }) => ("rests", since),
             None => match limit {
                 None => return true,
-                // A permit under a higher limit does not hold: the target accepts less now.
+                // A permit that was granted under a higher limit is void, because the target now accepts less.
                 Some(limit) if self.permit.is_some_and(|permit| permit.limit <= limit) => {
                     self.log_limited_send(limit);
                     return true;
@@ -167,9 +168,9 @@
 
 /// Merges the report of a peer that a target is draining.
 ///
-/// Without it a box would learn of the draining only from an answer of the target to itself, and would send it work
-/// until then that is cut off when the target ends. A back-off is not reported: it was requested from one box, and
-/// if one refusal were reported to all, every box would turn to the same targets next.
+/// Without the report, a box would learn of the draining only when the target answers it, and would until then send
+/// requests that are cut off when the target ends. A back-off is not reported: it was requested from one box, and if
+/// one refusal were reported to all, every box would turn to the same targets next.
 pub(crate) fn merge_draining(context: &BoxContext, key: TargetKey, peer: &str) {
     let now = context.now();
     let mut core = context.core();
@@ -194,8 +195,8 @@
     metrics::gauge!("wingbridge_targets_resting").set(backing_off as f64);
 }
 
-/// Returns whether an answer to the request with the id `request` comes from the target that was asked. The notices in
-/// an answer of another instance, or to another request, can't be attributed to a target.
+/// Returns whether an answer to the request with the id `request` comes from the chosen target. The notices in an
+/// answer of another instance, or to another request, can't be attributed to a target.
 fn is_from_target(head: &RawResponseHead, names: &HeaderNames, request: Option<&str>) -> bool {
     let is_success = (200..300).contains(&head.status);
     let has_proof = !is_success || head.headers.contains(&names.proof);
@@ -238,7 +239,7 @@
 }
 
 /// Parses a non-negative decimal number without an exponent. Other texts that parse as a float, such as `inf` and
-/// `1e12`, are rejected since no target means them.
+/// `1e12`, are rejected, since no target sends them intentionally.
 fn read_decimal(text: &str) -> Option<f64> {
     if !text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.') {
         return None;
--- a/crates/gateway/src/open_attempt.rs
+++ b/crates/gateway/src/open_attempt.rs
@@ -43,7 +43,7 @@
     pub(crate) is_buffered: bool,
 }
 
-/// An attempt that this box does not wait for any longer.
+/// An attempt that this box no longer waits for.
 pub(crate) struct EndedAttempt {
     pub(crate) open: OpenAttempt,
     /// Result of the attempt; `None` if the request's deadline passed before.
@@ -154,7 +154,7 @@
         async_std::future::timeout(remaining, attempt).await.ok()
     }
 
-    /// Reports to the core that the attempt takes longer than expected.
+    /// Reports to the core that the attempt is overdue.
     fn report_overdue(&self) {
         let context = &self.context;
         let effect = context.core().record_overdue(context.now(), &self.handle);
--- a/crates/gateway/src/passive_samples.rs
+++ b/crates/gateway/src/passive_samples.rs
@@ -11,7 +11,7 @@
 
 use crate::context::lock;
 
-/// How soon a sample must be reported.
+/// The urgency with which a sample must be reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Urgency {
     /// At once: a failure, or another change that peers need to act on.
@@ -51,9 +51,9 @@
 }
 
 impl SampleBuffer {
-    /// Creates a buffer, and the channel on which it asks to be emptied.
+    /// Creates a buffer, and the channel on which it requests that its samples are sent.
     pub(crate) fn new() -> (SampleBuffer, Receiver<Urgency>) {
-        /// Capacity of the channel. A request beyond it is covered by the pending ones.
+        /// Capacity of the channel. Requests beyond it are dropped, since the pending ones cover them.
         const MAX_PENDING_WAKEUPS: usize = 4;
         let (wake, wakeups) = async_channel::bounded(MAX_PENDING_WAKEUPS);
         (SampleBuffer { pending: Mutex::default(), wake }, wakeups)
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -22,13 +22,14 @@
 
 /// Time without a heartbeat after which a box of the own data centre is removed: three heartbeats.
 const LOCAL_PEER_TIMEOUT: Duration = Duration::from_millis(3500);
-/// Time without a heartbeat after which a box of the own data centre may be unreachable: more than one heartbeat
-/// period.
+/// Time without a heartbeat after which a box of the own data centre is suspected to be unreachable: more than one
+/// heartbeat period.
 const LOCAL_SUSPICION_TIME: Duration = Duration::from_millis(1600);
 /// Time for which an unresponsive box is remembered as lost. Network partitions last about 12 s.
 const LOST_PEER_RETENTION: Duration = Duration::from_secs(30);
-/// Time since a box of another data centre was last seen after which it is removed. It is longer since this box
-/// learns of such boxes only from the random samples that third boxes send.
+/// Time since a box of another data centre was last seen after which it is removed. It is longer than
+/// [`LOCAL_PEER_TIMEOUT`], since this box learns of such boxes mostly from the random samples of peers that other boxes
+/// send.
 const REMOTE_PEER_TIMEOUT: Duration = Duration::from_secs(25);
 
 /// A known box.
@@ -38,7 +39,7 @@
     pub(crate) data_centre: String,
     pub(crate) box_id: String,
     pub(crate) incarnation: u64,
-    /// Capacity of its link in megabits a second, 0 if unknown.
+    /// Capacity of the link of the box in megabits a second, 0 if unknown.
     pub(crate) link_mbps: u32,
     last_seen: Instant,
 }
@@ -211,9 +212,9 @@
         self.peers.len() + 1
     }
 
-    /// Returns the read priority of this box in its data centre. The box with 0 reads the store for the others, the
-    /// next one takes over when it receives nothing from it, and so on. Boxes with at least twice the link
-    /// capacity come first: a megabyte takes 1.1 s at 10 Mbit/s, and 0.05 s at 200 Mbit/s.
+    /// Returns the read priority of this box in its data centre. The box with priority 0 reads the store for the
+    /// others, the box with priority 1 takes over when it receives nothing from the first, and so on. Boxes with at
+    /// least twice the link capacity come first: a megabyte takes 1.1 s at 10 Mbit/s, and 0.05 s at 200 Mbit/s.
     pub(crate) fn read_priority(&self) -> usize {
         let weight = |link_mbps: u32, box_id: &str| {
             (link_mbps.checked_ilog2(), rendezvous_weight(&self.own_centre, box_id))
@@ -231,8 +232,8 @@
     }
 
     /// Returns the primary and the standby coordinator of a customer's quota. Boxes with at least twice the link
-    /// capacity come first: on these the answers of a coordinator take a fifth of the processor share that they
-    /// take on small boxes.
+    /// capacity come first: there the work of a coordinator takes a fifth of the processor share that it takes on small
+    /// boxes.
     pub(crate) fn coordinators(&self, customer: &str) -> Coordinators {
         let subject = stable_hash(customer);
         let weight = |link_mbps: u32, box_id: &str| {
@@ -254,8 +255,8 @@
     }
 
     /// Returns the box that coordinates the permits of a target in `data_centre`. It is a box of that data centre,
-    /// through which most requests to the target pass, unless this box knows none there. Link capacity counts as
-    /// for the coordinators of quotas.
+    /// through which most requests to the target pass, unless this box knows none there. Boxes with at least twice the
+    /// link capacity come first, as for the coordinators of quotas.
     pub(crate) fn permit_coordinator(
         &self,
         data_centre: &str,
--- a/crates/gateway/src/permit_manager.rs
+++ b/crates/gateway/src/permit_manager.rs
@@ -1,8 +1,8 @@
 //! Permits to send requests to targets that announced a limit.
 //!
-//! Each such target has one coordinator among the boxes, from which all boxes request permits. This module sends
-//! the requests of this box, and answers those of others for the targets that this box coordinates. The decisions
-//! are in `wingbridge_decide::permits`.
+//! Each such target has one coordinator among the boxes, from which all boxes request permits. This module sends the
+//! requests of this box, and answers the requests of other boxes for the targets that this box coordinates. The
+//! decisions are in `wingbridge_decide::permits`.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -24,7 +24,8 @@
 /// Time after which a request for a permit without a reply is given up. A round trip takes some milliseconds, and
 /// busy boxes with a tenth of a core reply some tens of milliseconds late.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(80);
-/// Time for which a box that did not reply is not asked again, so that only one request within it waits in vain.
+/// Time for which a box that did not reply is not asked again, so that only one request within this time waits in
+/// vain.
 const UNRESPONSIVE_PAUSE: Duration = Duration::from_secs(1);
 /// Time after the start during which a box neither coordinates permits nor requests any. Until it has learned of the
 /// other boxes it would consider itself the coordinator of all targets.
@@ -34,7 +35,8 @@
 const MAX_ASKED_BOXES: usize = 2;
 /// Maximum number of datagrams that wait to be sent.
 const MAX_OUTGOING: usize = 64;
-/// Number of fallback shares, of unresponsive boxes and of open requests from which on obsolete entries are removed.
+/// Number of entries at which obsolete ones are removed, for each of the tables of fallback shares, unresponsive
+/// boxes and open requests.
 const CLEANUP_THRESHOLD: usize = 1024;
 
 /// The box that permitted a request to a target with a limit.
@@ -49,12 +51,12 @@
 /// A permit for one request to a target with a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct SendPermit {
-    /// Limit under which it was granted. The permit does not hold for a lower one.
+    /// Limit under which the permit was granted. The permit is void under a lower limit.
     pub(crate) limit: RequestRate,
     pub(crate) source: PermitSource,
 }
 
-/// No permit is available. The target is not eligible for a while.
+/// The error if no permit is available. The target is then ineligible until its retry time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct NoPermit;
 
@@ -85,7 +87,7 @@
     last_number: u64,
     /// Callers' requests that wait for a reply, by the number of the permit request.
     waiting: HashMap<u64, Sender<PeerReply>>,
-    /// What this box may send by itself while no coordinator replies.
+    /// The fallback shares: the requests that this box may send while no coordinator replies.
     shares: HashMap<TargetKey, FallbackShare>,
     /// Boxes that did not reply, with the time until which they are not asked.
     unresponsive: HashMap<IpAddr, Instant>,
@@ -167,7 +169,7 @@
             if let Some(limit) = &reply.limit {
                 merge_limit(context, limit, peer);
             }
-            // The caller's request may be over. Its permit is lost then.
+            // The caller's request may have ended, in which case its permit is lost.
             if let Some(waiting) = lock(&self.state).waiting.remove(&reply.number) {
                 let _ = waiting.try_send(decode_reply(reply));
             }
@@ -177,7 +179,7 @@
         (!replies.is_empty()).then(|| PermitMessage { requests: Vec::new(), replies })
     }
 
-    /// Returns the coordinator of a target's permits, `None` until this box has learned of the others.
+    /// Returns the coordinator of a target's permits, `None` until this box has learned of the other boxes.
     fn coordinator_of(&self, context: &BoxContext, pick: &SteerPick) -> Option<CoordinatorSeat> {
         is_settled(context).then(|| context.peers().permit_coordinator(&pick.data_centre, pick.key))
     }
@@ -225,7 +227,7 @@
         let message = PermitMessage { requests: vec![request], replies: Vec::new() };
         let reply = match self.outgoing.try_send((host, message)) {
             Ok(()) => timeout(REPLY_TIMEOUT, reply.recv()).await.ok().and_then(Result::ok),
-            // The channel is full. With so many datagrams to send the reply would arrive late.
+            // The channel is full. With that many datagrams to send, the reply would arrive too late.
             Err(_) => None,
         };
         let mut state = lock(&self.state);
@@ -272,7 +274,7 @@
         let rate = context.core().limit(context.now(), key);
         let answer = match rate {
             Some(rate) => self.answer_as_coordinator(context, key, rate),
-            // The limit has ended, of which the reply notifies the requester.
+            // The target has lifted its limit, which the reply reports to the requester.
             None => PermitAnswer::Granted,
         };
         let (granted, wait) = match answer {
@@ -305,7 +307,7 @@
         let boxes = context.peers().boxes();
         let mut state = lock(&self.state);
         if state.shares.len() >= CLEANUP_THRESHOLD {
-            // Each share starts anew with a random phase.
+            // A new share starts with a random phase.
             state.shares.clear();
         }
         let share = state.shares.entry(key).or_default();
@@ -359,7 +361,7 @@
     })
 }
 
-/// Returns whether this box has run for long enough to have learned of the others.
+/// Returns whether this box has run for long enough to have learned of the other boxes.
 fn is_settled(context: &BoxContext) -> bool {
     context.now().since(Default::default()) >= SETTLE_TIME
 }
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -65,7 +65,7 @@
 /// The result of polling the store for changes after a revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StorePoll {
-    /// The changes, which may be none.
+    /// The changes; there may be none.
     Changed(Box<StoreChanges>),
     /// The store no longer has the changes after the revision: all must be read.
     HistoryDiscarded,
@@ -76,7 +76,7 @@
 pub struct StoreChanges {
     /// Revision of the store up to which all changes are included.
     pub revision: u64,
-    /// Entries that were written, including those that only renew a heartbeat.
+    /// Entries that were written, including entries that differ only in the heartbeat of their target.
     pub written: Vec<TargetEntry>,
     /// Targets whose entries were deleted or have become unusable.
     pub removed: Vec<Name>,
--- a/crates/gateway/src/quota_manager.rs
+++ b/crates/gateway/src/quota_manager.rs
@@ -25,15 +25,16 @@
 use crate::gossip::Gossip;
 use crate::peers::CoordinatorSeat;
 
-/// Maximum time for which a request waits for a token. Within it both coordinators can be result.
+/// Maximum time for which a request waits for a token. It is long enough to request tokens from the coordinator and
+/// then from its standby.
 const MAX_TOKEN_WAIT: Duration = Duration::from_millis(250);
-/// Maximum number of requests of one customer that wait for tokens. Further ones would have no prospect of a token.
+/// Maximum number of requests of one customer that wait for tokens. Further requests would not get a token in time.
 const MAX_WAITING: usize = 64;
-/// Minimum time after which a refused caller is told to retry.
+/// Minimum retry time in the answer to a refused caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Time to wait while no token request is due. A wakeup ends it earlier.
 const IDLE_WAIT: Duration = Duration::from_secs(30);
-/// Number of millionths in a whole share. Messages between boxes have shares in millionths.
+/// Number of millionths in a share of 1. Messages between boxes contain shares in millionths.
 const PPM: f64 = 1e6;
 
 /// The refusal of a request beyond its customer's quota. No part of the request is executed.
@@ -41,7 +42,8 @@
 pub(crate) struct BeyondQuota {
     /// Time after which a token may be available.
     pub(crate) retry_after: Duration,
-    /// Whether this box decided without reaching a coordinator.
+    /// Whether this box reaches neither the coordinator nor its standby, so that it decided by its own share of the
+    /// quota.
     pub(crate) is_cut_off: bool,
 }
 
@@ -56,7 +58,7 @@
 enum AdmitResult {
     Admitted,
     Refused(Duration),
-    /// The request has to wait. This channel yields when tokens of its customer arrive.
+    /// The request has to wait. The channel yields when tokens of its customer arrive.
     Waits(Receiver<()>),
 }
 
@@ -69,7 +71,7 @@
 }
 
 impl QuotaManager {
-    /// Creates a manager, and the channel on which it asks for due token requests to be sent.
+    /// Creates a manager, and the channel on which it requests that due token requests are sent.
     pub(crate) fn new(slack: QuotaSlack) -> (QuotaManager, Receiver<()>) {
         let (wake, wakeups) = async_channel::bounded(1);
         let state = ManagerState {
@@ -117,7 +119,8 @@
         }
     }
 
-    /// Tries to admit a request. One that has to wait is registered under the same lock, so that it misses no tokens.
+    /// Tries to admit a request. A request that has to wait is registered under the same lock, so that it misses no
+    /// tokens.
     fn try_admit(
         &self,
         context: &BoxContext,
@@ -272,7 +275,7 @@
     fn apply_grant(&self, context: &BoxContext, customer: &Name, grant: &TokenGrant) {
         let mut state = lock(&self.state);
         state.accounts.apply_grant(context.now(), customer, grant);
-        // Each waiting request checks for itself whether there are enough tokens. Its channel holds one wakeup.
+        // Each waiting request checks whether there is a token for it. Its channel holds one wakeup.
         for waiting in state.waiting.remove(customer).unwrap_or_default() {
             let _ = waiting.try_send(());
         }
--- a/crates/gateway/src/request_log.rs
+++ b/crates/gateway/src/request_log.rs
@@ -1,4 +1,4 @@
-//! The log line of each request, with everything that decided its answer.
+//! The log line of each request, with all decisions that led to its answer.
 
 use std::time::{Duration, Instant};
 
@@ -10,7 +10,7 @@
 use crate::context::{BoxContext, millis};
 use crate::customers::PresentedKey;
 
-/// Collects what decided a request while it is handled, for its log line.
+/// Collects the decisions about a request while it is handled, for its log line.
 #[derive(Debug, Default)]
 pub(crate) struct RequestTrace {
     route: String,
@@ -26,7 +26,8 @@
     /// Number of targets that have ended while they ran the request, if it was refused as a poison request;
     /// otherwise 0.
     targets_ended: usize,
-    /// Time limit of the request, in milliseconds: the caller's, or the route's if that is shorter.
+    /// Time limit of the request, in milliseconds: the limit of the caller, or the limit of the route if that is
+    /// shorter.
     limit_ms: u64,
     /// Time until the first target was chosen, in milliseconds.
     held_ms: u64,
@@ -35,13 +36,13 @@
     /// Time until a hedge was started, in milliseconds, or the reason why a due one was not started; empty if
     /// none was due.
     hedged_ms: String,
-    /// Numbers of targets that were excluded, by reason, as of the last choice that excluded any; empty if none
-    /// did.
+    /// Numbers of targets that were excluded, by reason, from the last choice that excluded any; empty if no
+    /// choice did.
     excluded: String,
     /// Target of the last attempt, or the one that answered.
     target: String,
     data_centre: String,
-    /// Failure probability of that target, with a mark if the attempt was a trial.
+    /// Failure probability of `target`, followed by "trial" if the attempt was a trial.
     risk: String,
     busy: String,
     /// Each attempt that gave no answer for the caller, with the reason, and the reason why no further attempt was
@@ -50,8 +51,8 @@
 }
 
 impl RequestTrace {
-    /// Creates a trace with the name of the route. Without [`Self::with_service`] it is that of a request that goes
-    /// to no service.
+    /// Creates a trace with the name of the route. Without [`Self::with_service`], it is the trace of a request
+    /// that goes to no service.
     pub(crate) fn with_route(route: &str) -> RequestTrace {
         RequestTrace { route: route.to_string(), ..RequestTrace::default() }
     }
--- a/crates/gateway/src/requests/admission.rs
+++ b/crates/gateway/src/requests/admission.rs
@@ -1,5 +1,5 @@
-//! Checks before each attempt: access by the current configuration, and a permit from a target that has
-//! named a rate limit.
+//! Checks before each attempt: access by the current configuration, and a permit if the target has announced
+//! a rate limit.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::permit_manager::{NoPermit, SendPermit};
 use crate::routes::AccessDecision;
 
-/// Reason why a request that was allowed before is not allowed any more.
+/// Reason why a request that was allowed before is no longer allowed.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum AccessRevoked {
     /// The request may not use its route, for this reason.
@@ -19,14 +19,14 @@
 }
 
 impl RequestRun {
-    /// Requests a permit for an attempt at a target that has named a rate limit over all boxes; other targets
-    /// need none.
+    /// Requests a permit for an attempt at a target that has a rate limit over all boxes; attempts at other
+    /// targets need none.
     pub(super) async fn request_permit(
         &mut self,
         pick: &SteerPick,
     ) -> Result<Option<SendPermit>, NoPermit> {
-        // Each attempt needs a permit: a box can't know in time what the others send, and boxes that each
-        // kept to the limit on their own exceeded it many times over together.
+        // Each attempt needs a permit: a box does not learn in time how many requests the others send, and
+        // boxes that each kept to the limit on their own together exceeded it many times over.
         let Some(rate) = pick.limit else {
             return Ok(None);
         };
--- a/crates/gateway/src/requests/final_answers.rs
+++ b/crates/gateway/src/requests/final_answers.rs
@@ -1,4 +1,4 @@
-//! The final answers to requests: those of targets, and those of the box if no target served a request.
+//! The final answers to requests: answers of targets, and answers of the box if no target served the request.
 
 use std::time::{Duration, Instant};
 
@@ -11,8 +11,8 @@
 use crate::context::BoxContext;
 
 impl RequestRun {
-    /// Returns the answer to a request that is not allowed any more. The outcome of a request that may have run
-    /// is unknown, not rejected.
+    /// Returns the answer to a request that is no longer allowed. The outcome of a request that may have run is
+    /// unknown, not rejected.
     pub(super) fn reject_revoked(&mut self, revoked: AccessRevoked) -> CallerAnswer {
         if self.possible_runs > 0 {
             return self.give_up("it is not allowed any more");
--- a/crates/gateway/src/requests/mod.rs
+++ b/crates/gateway/src/requests/mod.rs
@@ -28,7 +28,7 @@
 
 pub(crate) use final_answers::poison_request_answer;
 
-/// Maximum number of attempts for one request, including those of which the target ran nothing.
+/// Maximum number of attempts for one request, including those that the target refused or did not receive.
 const MAX_SENDS: u32 = 4;
 
 /// Reason for the refusal of a poison request.
@@ -68,7 +68,7 @@
     trace: RequestTrace,
 }
 
-/// What to do after an attempt.
+/// The next step after an attempt.
 enum NextStep {
     /// Answer the caller.
     Answer(CallerAnswer),
@@ -142,7 +142,7 @@
                 Err(PickError::NoTarget) => return self.give_up("no target takes it"),
                 Err(PickError::BackingOff(wait)) => return self.give_up_until(wait),
                 Err(PickError::Saturated) if self.context.stopping.is_stopping() => {
-                    // If the request waited on, the end of the process could cut it off.
+                    // If the request continued to wait, the end of the process could cut it off.
                     return self.give_up("this box ends and every target has a queue");
                 }
                 Err(PickError::Saturated) => {
@@ -156,7 +156,7 @@
             };
             let permit = match self.request_permit(&pick).await {
                 Ok(permit) => permit,
-                // The target can't be chosen any more.
+                // The target is ineligible from now on, so another one is chosen.
                 Err(NoPermit) => continue,
             };
             match self.race(pick, permit).await {
@@ -242,7 +242,8 @@
         attempt.run(Arc::clone(&self.outgoing), self.deadline())
     }
 
-    /// Returns the time at which a hedge of the open attempt is worth a retry; `None` if it never is.
+    /// Returns the time at which a hedge of the open attempt is worth a retry; `None` if that time is not before
+    /// the deadline or the request is not repeatable.
     fn hedge_time(&self, open: &OpenAttempt) -> Option<Instant> {
         if !self.plan.policy.repeatable {
             return None;
@@ -251,7 +252,7 @@
         Some(open.started + after).filter(|time| *time < self.deadline())
     }
 
-    /// Chooses a target for a hedge, if the request may have one, and takes a retry from the budget for it.
+    /// Chooses a target for a hedge, if the request may be hedged, and takes a retry from the budget for it.
     fn pick_hedge(&mut self) -> Option<SteerPick> {
         // A streamed body can't be sent to two targets.
         let may_hedge = self.possible_runs + self.open_attempts < self.plan.policy.max_attempts
@@ -267,7 +268,8 @@
             return None;
         }
         let remaining = self.deadline().saturating_duration_since(Instant::now());
-        // The capacity of a target with a rate limit is left to requests that have no other target.
+        // A hedge uses no target with a rate limit: its capacity is reserved for requests that have no other
+        // target.
         let pick = self.pick(remaining).ok().filter(|pick| pick.limit.is_none())?;
         let context = &self.context;
         let service = &self.plan.service;
@@ -333,7 +335,7 @@
             AttemptResult::TargetEnded(reason) => {
                 self.record_possible_run();
                 log_ended(&open.pick.id, self.outgoing.fingerprint);
-                // This comes before the end of the attempt is reported, so that one datagram has both.
+                // The crash is recorded before the end of the attempt, so that one datagram reports both.
                 self.context.crashes.record_crash(self.outgoing.fingerprint, open.pick.key);
                 open.end(SteerOutcome::Incomplete, None, 0);
                 self.after_failure(&format!("{reason}, and the target has ended"))
--- a/crates/gateway/src/reserved_token.rs
+++ b/crates/gateway/src/reserved_token.rs
@@ -1,4 +1,4 @@
-//! The token of its customer's quota that a request holds.
+//! The token that a request has taken from its customer's quota.
 
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
         self.context.quotas.charge(&self.customer);
     }
 
-    /// Records that no target executed what was sent.
+    /// Records that no target executed the request.
     pub(crate) fn record_not_run(&mut self) {
         self.is_used = false;
     }
--- a/crates/gateway/src/revision_history.rs
+++ b/crates/gateway/src/revision_history.rs
@@ -1,10 +1,10 @@
-//! Revisions of the store that this box held during the last seconds, with the times.
+//! Revisions of the store that this box held during the last seconds, with their times.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Time by which the revision that is polled from precedes the last reading: a store may omit the
-/// changes of the last second before it discards its history.
+/// Time by which the revision after which the store is polled precedes the last reading: a store may
+/// omit the changes of the last second before it discards its history.
 const POLL_LAG: Duration = Duration::from_millis(1500);
 /// Minimum time between two recorded revisions.
 const MIN_RECORD_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/gateway/src/routes.rs
+++ b/crates/gateway/src/routes.rs
@@ -72,7 +72,8 @@
 
 impl Route {
     /// Creates a route whose entry in the configuration is only partly valid: it matches its requests and
-    /// serves none of them. It is public, so that every caller gets the reason.
+    /// serves none of them. It is public, so that every caller gets the reason, whether it has a valid key
+    /// or not.
     pub fn blocked(name: Name, host: String, prefix: String) -> Route {
         Route {
             name,
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -117,7 +117,7 @@
 }
 
 /// Plans a request. If the current configuration does not allow it and peers have a newer one, the request waits
-/// for that: a refusal with 401 or 404 from a stale configuration could be wrong.
+/// for it, because a refusal with 401 or 404 by a stale configuration could be wrong.
 async fn plan_with_newer_config(
     context: &Arc<BoxContext>,
     request: &CallerRequest,
@@ -218,7 +218,7 @@
     trace.record_fingerprint(outgoing.fingerprint);
     let verdict = context.crashes.verdict(outgoing.fingerprint);
     if let CrashVerdict::Refused { wait, .. } = verdict {
-        // Refused here, the request neither uses its customer's quota nor adds to the retry budget.
+        // A request that is refused here neither uses its customer's quota nor adds to the retry budget.
         trace.record_crashes(verdict);
         return (poison_request_answer(context, wait), trace);
     }
@@ -232,8 +232,8 @@
     if cancels_on_hangup {
         run.run().await
     } else {
-        // As a task of its own the request runs on if the caller disconnects: only the wait for the task is dropped
-        // then.
+        // The request runs in a task of its own, so that it continues if the caller disconnects: only the wait for
+        // the task is dropped then.
         task::spawn(run.run()).await
     }
 }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -30,7 +30,7 @@
 const BALANCER_DRAIN_TIME: Duration = Duration::from_millis(3000);
 /// Time before the end of a planned stop at which idle connections are closed.
 const IDLE_CLOSE_LEAD: Duration = Duration::from_millis(900);
-/// Time before the environment would kill the process at which it ends by itself.
+/// Time by which the process ends before the environment would kill it.
 const END_LEAD: Duration = Duration::from_millis(150);
 /// Time between two checks for open connections during a planned stop.
 const STOP_CHECK_PERIOD: Duration = Duration::from_millis(50);
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -35,11 +35,12 @@
     pub change_time: Duration,
     /// Number of retries that each request earns, from 0 to 1.
     pub retry_share: f64,
-    /// Number of retries that all boxes together may make beyond those earned.
+    /// Number of retries that all boxes together may make within the window beyond the earned ones.
     pub retry_slack: f64,
     /// Time window over which retries and requests are counted.
     pub retry_window: Duration,
-    /// Requests allowed beyond customers' quotas, because boxes learn of each other's requests late.
+    /// Requests that are allowed beyond customers' quotas, because boxes receive late reports of each
+    /// other's requests.
     pub quota_slack: QuotaSlack,
     /// Cost of sending a kilobyte to another data centre, as a number of requests.
     pub cross_cost: f64,
--- a/crates/gateway/src/stopping.rs
+++ b/crates/gateway/src/stopping.rs
@@ -16,7 +16,8 @@
 #[derive(Debug, Clone)]
 pub(crate) struct StopState {
     stopping: Arc<AtomicBool>,
-    /// Time at which the process ends, and time from which requests that could last longer are refused.
+    /// Times of the stop, once it has begun: when the process ends, and from when on requests that
+    /// could last longer are refused.
     end: Arc<OnceLock<StopTimes>>,
     /// Number of open connections of callers.
     open: Arc<AtomicUsize>,
--- a/crates/gateway/src/store_backoff.rs
+++ b/crates/gateway/src/store_backoff.rs
@@ -5,7 +5,7 @@
 /// Wait after the first failed call; it doubles with each further failure, up to [`MAX_WAIT`].
 const INITIAL_WAIT: Duration = Duration::from_millis(250);
 /// Upper bound of the wait after a failed call, before jitter: half of the time within which targets
-/// must be available again.
+/// must be available again after an outage.
 const MAX_WAIT: Duration = Duration::from_millis(1000);
 
 /// Wait that doubles with each consecutive failure, with jitter so that boxes don't call the store
--- a/crates/gateway/src/store_sync.rs
+++ b/crates/gateway/src/store_sync.rs
@@ -1,4 +1,5 @@
-//! Keeps the view of the store current: from peers that read it, otherwise by own readings.
+//! Keeps the view of the store current: by updates from peers that read the store, otherwise by own
+//! readings.
 //!
 //! Each call to the store has a cost, so in each data centre one box reads for all. There is no
 //! election. Boxes are ordered by read priority (see `peers`), and each reads by itself once its view
@@ -28,8 +29,8 @@
 /// Maximum number of targets in a listing that is read in full each time. A longer one takes a call
 /// for each of its pages, so the store is polled for its changes instead.
 const MAX_FULL_LISTING: usize = 400;
-/// Time after which a long listing is read in full all the same, which corrects changes that the
-/// polls may have missed.
+/// Time after which a long listing is nevertheless read in full, which adds changes that the polls may
+/// have missed.
 const FULL_LISTING_PERIOD: Duration = Duration::from_secs(12);
 /// Time without own readings after which a reading counts as the start of a new series: this box has
 /// taken over the readings for its data centre.
@@ -54,7 +55,7 @@
     started: Instant,
     /// Time at which this box last listed all targets, or took over the readings for its data centre.
     listed_at: Option<Instant>,
-    /// Time at which this box last read.
+    /// Time at which this box last read the store.
     read_at: Option<Instant>,
     bootstrap_read_at: Option<Instant>,
     bootstrap_written_at: Option<Instant>,
@@ -84,7 +85,8 @@
         }
     }
 
-    /// Runs until the channel of `notices` is closed. A notice reports that the view has changed.
+    /// Runs until the channel of `notifications` is closed. A notification reports that the view has
+    /// changed.
     pub(crate) async fn run(mut self, notifications: Receiver<()>) {
         loop {
             self.drop_lapsed();
@@ -92,7 +94,7 @@
             let wait = self.age().map_or(Duration::ZERO, |age| due.saturating_sub(age));
             let wait = wait.max(self.backoff.remaining());
             if !wait.is_zero() {
-                // A notice reports an update from a peer, which may have changed the age.
+                // A notification reports an update from a peer, which may have changed the age.
                 let wait = self.until_lapse().map_or(wait, |lapse| lapse.min(wait));
                 match timeout(wait, notifications.recv()).await {
                     Ok(Err(_)) => return,
@@ -144,8 +146,8 @@
         }
     }
 
-    /// Polls for changes of a long listing. Otherwise reads all in one call or, if the configuration is
-    /// large, lists the targets and refreshes the configuration concurrently.
+    /// Polls for changes of a long listing. Otherwise reads everything in one call or, if the
+    /// configuration is large, lists the targets and refreshes the configuration concurrently.
     async fn read_once(
         &mut self,
         started_at: Instant,
@@ -175,8 +177,8 @@
             "view-read"
         );
         // Targets don't wait for a configuration that takes long: they are in force from here on, and
-        // peers are notified at once. With the wait, requests reached targets as late as 3 s after
-        // these had reported that they drain.
+        // peers are notified at once. When they waited, requests reached targets as late as 3 s after
+        // the targets had reported that they were draining.
         self.context.apply_listing(listing, self.context.corrected_time(&sample), "store");
         // A refresh that takes longer continues in its task, which notifies peers when it is done.
         let _ = timeout(CONFIG_WAIT, reading).await;
@@ -186,7 +188,8 @@
     /// Returns the revision after which the store is polled for changes; `None` if the targets are to be
     /// listed.
     ///
-    /// The revision may be of a listing from a peer: polling continues from it as from an own one.
+    /// The revision may be of a listing from a peer, from which polling continues as from an own
+    /// listing.
     fn poll_revision(&mut self) -> Option<u64> {
         let now = Instant::now();
         let takes_over = self.read_at.replace(now).is_none_or(|read| now - read >= READER_GAP);
@@ -256,7 +259,7 @@
     }
 
     /// Writes the poison requests that boxes refuse to the store, if they have changed. Without the
-    /// note, each of these requests would end three more targets after a power failure of the whole
+    /// note, each of these requests would end three more targets after a power failure of the entire
     /// fleet.
     async fn write_crash_note(&mut self) {
         if self.context.peers().read_priority() > 0 {
@@ -277,8 +280,8 @@
         }
     }
 
-    /// Returns the time until the next lapsed target is to be dropped. Boxes that are updated by peers
-    /// make no reading that would drop it.
+    /// Returns the time until the next lapsed target is to be dropped. A box that is updated by peers
+    /// makes no reading at which it would drop the target.
     fn until_lapse(&self) -> Option<Duration> {
         let lapse = self.context.view().next_lapse()?;
         Some(lapse.saturating_duration_since(Instant::now()))
--- a/crates/gateway/src/streamed_body.rs
+++ b/crates/gateway/src/streamed_body.rs
@@ -1,10 +1,9 @@
 //! Streaming of request bodies that are too long to buffer: they are forwarded to the target as they
 //! arrive from the caller.
 //!
-//! The task of the caller's connection reads the body, and the attempt writes it to the target. A
-//! bounded channel of a few chunks connects them, so that a slow target slows down the caller and the
-//! other way round, and memory stays bounded. Chunks that were sent to one target can't be sent to
-//! another.
+//! The task of the caller's connection reads the body, and the attempt writes it to the target. A bounded
+//! channel of a few chunks connects them, so that a slow target slows down the caller and vice versa, and
+//! memory stays bounded. Chunks that were sent to one target can't be sent to another.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -19,8 +18,8 @@
 /// Maximum length of a chunk, in bytes: the result of one read of the connection, including bytes that
 /// were already in the read buffer.
 const MAX_CHUNK_BYTES: usize = 64 * 1024;
-/// Memory that a body uses while it is streamed, beside its buffered beginning: the chunks in the channel
-/// and one at each end of it.
+/// Memory that a body uses while it is streamed, in addition to its buffered beginning: the chunks in the
+/// channel and one chunk at each end.
 pub(crate) const STREAM_BYTES: usize = (CHANNEL_CHUNKS + 2) * MAX_CHUNK_BYTES;
 
 /// A chunk of a body, or its end.
@@ -76,8 +75,8 @@
         self.chunks.recv().await.ok()
     }
 
-    /// Returns whether an attempt has started to read the stream. No other attempt can send the complete body
-    /// then.
+    /// Returns whether an attempt has started to read the stream. If so, no other attempt can send the
+    /// complete body.
     pub(crate) fn is_started(&self) -> bool {
         self.is_started.load(Ordering::Acquire)
     }
--- a/crates/gateway/src/suspension.rs
+++ b/crates/gateway/src/suspension.rs
@@ -8,7 +8,8 @@
 
 use crate::context::lock;
 
-/// Shortest suspension that is taken into account: two clocks are read one after the other, which differs by less.
+/// Shortest suspension that is taken into account: the suspended time is the difference of two clocks that are
+/// read one after the other, and is inaccurate by less than this.
 const MIN_SUSPENSION: Duration = Duration::from_millis(20);
 /// Time after a resume within which received data may have been waiting since before, so that its age is unknown.
 const RESUME_GRACE: Duration = Duration::from_millis(200);
@@ -26,8 +27,8 @@
         ClockSample { at: Instant::now(), suspended }
     }
 
-    /// Returns `time`, a time after this sample, as a clock would have it that had counted the suspensions since
-    /// the sample. `suspended` is the total suspended time until now.
+    /// Returns `time`, a time after this sample, corrected for the suspensions since the sample, which the clock
+    /// did not count. `suspended` is the total suspended time until now.
     pub(crate) fn correct(&self, time: Instant, suspended: Duration) -> Instant {
         let missing = suspended.saturating_sub(self.suspended);
         let missing = if missing < MIN_SUSPENSION { Duration::ZERO } else { missing };
@@ -35,7 +36,7 @@
         time.checked_sub(missing).unwrap_or(time)
     }
 
-    /// Returns the time of the sample itself on such a clock.
+    /// Returns the time of the sample itself, corrected in the same way as by [`ClockSample::correct`].
     pub(crate) fn corrected_time(&self, suspended: Duration) -> Instant {
         self.correct(self.at, suspended)
     }
--- a/crates/gateway/src/target_table.rs
+++ b/crates/gateway/src/target_table.rs
@@ -1,8 +1,8 @@
-//! The targets that the store lists and those of them that take requests, updated incrementally.
+//! The targets that the store lists, and which of them take requests, updated incrementally.
 //!
-//! A listing of thousands of targets changes in some hundreds of them between two readings, and each
-//! box applies the change. A table that was rebuilt each time, with all state derived from it, needed
-//! several times its size in memory, and processor time in proportion to the number of all targets.
+//! In a listing of thousands of targets some hundreds change between two readings, and each box applies
+//! the change. A table that was rebuilt each time, with all state derived from it, needed several times
+//! its size in memory, and processor time in proportion to the number of all targets.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -40,7 +40,8 @@
     sum: u64,
     history: ListingHistory,
     incarnations: TargetIncarnations,
-    /// Targets that were missing after an outage of the store, each with the end of its grace period.
+    /// Lapsed targets: those that were missing after an outage of the store, each with the end of its
+    /// grace period.
     lapsed: HashMap<Name, (TargetEntry, Instant)>,
     /// Times until which targets that were listed as cold are slow after their start.
     cold_until: HashMap<Name, Instant>,
--- a/crates/gateway/src/transfer_slots.rs
+++ b/crates/gateway/src/transfer_slots.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Acquires a slot. Returns `None` if all are taken.
+    /// Acquires a slot. Returns `None` if all are in use.
     pub(crate) fn try_acquire(&self) -> Option<TransferSlot<'_>> {
         if self.in_use.fetch_add(1, Ordering::Relaxed) >= self.max {
             self.in_use.fetch_sub(1, Ordering::Relaxed);
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -185,9 +185,9 @@
     /// Returns the revision after which the store is polled for changes of the configuration; `None`
     /// if the configuration must be read in full.
     ///
-    /// Newer revisions of the targets don't count, because they say nothing about the
-    /// configuration: polled from there, the store would report no change, and the box would treat an
-    /// outdated configuration as the newest.
+    /// Newer revisions of the targets don't count, because they don't show that the configuration is
+    /// current: polled after such a revision, the store would report no change, and the box would
+    /// treat an outdated configuration as the newest.
     pub fn config_poll_revision(&self) -> Option<u64> {
         let held = self.config_revision;
         let confirmed = self.config_as_of.filter(|_| held > 0)?;
--- a/crates/gateway/src/view_exchange.rs
+++ b/crates/gateway/src/view_exchange.rs
@@ -22,7 +22,7 @@
 use crate::transfer_slots::BUSY_RETRY_DELAY;
 use crate::view::{CachedView, ListingDelta, PeerListingDelta, TargetEntry};
 
-/// Timeout for connecting to a peer. Within a data centre that takes a millisecond or two.
+/// Timeout for connecting to a peer. Within a data centre, connecting takes one or two milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 /// Delay before connections are accepted again after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -107,7 +107,7 @@
 enum FetchedTargets {
     /// The reply was applied, or the peer has no listing yet.
     Applied,
-    /// All transfer slots of the peer are taken.
+    /// All transfer slots of the peer are in use.
     Busy,
     /// The delta of the reply does not fit the listing that this box holds.
     BaseMismatch,
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -16,11 +16,11 @@
 use crate::head::MessageLimits;
 use crate::reader::{MessageReader, ResponseBody};
 
-/// Maximum length of a response body: leaves room for a value of one megabyte and the
-/// listing around it.
+/// Maximum length of a response body. It leaves room for a value of one megabyte and the listing
+/// around it.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// A status and a complete body.
+/// A response: its status and its complete body.
 #[derive(Debug, Clone)]
 pub struct HttpReply {
     /// The status code.
@@ -34,7 +34,7 @@
 pub struct CallLimits {
     /// Maximum time for the connection to come up, and between two reads of the response.
     pub idle_timeout: Duration,
-    /// Maximum time for the call as a whole.
+    /// Maximum time for the entire call.
     pub total_timeout: Duration,
 }
 
@@ -124,7 +124,9 @@
             ResponseBody::Complete(body) => Ok(HttpReply { status, body }),
             ResponseBody::Absent(_) => Ok(HttpReply { status, body: Vec::new() }),
             ResponseBody::Unread(length) => {
-                let reason = format!("an answer of {length} bytes is over {MAX_RESPONSE_BYTES}");
+                let reason = format!(
+                    "the response body of {length} bytes exceeds {MAX_RESPONSE_BYTES} bytes"
+                );
                 Err(HttpError::new(ErrorKind::BodyTooLarge, reason))
             }
         }
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,10 +1,10 @@
 //! Validation of message heads before `async-h1` decodes them.
 //!
-//! The checks reject input that `async-h1` 2.3.4 handles incorrectly: it reports a body
-//! shorter than its `Content-Length` as complete; of two different `Content-Length`
-//! headers it uses the last; an unknown transfer coding gives an empty body and leaves the
-//! body's bytes to be read as the next request; a response that is delimited by the close
-//! of the connection comes back empty; an interim response is taken for the final one.
+//! The checks reject input that `async-h1` 2.3.4 handles incorrectly: it reports a body shorter
+//! than its `Content-Length` as complete; of two different `Content-Length` headers it uses the
+//! last; an unknown transfer coding gives an empty body and leaves the body's bytes to be read as
+//! the next request; a response that is delimited by the close of the connection comes back empty;
+//! an interim response is mistaken for the final one.
 
 use crate::error::{ErrorKind, HttpError};
 
--- a/crates/http/src/raw/head.rs
+++ b/crates/http/src/raw/head.rs
@@ -86,7 +86,7 @@
     }
 
     /// Returns the lines to forward to the next hop: all except hop-by-hop headers, those that
-    /// `Connection` lists, `Content-Length`, which the forwarder writes itself, and those
+    /// `Connection` lists, `Content-Length`, which the forwarder writes itself, and the headers
     /// named in `also`.
     pub fn forwarded(&self, also: &[&str]) -> HeaderList {
         let named: Vec<&str> = self.tokens("connection").collect();
--- a/crates/http/src/reader.rs
+++ b/crates/http/src/reader.rs
@@ -53,7 +53,8 @@
     Complete(Vec<u8>),
     /// No body, with the value of `Content-Length` if there is one (`HEAD`, 304).
     Absent(Option<u64>),
-    /// A body over `max_body_bytes`: its length; it is still to be read from the connection.
+    /// The length of a body that is longer than `max_body_bytes` and is still to be read from the
+    /// connection.
     Unread(u64),
 }
 
@@ -303,7 +304,7 @@
             Some(idle_timeout) => match async_std::future::timeout(idle_timeout, reading).await {
                 Ok(count) => count?,
                 Err(_) => {
-                    let reason = format!("nothing came for {idle_timeout:?}");
+                    let reason = format!("no bytes received for {idle_timeout:?}");
                     return Err(io::Error::new(io::ErrorKind::TimedOut, reason));
                 }
             },
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -84,7 +84,7 @@
         let handler = Arc::clone(&handler);
         let settings = Arc::clone(&settings);
         task::spawn(async move {
-            // A peer that violated the protocol has got an error response already.
+            // A peer that violated the protocol has already been sent an error response.
             let _ = serve_stream(stream, peer, &settings, &*handler).await;
             drop(open_guard);
         });
@@ -216,7 +216,7 @@
     }
 }
 
-/// Reads a request, or sends the peer an error response that says why it was rejected.
+/// Reads a request, or sends the peer an error response with the reason for the rejection.
 async fn read_request(
     reader: &mut MessageReader,
     writer: &mut TcpStream,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -29,7 +29,8 @@
 }
 
 impl PolicyProgram {
-    /// Compiles a program and runs it on one sample request for each of the usual methods.
+    /// Compiles a program and runs it on one sample request for each of the methods GET, HEAD,
+    /// POST, PUT and DELETE.
     ///
     /// # Errors
     /// The program does not compile, does not define `plan(request)`, or fails on one of the
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -10,8 +10,8 @@
     route_defaults: RouteDefaults,
 }
 
-/// The values that a route table gives for a request; programs may adopt them. Programs see
-/// them as `request.offer`.
+/// The values that a route table gives for a request. Programs read them as `request.offer` and may
+/// adopt them.
 #[derive(Debug, Clone)]
 pub struct RouteDefaults {
     /// The name of the service.
@@ -25,7 +25,7 @@
 }
 
 impl Default for RouteDefaults {
-    /// Returns the values for trial runs at compile time and for boxes without a route table.
+    /// Returns the values for sample requests at compile time and for boxes without a route table.
     fn default() -> RouteDefaults {
         RouteDefaults {
             service: "".into(),
--- a/crates/process/src/io_pool.rs
+++ b/crates/process/src/io_pool.rs
@@ -1,9 +1,9 @@
 //! The thread pool that serves connections and requests.
 //!
 //! By default, async-std starts one thread per core. At the request rate of a box (about 200
-//! requests per second) the pool is nearly always idle, and each wake-up goes to another
-//! sleeping thread: with one thread the latency that the proxy adds at the 99th percentile is a
-//! fifth (docs/MEASURED.md). A box with a higher rate sets `--io-threads`.
+//! requests per second) the pool is nearly always idle, and each wake-up goes to another sleeping
+//! thread: with one thread the latency that the proxy adds at the 99th percentile is a fifth of
+//! that with one thread per core. A box with a higher rate sets `--io-threads`.
 
 use async_global_executor::GlobalExecutorConfig;
 
--- a/crates/process/src/lib.rs
+++ b/crates/process/src/lib.rs
@@ -3,7 +3,7 @@
 pub mod clock;
 pub mod exit;
 pub mod io_pool;
-pub mod log_ring;
+pub mod log_queue;
 pub mod logs;
 pub mod metrics;
 pub mod settings;
--- a/crates/process/src/log_ring.rs
+++ b/crates/process/src/log_queue.rs
@@ -14,19 +14,19 @@
 
 /// Capacity of the queue, in lines.
 const MAX_QUEUED_LINES: usize = 4096;
-/// Maximum number of lines per second: allows ten lines per request at 100 requests per second.
+/// Maximum number of lines per second. It allows ten lines per request at 100 requests per second.
 const MAX_LINES_PER_SECOND: u64 = 1000;
 /// Number of bytes after which the writer stops collecting lines for one write.
 const WRITE_BATCH_BYTES: usize = 64 * 1024;
 
 /// A non-blocking queue of log lines. Clones share the queue.
 #[derive(Debug, Clone)]
-pub struct LogRing {
-    shared: Arc<SharedRing>,
+pub struct LogQueue {
+    shared: Arc<SharedQueue>,
 }
 
 #[derive(Debug)]
-struct SharedRing {
+struct SharedQueue {
     lines: Mutex<Option<SyncSender<Vec<u8>>>>,
     writer: Mutex<Option<JoinHandle<()>>>,
     rate: Mutex<RateLimiter>,
@@ -39,12 +39,12 @@
     count: u64,
 }
 
-impl LogRing {
+impl LogQueue {
     /// Starts a thread that writes the lines to `sink`.
     ///
     /// # Errors
     /// The thread could not be started.
-    pub fn start(sink: impl Write + Send + 'static) -> std::io::Result<LogRing> {
+    pub fn start(sink: impl Write + Send + 'static) -> std::io::Result<LogQueue> {
         let (lines, queued) = sync_channel(MAX_QUEUED_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
         let writer_dropped = Arc::clone(&dropped);
@@ -52,8 +52,8 @@
             .name("logs".into())
             .spawn(move || write_lines(&queued, sink, &writer_dropped))?;
         let rate = RateLimiter { window_start: Instant::now(), count: 0 };
-        Ok(LogRing {
-            shared: Arc::new(SharedRing {
+        Ok(LogQueue {
+            shared: Arc::new(SharedQueue {
                 lines: Mutex::new(Some(lines)),
                 writer: Mutex::new(Some(writer)),
                 rate: Mutex::new(rate),
--- a/crates/process/src/logs.rs
+++ b/crates/process/src/logs.rs
@@ -9,7 +9,7 @@
 use log::Record;
 use log::kv::{Error, Key, Value, VisitSource};
 
-use crate::log_ring::LogRing;
+use crate::log_queue::LogQueue;
 
 /// Starts logging at `level` ("error" to "trace") to standard error. The caller must keep the
 /// handle.
@@ -21,28 +21,28 @@
     Ok(logger.start()?)
 }
 
-/// Starts logging at `level` through `ring`, which the caller must close before the process
+/// Starts logging at `level` through `queue`, which the caller must close before the process
 /// ends. Each line contains `box_id`, so that lines of merged logs can be attributed to their
 /// boxes. The caller must keep the handle.
 ///
 /// # Errors
 /// The level is unknown or logging is already started.
-pub fn start_ring_logs(level: &str, ring: LogRing, box_id: &str) -> eyre::Result<LoggerHandle> {
-    let writer = Box::new(RingWriter { ring, box_id: box_id.to_string() });
+pub fn start_queued_logs(level: &str, queue: LogQueue, box_id: &str) -> eyre::Result<LoggerHandle> {
+    let writer = Box::new(QueueWriter { queue, box_id: box_id.to_string() });
     Ok(Logger::try_with_str(level)?.log_to_writer(writer).start()?)
 }
 
-/// A log writer that formats records and queues them in a [`LogRing`].
-struct RingWriter {
-    ring: LogRing,
+/// A log writer that formats records and queues them in a [`LogQueue`].
+struct QueueWriter {
+    queue: LogQueue,
     box_id: String,
 }
 
-impl LogWriter for RingWriter {
+impl LogWriter for QueueWriter {
     fn write(&self, now: &mut DeferredNow, record: &Record<'_>) -> std::io::Result<()> {
         let mut line = Vec::with_capacity(512);
         write_line(&mut line, now, record, Some(&self.box_id))?;
-        self.ring.push(line);
+        self.queue.push(line);
         Ok(())
     }
 
--- a/crates/process/src/settings.rs
+++ b/crates/process/src/settings.rs
@@ -47,7 +47,7 @@
         .long_help(format!("{short_help}.\n\n{long_help}"))
 }
 
-/// Returns a [`setting`] whose value from the environment is not shown in the help.
+/// Returns a [`setting`] whose value from the environment is not printed in the help.
 pub fn secret_setting(
     name: &'static str,
     short_help: &'static str,
--- a/crates/process/src/stop.rs
+++ b/crates/process/src/stop.rs
@@ -7,14 +7,14 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-/// The sending side of a [`StopSignal`]. The signal is given by [`StopHandle::stop`] or when
-/// the last clone is dropped.
+/// The sending side of a [`StopSignal`]. The signal is sent by [`StopHandle::stop`] or when the
+/// last clone is dropped.
 #[derive(Debug, Clone)]
 pub struct StopHandle {
     sender: Sender<Infallible>,
 }
 
-/// A signal to stop, which is given at most once. Clones share it.
+/// A signal to stop, which is sent at most once. Clones share it.
 #[derive(Debug, Clone)]
 pub struct StopSignal {
     receiver: Receiver<Infallible>,
@@ -27,26 +27,26 @@
 }
 
 impl StopHandle {
-    /// Gives the signal.
+    /// Sends the signal. Further calls have no effect.
     pub fn stop(&self) {
         self.sender.close();
     }
 }
 
 impl StopSignal {
-    /// Waits until the signal is given; returns at once if it was given before.
+    /// Waits until the signal is sent; returns at once if it was sent before.
     pub async fn wait(&self) {
         // No message is ever sent: the receiver wakes only when the channel closes.
         let _ = self.receiver.recv().await;
     }
 
-    /// Returns whether the signal has been given.
+    /// Returns whether the signal has been sent.
     pub fn is_stopped(&self) -> bool {
         self.receiver.is_closed()
     }
 }
 
-/// Returns a stop signal that is given on SIGTERM or SIGINT.
+/// Returns a stop signal that is sent on SIGTERM or SIGINT.
 ///
 /// # Errors
 /// The signal handlers could not be installed, or their thread could not be started.
@@ -63,7 +63,7 @@
 /// The Unix signals that a process handles.
 #[derive(Debug)]
 pub struct ProcessSignals {
-    /// The stop signal, given on SIGTERM or SIGINT.
+    /// The stop signal, sent on SIGTERM or SIGINT.
     pub stop: StopSignal,
     /// Receives a message for each SIGHUP; several signals in short succession may give only one.
     pub reloads: Receiver<()>,
--- a/crates/process/tests/log_ring.rs
+++ b/crates/process/tests/log_queue.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex};
 
-use wingbridge_process::log_ring::LogRing;
+use wingbridge_process::log_queue::LogQueue;
 
 /// A sink that blocks until a message arrives on `gate`, and then stores what is written.
 struct GatedSink {
@@ -38,14 +38,14 @@
 #[test]
 fn blocked_output_drops_lines_and_does_not_block() {
     let (sink, open, written) = gated();
-    let ring = LogRing::start(sink).expect("start the writer thread");
+    let queue = LogQueue::start(sink).expect("start the writer thread");
     // More lines than the queue and the rate allow. A `push` that blocked would never return,
     // since the gate opens only afterwards.
     for number in 0..20_000 {
-        ring.push(format!("line {number}").into_bytes());
+        queue.push(format!("line {number}").into_bytes());
     }
     open.send(()).expect("the sink is waiting");
-    ring.close();
+    queue.close();
     let text = String::from_utf8(written.lock().expect("no thread panics").clone()).expect("text");
     let written_lines = text.lines().filter(|line| line.starts_with("line ")).count() as u64;
     let reported: u64 = text.lines().filter_map(dropped_count).sum();
@@ -55,7 +55,7 @@
         20_000,
         "each line is either written or reported as dropped"
     );
-    assert_eq!(ring.unreported_drops(), 0, "all drops are reported");
+    assert_eq!(queue.unreported_drops(), 0, "all drops are reported");
 }
 
 /// Returns the count of a line that reports dropped lines.
@@ -68,11 +68,11 @@
 fn lines_pushed_before_close_are_written() {
     let (sink, open, written) = gated();
     open.send(()).expect("the sink is waiting");
-    let ring = LogRing::start(sink).expect("start the writer thread");
-    ring.push(b"first".to_vec());
-    ring.push(b"last".to_vec());
-    ring.close();
+    let queue = LogQueue::start(sink).expect("start the writer thread");
+    queue.push(b"first".to_vec());
+    queue.push(b"last".to_vec());
+    queue.close();
     assert_eq!(*written.lock().expect("no thread panics"), b"first\nlast\n");
-    ring.push(b"too late".to_vec());
-    assert_eq!(ring.unreported_drops(), 1);
+    queue.push(b"too late".to_vec());
+    assert_eq!(queue.unreported_drops(), 1);
 }
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -30,7 +30,7 @@
 /// The content of a [`Datagram`].
 #[derive(Clone, PartialEq, Oneof)]
 pub enum DatagramBody {
-    /// The sender is running, with the version of its view of the store.
+    /// Notifies that the sender is running, and states the version of its view of the store.
     #[prost(message, tag = "4")]
     Heartbeat(Heartbeat),
     /// Health samples from the sender's own traffic.
@@ -73,10 +73,11 @@
     /// The sender's share of the customer's rate, in millionths.
     #[prost(uint32, tag = "5")]
     pub share_ppm: u32,
-    /// Whether a coordinator assigned that share to the sender.
+    /// Whether a coordinator assigned `share_ppm` to the sender. A box that has just started reports an
+    /// equal share.
     #[prost(bool, tag = "6")]
     pub is_share_assigned: bool,
-    /// Number of granted requests that the sender did not use in time.
+    /// Number of granted tokens that the sender did not use before they expired.
     #[prost(uint32, tag = "7")]
     pub unused: u32,
 }
@@ -245,7 +246,7 @@
     /// Number of attempts beyond the first one of a request.
     #[prost(uint32, tag = "3")]
     pub retries: u32,
-    /// Retries of boxes that were responsive within the window and are not any more.
+    /// Retries of boxes that reported within the window and have become unresponsive.
     #[prost(uint32, tag = "4")]
     pub unresponsive_retries: u32,
 }
@@ -333,7 +334,7 @@
     /// Version of the listing, absent if the peer has none.
     #[prost(message, optional, tag = "1")]
     pub version: Option<ViewVersion>,
-    /// Hash of the targets that this reply is a delta to, 0 if the listing is complete.
+    /// Hash of the listing that this delta applies to, 0 if the listing is complete.
     #[prost(fixed64, tag = "2")]
     pub base: u64,
     /// Names of removed targets.
--- a/crates/wire/src/limits.rs
+++ b/crates/wire/src/limits.rs
@@ -58,7 +58,7 @@
     /// Whether the request may be sent.
     #[prost(bool, tag = "2")]
     pub granted: bool,
-    /// Milliseconds after which a permit may be available, if it was denied.
+    /// Milliseconds after which a permit may be available, if the request was denied.
     #[prost(uint32, tag = "3")]
     pub wait_ms: u32,
     /// Whether the sender is not the coordinator for that target.
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -41,7 +41,7 @@
     /// Verdicts of an outlier detector.
     #[prost(message, tag = "9")]
     Verdicts(Verdicts),
-    /// A target is draining.
+    /// Notification that a target is draining.
     #[prost(message, tag = "10")]
     Draining(TargetDraining),
     /// Versions of the entries that a proxy has put in force.
@@ -56,7 +56,7 @@
     /// Whether the proxy may report that it is ready.
     #[prost(message, tag = "14")]
     Readiness(Readiness),
-    /// The agent has sent all of its entries.
+    /// Notification that the agent has sent all of its entries.
     #[prost(message, tag = "15")]
     CaughtUp(CaughtUp),
 }
@@ -135,7 +135,7 @@
     /// Whether most attempts of the box fail.
     #[prost(bool, tag = "2")]
     pub failing: bool,
-    /// Whether this is the answer to a digest, which needs no answer itself.
+    /// Whether this message answers a digest, so that it needs no answer itself.
     #[prost(bool, tag = "3")]
     pub answer: bool,
 }
@@ -260,8 +260,8 @@
     /// Key of the target.
     #[prost(fixed64, tag = "2")]
     pub target: u64,
-    /// Box that first observed it. Together with `number` it identifies the notification, so that each box
-    /// forwards it once.
+    /// Box that first observed the draining. Together with `number` it identifies the notification, so that
+    /// each box forwards it once.
     #[prost(string, tag = "3")]
     pub origin: String,
     /// Number of the notification at its origin.
@@ -329,7 +329,7 @@
     /// Whether the proxy may be ready.
     #[prost(bool, tag = "1")]
     pub allowed: bool,
-    /// Reason, if it may not.
+    /// Reason if the proxy may not be ready; otherwise empty.
     #[prost(string, tag = "2")]
     pub reason: String,
 }
