--- a/crates/agent/src/exchange/evidence.rs
+++ b/crates/agent/src/exchange/evidence.rs
@@ -84,7 +84,7 @@
         }
         let body = FrameBody::Verdicts(Verdicts { verdicts: vec![verdict] });
         self.send_to_proxy(body.clone());
-        self.recent.push((now, body.clone()));
+        self.recent_updates.push((now, body.clone()));
         let local = self.parts.identity.data_centre.clone();
         for peer in self.parts.core.neighbours(now.as_micros()) {
             let member = self.parts.core.members().get(&peer);
@@ -110,7 +110,7 @@
         if from.is_some() {
             self.send_to_proxy(body.clone());
         }
-        self.recent.push((now, body.clone()));
+        self.recent_updates.push((now, body.clone()));
         for peer in self.parts.core.neighbours(now.as_micros()) {
             if Some(&peer) != from {
                 self.send(&peer, body.clone());
--- a/crates/agent/src/exchange/mod.rs
+++ b/crates/agent/src/exchange/mod.rs
@@ -63,7 +63,7 @@
     in_force: HashMap<String, Stamp>,
     outgoing: OutgoingEvidence,
     received_updates: DuplicateFilter<UpdateId>,
-    recent: Vec<(TimePoint, FrameBody)>,
+    recent_updates: Vec<(TimePoint, FrameBody)>,
     draining_reports: u64,
     store_reachable: Option<bool>,
     complete: bool,
@@ -89,7 +89,7 @@
             in_force: HashMap::new(),
             outgoing: OutgoingEvidence::default(),
             received_updates: DuplicateFilter::new(MAX_RECEIVED_UPDATES),
-            recent: Vec::new(),
+            recent_updates: Vec::new(),
             draining_reports: 0,
             store_reachable: None,
             complete: false,
@@ -146,7 +146,7 @@
         if let Some(suspended) = self.suspicion.tick(now) {
             self.set_readiness(!suspended);
         }
-        self.recent.retain(|(at, _)| now.since(*at) < RECENT_UPDATE_PERIOD);
+        self.recent_updates.retain(|(at, _)| now.since(*at) < RECENT_UPDATE_PERIOD);
         self.parts.links.close_idle();
     }
 
@@ -258,7 +258,7 @@
             .members()
             .get(&peer)
             .is_none_or(|member| *member.data_centre == *self.parts.identity.data_centre);
-        for (at, body) in &self.recent {
+        for (at, body) in &self.recent_updates {
             let fleet_wide = matches!(body, FrameBody::Draining(_));
             if now.since(*at) < RECENT_UPDATE_PERIOD && (fleet_wide || same_data_centre) {
                 let _ = queue.try_send(body.clone());
@@ -272,7 +272,7 @@
         self.in_force.clear();
         self.parts.trace.record("proxy-connected", &[]);
         self.send_config(self.parts.core.map().entries());
-        for (_, body) in self.recent.clone() {
+        for (_, body) in self.recent_updates.clone() {
             self.send_to_proxy(body);
         }
         let verdicts: Vec<VerdictMessage> =
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -168,13 +168,13 @@
 
 /// Waits a short time for the last reports and events to reach the agent.
 async fn flush_reports(to_agent: &async_channel::Sender<wingbridge_wire::FrameBody>) {
-    const FLUSH_STEP: Duration = Duration::from_millis(10);
-    const FLUSH_STEPS: usize = 20;
-    for _ in 0..FLUSH_STEPS {
+    const FLUSH_CHECK_PERIOD: Duration = Duration::from_millis(10);
+    const MAX_FLUSH_CHECKS: usize = 20;
+    for _ in 0..MAX_FLUSH_CHECKS {
         if to_agent.is_empty() {
             break;
         }
-        task::sleep(FLUSH_STEP).await;
+        task::sleep(FLUSH_CHECK_PERIOD).await;
     }
 }
 
--- a/crates/spread/src/core.rs
+++ b/crates/spread/src/core.rs
@@ -82,8 +82,8 @@
     seed_peers: Vec<Arc<str>>,
     neighbours: Vec<Arc<str>>,
     /// Epoch that `neighbours` were chosen for; `None` after a change of the list.
-    neighbours_of: Option<u64>,
-    matched: BTreeSet<Arc<str>>,
+    neighbours_epoch: Option<u64>,
+    matched_peers: BTreeSet<Arc<str>>,
     store_read: bool,
     next_digest: u64,
     failing: bool,
@@ -100,8 +100,8 @@
             members: MemberList::default(),
             seed_peers: Vec::new(),
             neighbours: Vec::new(),
-            neighbours_of: None,
-            matched: BTreeSet::new(),
+            neighbours_epoch: None,
+            matched_peers: BTreeSet::new(),
             store_read: false,
             next_digest: 0,
             failing: false,
@@ -135,7 +135,7 @@
     /// them.
     pub fn set_seed_peers(&mut self, peers: Vec<Arc<str>>) {
         self.seed_peers = peers;
-        self.neighbours_of = None;
+        self.neighbours_epoch = None;
     }
 
     /// Sets whether most attempts of this box fail, which each digest reports.
@@ -155,21 +155,21 @@
             // The list may still contain peers that have stopped and do not answer, so the box must
             // not wait for all of them. The store has all accepted changes, so a match with one
             // peer is enough.
-            return self.matched.len() >= required.saturating_sub(1).min(1);
+            return self.matched_peers.len() >= required.saturating_sub(1).min(1);
         }
-        !self.matched.is_empty() && self.matched.len() >= required.max(1)
+        !self.matched_peers.is_empty() && self.matched_peers.len() >= required.max(1)
     }
 
     /// Returns the boxes with which this one gossips at `now`.
     pub fn neighbours(&mut self, now: u64) -> Vec<Arc<str>> {
         let period = self.setup.neighbour_period.as_micros().max(1) as u64;
         let epoch = now / period;
-        if self.neighbours_of != Some(epoch) {
+        if self.neighbours_epoch != Some(epoch) {
             let identity = &self.setup.identity;
             let mut peers = self.members.neighbours(identity, epoch, LOCAL_RINGS, GLOBAL_RINGS);
             peers.extend(self.seed_peers.iter().cloned());
             self.neighbours = peers;
-            self.neighbours_of = Some(epoch);
+            self.neighbours_epoch = Some(epoch);
         }
         self.neighbours.clone()
     }
@@ -214,7 +214,7 @@
         }
         if changes.iter().any(|entry| entry.key.starts_with(BOX_PREFIX)) {
             self.members = MemberList::read(&self.map);
-            self.neighbours_of = None;
+            self.neighbours_epoch = None;
         }
         if push && !changes.is_empty() && changes.len() <= MAX_PUSHED_ENTRIES {
             for peer in self.neighbours(now) {
@@ -235,7 +235,7 @@
     ) {
         let root = self.map.root();
         if digest.root == root {
-            self.matched.insert(from.clone());
+            self.matched_peers.insert(from.clone());
             if !digest.answer {
                 commands.push(send(from, FrameBody::Digest(self.digest(true))));
             }
--- a/crates/spread/tests/exchange.rs
+++ b/crates/spread/tests/exchange.rs
@@ -57,17 +57,17 @@
 }
 
 fn apply_step(network: &mut TestNetwork, step: &Step) {
-    let pending = network.wire.len();
+    let pending = network.in_transit.len();
     match *step {
         Step::Change { at, key, generation, change } => {
             let entry = entry(&format!("policy/p{key}"), generation, &format!("c{change}"));
             network.store_read(at, &[entry]);
         }
         Step::Deliver { which } if pending > 0 => network.deliver(which % pending),
-        Step::Lose { which } if pending > 0 => drop(network.wire.remove(which % pending)),
+        Step::Lose { which } if pending > 0 => drop(network.in_transit.remove(which % pending)),
         Step::Repeat { which } if pending > 0 => {
-            let message = network.wire[which % pending].clone();
-            network.wire.push(message);
+            let message = network.in_transit[which % pending].clone();
+            network.in_transit.push(message);
         }
         Step::Tick => network.tick_all(),
         Step::Restart { at } => {
--- a/crates/spread/tests/model.rs
+++ b/crates/spread/tests/model.rs
@@ -44,7 +44,7 @@
     /// Version of each box.
     boxes: [Option<(u64, u8)>; BOXES],
     /// Pushes in transit: the receiving box and the version.
-    wire: Vec<(usize, (u64, u8))>,
+    in_transit: Vec<(usize, (u64, u8))>,
     /// Whether the version of a box has decreased.
     reverted: bool,
     merging: Merging,
@@ -58,7 +58,7 @@
             read: [None; 2],
             answers: [None; 2],
             boxes: [None; BOXES],
-            wire: Vec::new(),
+            in_transit: Vec::new(),
             reverted: false,
             merging,
         }
@@ -73,7 +73,7 @@
             let mut state = self.clone();
             state.depth += 1;
             change(&mut state);
-            state.wire.sort();
+            state.in_transit.sort();
             next.push(state);
         };
         for operator in 0..2 {
@@ -96,13 +96,13 @@
                 add(&|state| state.boxes[number] = None);
             }
         }
-        for index in 0..self.wire.len() {
+        for index in 0..self.in_transit.len() {
             add(&|state| {
-                let (to, version) = state.wire.remove(index);
+                let (to, version) = state.in_transit.remove(index);
                 state.receive(to, version);
             });
             add(&|state| {
-                state.wire.remove(index);
+                state.in_transit.remove(index);
             });
         }
         next
@@ -126,10 +126,10 @@
         self.reverted |= held.is_some_and(|held| held.0 > version.0);
         self.boxes[number] = Some(version);
         let pushes = (0..BOXES).filter(|other| *other != number).map(|other| (other, version));
-        self.wire.extend(pushes);
-        self.wire.sort();
-        self.wire.dedup();
-        self.wire.truncate(3);
+        self.in_transit.extend(pushes);
+        self.in_transit.sort();
+        self.in_transit.dedup();
+        self.in_transit.truncate(3);
     }
 
     /// Returns whether the map merges `version` over `held`.
@@ -195,7 +195,7 @@
     network.settle(4);
     network.store_read(0, &[entry("policy/p", 2, "o0")]);
     let mut pushed: BTreeMap<Arc<str>, usize> = BTreeMap::new();
-    for (_, to, _) in &network.wire {
+    for (_, to, _) in &network.in_transit {
         *pushed.entry(to.clone()).or_default() += 1;
     }
     assert_eq!(pushed.len(), BOXES - 1, "{pushed:?}");
--- a/crates/spread/tests/network/mod.rs
+++ b/crates/spread/tests/network/mod.rs
@@ -13,7 +13,7 @@
 
 pub struct TestNetwork {
     pub cores: BTreeMap<Arc<str>, SpreadCore>,
-    pub wire: Vec<(Arc<str>, Arc<str>, FrameBody)>,
+    pub in_transit: Vec<(Arc<str>, Arc<str>, FrameBody)>,
     pub now: u64,
     /// Pairs of boxes between which messages are lost, in one direction.
     pub cut: BTreeSet<(Arc<str>, Arc<str>)>,
@@ -28,7 +28,7 @@
     pub fn new(boxes: usize, centres: usize) -> TestNetwork {
         let mut network = TestNetwork {
             cores: BTreeMap::new(),
-            wire: Vec::new(),
+            in_transit: Vec::new(),
             now: 0,
             cut: BTreeSet::new(),
             in_force: BTreeMap::new(),
@@ -73,7 +73,7 @@
 
     /// Delivers the message at `index`, or loses it if the path is cut.
     pub fn deliver(&mut self, index: usize) {
-        let (from, to, body) = self.wire.remove(index);
+        let (from, to, body) = self.in_transit.remove(index);
         if !self.cut.contains(&(from.clone(), to.clone())) && self.cores.contains_key(&to) {
             self.event(&to, SpreadEvent::Received { from, body });
         }
@@ -83,7 +83,7 @@
     pub fn settle(&mut self, rounds: usize) {
         for _ in 0..rounds {
             self.tick_all();
-            while !self.wire.is_empty() {
+            while !self.in_transit.is_empty() {
                 self.deliver(0);
             }
         }
@@ -95,7 +95,7 @@
         core.handle(self.now, event, &mut commands);
         for command in commands {
             match command {
-                SpreadCommand::Send { to, body } => self.wire.push((at.clone(), to, body)),
+                SpreadCommand::Send { to, body } => self.in_transit.push((at.clone(), to, body)),
                 SpreadCommand::Apply(entry) => self.record_in_force(at, entry),
             }
         }
