--- a/crates/bench/src/steer/backoffs.rs
+++ b/crates/bench/src/steer/backoffs.rs
@@ -114,19 +114,19 @@
     pub(super) fn record_backoff(
         &mut self,
         now: TimePoint,
-        gateway: usize,
+        box_number: usize,
         target: usize,
         backoff: Duration,
     ) {
         self.counts.requested += 1;
-        self.backoffs.entry((gateway, target)).or_insert((now, now + backoff));
+        self.backoffs.entry((box_number, target)).or_insert((now, now + backoff));
     }
 
     /// Records that a request of a box reached a target.
-    pub(super) fn record_arrival(&mut self, now: TimePoint, gateway: usize, target: usize) {
-        if let Some((since, until)) = self.backoffs.get(&(gateway, target)).copied() {
+    pub(super) fn record_arrival(&mut self, now: TimePoint, box_number: usize, target: usize) {
+        if let Some((since, until)) = self.backoffs.get(&(box_number, target)).copied() {
             if now >= until {
-                self.backoffs.remove(&(gateway, target));
+                self.backoffs.remove(&(box_number, target));
             } else if now.since(since) >= IN_FLIGHT_TIME {
                 self.counts.sent_during_backoff += 1;
             }
--- a/crates/bench/src/steer/event.rs
+++ b/crates/bench/src/steer/event.rs
@@ -81,7 +81,7 @@
 /// A caller's request.
 pub(super) struct Request {
     pub(super) service: usize,
-    pub(super) gateway: usize,
+    pub(super) box_number: usize,
     pub(super) since: TimePoint,
     pub(super) attempts: Vec<usize>,
     pub(super) ended: bool,
--- a/crates/bench/src/steer/world/limits.rs
+++ b/crates/bench/src/steer/world/limits.rs
@@ -26,15 +26,15 @@
         if self.limit_strategy == LimitStrategy::Ignored {
             return;
         }
-        let Request { gateway, .. } = self.requests[request];
+        let Request { box_number, .. } = self.requests[request];
         let update = named.map_or(LimitUpdate::None, LimitUpdate::At);
-        let change = self.boxes[gateway].receive_limit(now, handle.key, handle.started, update);
+        let change = self.boxes[box_number].receive_limit(now, handle.key, handle.started, update);
         if change.is_none() {
             return;
         }
-        let rate = self.boxes[gateway].limit(now, handle.key);
+        let rate = self.boxes[box_number].limit(now, handle.key);
         for (number, core) in self.boxes.iter_mut().enumerate() {
-            if number != gateway {
+            if number != box_number {
                 // Without latency, which is small against limits that last for seconds.
                 let _ = core.merge_limit(now, handle.key, rate, Duration::ZERO);
             }
@@ -50,11 +50,11 @@
     }
 
     /// Returns whether a box may send a request to the selected target under the limit strategy.
-    pub(super) fn has_permit(&mut self, gateway: usize, pick: &SteerPick) -> bool {
+    pub(super) fn has_permit(&mut self, box_number: usize, pick: &SteerPick) -> bool {
         let Some(rate) = pick.limit else {
             return true;
         };
-        let (now, box_and_target) = (self.events.now, (gateway, self.keys[&pick.key]));
+        let (now, box_and_target) = (self.events.now, (box_number, self.keys[&pick.key]));
         let answer = match self.limit_strategy {
             LimitStrategy::Ignored => return true,
             LimitStrategy::Permits => self.limits.coordinator.answer(now, pick.key, rate, 1.0),
@@ -76,7 +76,7 @@
         match answer {
             PermitAnswer::Granted => true,
             PermitAnswer::Denied(wait) => {
-                self.boxes[gateway].record_no_permit_until(pick.key, now + wait);
+                self.boxes[box_number].record_no_permit_until(pick.key, now + wait);
                 false
             }
         }
--- a/crates/bench/src/steer/world/mod.rs
+++ b/crates/bench/src/steer/world/mod.rs
@@ -173,16 +173,16 @@
     }
 
     fn begin_request(&mut self, service: usize) {
-        let gateway = self.random.random_range(0..self.boxes.len());
+        let box_number = self.random.random_range(0..self.boxes.len());
         let request = self.requests.len();
         self.requests.push(Request {
             service,
-            gateway,
+            box_number,
             since: self.events.now,
             attempts: Vec::new(),
             ended: false,
         });
-        self.boxes[gateway].record_request(self.events.now, &self.names[service]);
+        self.boxes[box_number].record_request(self.events.now, &self.names[service]);
         let timeout = self.service_plan(service).timeout;
         self.events.schedule(timeout, Event::DeadlineReached { request });
         self.send(request);
@@ -204,7 +204,7 @@
     }
 
     fn try_send(&mut self, request: usize) -> Result<(), PickError> {
-        let Request { service, gateway, since, .. } = self.requests[request];
+        let Request { service, box_number, since, .. } = self.requests[request];
         let plan = &self.plan.services[service];
         let tried: Vec<TargetKey> = self.requests[request]
             .attempts
@@ -224,33 +224,33 @@
             homes: HomeRegions::Any,
         };
         let pick = loop {
-            let pick = self.boxes[gateway].pick(self.events.now, &steer_request)?;
-            if self.has_permit(gateway, &pick) {
+            let pick = self.boxes[box_number].pick(self.events.now, &steer_request)?;
+            if self.has_permit(box_number, &pick) {
                 break pick;
             }
         };
-        let handle = self.boxes[gateway].begin(self.events.now, pick.key, &name);
+        let handle = self.boxes[box_number].begin(self.events.now, pick.key, &name);
         let target = self.keys[&pick.key];
         let attempt = self.attempts.len();
         self.attempts.push(Attempt { request, target, handle, open: true });
         self.requests[request].attempts.push(attempt);
-        let remote = *pick.data_centre != *format!("c{}", gateway % self.plan.centres);
+        let remote = *pick.data_centre != *format!("c{}", box_number % self.plan.centres);
         self.result.record_attempt(service, remote, pick.trial);
         if pick.trial {
             self.result.seconds.record_trial(self.events.now);
         }
         let latency = if remote { self.plan.remote_latency } else { LOCAL_LATENCY };
         self.events.schedule(latency, Event::Reached { attempt });
-        let overdue = self.boxes[gateway].overdue_after(&handle);
+        let overdue = self.boxes[box_number].overdue_after(&handle);
         self.events.schedule(overdue, Event::Overdue { attempt });
         let remaining = plan.timeout.saturating_sub(self.events.now.since(since));
         if plan.repeatable
             && let Some(after) =
-                self.boxes[gateway].hedge_after(self.events.now, &handle, remaining)
+                self.boxes[box_number].hedge_after(self.events.now, &handle, remaining)
         {
             self.events.schedule(after, Event::HedgeDue { request, attempt });
         }
-        self.report_attempt(gateway, pick.key, None, &AttemptEffect::default());
+        self.report_attempt(box_number, pick.key, None, &AttemptEffect::default());
         Ok(())
     }
 
@@ -264,8 +264,8 @@
         if !open {
             return;
         }
-        let gateway = self.requests[self.attempts[attempt].request].gateway;
-        self.backoffs.record_arrival(self.events.now, gateway, target);
+        let box_number = self.requests[self.attempts[attempt].request].box_number;
+        self.backoffs.record_arrival(self.events.now, box_number, target);
         self.limits.record_arrival(self.events.now, target);
         let refused = self.pattern.refused_share(self.events.now, target);
         let refuses = refused > 0.0 && self.random.random_bool(refused);
@@ -328,7 +328,7 @@
             self.end_request(request, Some(self.events.now.since(self.requests[request].since)));
             return;
         }
-        let Request { service, gateway, .. } = self.requests[request];
+        let Request { service, box_number, .. } = self.requests[request];
         let ran = kind == AnswerKind::Failure;
         let plan = self.service_plan(service);
         let may_retry =
@@ -336,15 +336,16 @@
         if self.open_attempts(request) > 0 {
             return;
         }
-        if may_retry && self.spend(gateway, service, RetryUse::Repeat) {
+        if may_retry && self.spend(box_number, service, RetryUse::Repeat) {
             self.send(request);
         } else {
             self.end_request(request, None);
         }
     }
 
-    fn spend(&mut self, gateway: usize, service: usize, usage: RetryUse) -> bool {
-        let spent = self.boxes[gateway].spend_retry(self.events.now, &self.names[service], usage);
+    fn spend(&mut self, box_number: usize, service: usize, usage: RetryUse) -> bool {
+        let spent =
+            self.boxes[box_number].spend_retry(self.events.now, &self.names[service], usage);
         if spent {
             self.result.record_retry(service);
         }
@@ -352,13 +353,13 @@
     }
 
     fn hedge(&mut self, request: usize, attempt: usize) {
-        let Request { service, gateway, ended, .. } = self.requests[request];
+        let Request { service, box_number, ended, .. } = self.requests[request];
         let sent = self.requests[request].attempts.len();
         let only_open = self.open_attempts(request) == 1 && self.attempts[attempt].open;
         if ended || !only_open || sent >= MAX_ATTEMPTS {
             return;
         }
-        if !self.spend(gateway, service, RetryUse::Hedge) || self.try_send(request).is_err() {
+        if !self.spend(box_number, service, RetryUse::Hedge) || self.try_send(request).is_err() {
             self.events.schedule(HEDGE_RETRY_INTERVAL, Event::HedgeDue { request, attempt });
         }
     }
@@ -368,24 +369,24 @@
         if !open {
             return;
         }
-        let gateway = self.requests[request].gateway;
-        let effect = self.boxes[gateway].record_overdue(self.events.now, &handle);
+        let box_number = self.requests[request].box_number;
+        let effect = self.boxes[box_number].record_overdue(self.events.now, &handle);
         self.record_suspicion(&handle, &effect);
-        self.report_attempt(gateway, handle.key, None, &effect);
+        self.report_attempt(box_number, handle.key, None, &effect);
     }
 
     fn end_attempt(&mut self, attempt: usize, outcome: SteerOutcome) {
         let Attempt { request, target, handle, .. } = self.attempts[attempt];
         self.attempts[attempt].open = false;
-        let Request { service, gateway, .. } = self.requests[request];
+        let Request { service, box_number, .. } = self.requests[request];
         let name = self.names[service].clone();
-        let core = &mut self.boxes[gateway];
+        let core = &mut self.boxes[box_number];
         let effect = core.end(self.events.now, &handle, &name, outcome, 400);
         if matches!(outcome, SteerOutcome::Good(_) | SteerOutcome::Failed | SteerOutcome::Shed) {
             core.record_load(self.events.now, handle.key, self.targets[target].1.load());
         }
         self.record_suspicion(&handle, &effect);
-        self.report_attempt(gateway, handle.key, Some(outcome), &effect);
+        self.report_attempt(box_number, handle.key, Some(outcome), &effect);
     }
 
     /// Ends a request, with its latency if it was served, and cancels its open attempts.
--- a/crates/bench/src/steer/world/reports.rs
+++ b/crates/bench/src/steer/world/reports.rs
@@ -32,12 +32,12 @@
     /// boxes of the other data centres, too.
     pub(super) fn report_attempt(
         &mut self,
-        gateway: usize,
+        box_number: usize,
         key: TargetKey,
         outcome: Option<SteerOutcome>,
         effect: &AttemptEffect,
     ) {
-        let (open, informative) = self.boxes[gateway].open_attempts_at(key);
+        let (open, informative) = self.boxes[box_number].open_attempts_at(key);
         let failed = outcome == Some(SteerOutcome::Failed);
         let held = self.targets[self.keys[&key]].1.load().held;
         let sample = PeerSample {
@@ -52,20 +52,20 @@
         let remote_sample =
             PeerSample { bad: sample.bad, overdue: sample.overdue, ..PeerSample::default() };
         let urgent = failed || effect.stalled;
-        let retry_counts = self.boxes[gateway].unreported_retry_counts(self.events.now);
+        let retry_counts = self.boxes[box_number].unreported_retry_counts(self.events.now);
         let named = |(name, counts): (Name, RetryCounts)| {
             Some((self.names.iter().position(|known| *known == name)?, counts))
         };
         let retry_counts: Vec<(usize, RetryCounts)> =
             retry_counts.into_iter().filter_map(named).collect();
-        for to in (0..self.boxes.len()).filter(|to| *to != gateway) {
-            let local = to % self.plan.centres == gateway % self.plan.centres;
+        for to in (0..self.boxes.len()).filter(|to| *to != box_number) {
+            let local = to % self.plan.centres == box_number % self.plan.centres;
             if !local && !urgent {
                 continue;
             }
             let message = Message {
                 to,
-                from: gateway as u64,
+                from: box_number as u64,
                 key,
                 sample: if local { sample.clone() } else { remote_sample.clone() },
                 retry_counts: if local { retry_counts.clone() } else { Vec::new() },
@@ -99,19 +99,19 @@
             return;
         };
         let Attempt { request, target, handle, .. } = self.attempts[attempt];
-        let gateway = self.requests[request].gateway;
+        let box_number = self.requests[request].box_number;
         let now = self.events.now;
-        self.backoffs.record_backoff(now, gateway, target, backoff);
+        self.backoffs.record_backoff(now, box_number, target, backoff);
         let jitter = match self.backoff_strategy {
             BackoffStrategy::Ignored => return,
             BackoffStrategy::Jittered => backoff.mul_f64(self.random.random::<f64>() / 4.0),
             _ => Duration::ZERO,
         };
         let notice = TargetNotice { draining: false, backoff: Some(backoff + jitter) };
-        let centre = gateway % self.plan.centres;
+        let centre = box_number % self.plan.centres;
         let in_centre = |other: usize| other % self.plan.centres == centre;
         for (number, core) in self.boxes.iter_mut().enumerate() {
-            if number == gateway
+            if number == box_number
                 || (self.backoff_strategy == BackoffStrategy::Shared && in_centre(number))
             {
                 core.record_notice(now, handle.key, &notice);
