--- a/crates/bench/src/crashes/fleet.rs
+++ b/crates/bench/src/crashes/fleet.rs
@@ -72,11 +72,27 @@
 enum Event {
     OrdinaryRequest,
     PoisonRequest,
-    CallerRetries { fingerprint: u64, tries: u32 },
-    CallerHangsUp { attempt: u64 },
-    AttemptEnds { attempt: u64 },
-    ReportArrives { by: usize, at: usize, number: usize },
-    LearnsOfEnd { at: usize, target: u64 },
+    CallerRetries {
+        fingerprint: u64,
+        tries: u32,
+    },
+    CallerHangsUp {
+        attempt: u64,
+    },
+    AttemptEnds {
+        attempt: u64,
+    },
+    /// A batch of reports reaches another box; `batch` is its index in [`Fleet::sent`].
+    ReportArrives {
+        sender: usize,
+        receiver: usize,
+        batch: usize,
+    },
+    /// A box learns that a target has ended.
+    LearnsOfEnd {
+        box_number: usize,
+        target: u64,
+    },
     UnrelatedTargetsEnd,
     Heartbeats,
     StoreSync,
@@ -86,7 +102,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Attempt {
     fingerprint: Fingerprint,
-    at: usize,
+    box_number: usize,
     target: u64,
     tries: u32,
     sends: u32,
@@ -101,18 +117,22 @@
     now: TimePoint,
     start: TimePoint,
     events: BinaryHeap<Reverse<(TimePoint, u64, Event)>>,
+    /// Last number given to an event, an attempt, a target or a fingerprint.
     last_number: u64,
     ledgers: Vec<CrashLedger>,
     /// Keys of the targets; the next incarnation of an ended target has a new key at the same index.
     targets: Vec<u64>,
     /// Time from which each target accepts requests, by key.
-    up_from: HashMap<u64, TimePoint>,
+    available_from: HashMap<u64, TimePoint>,
+    /// Open attempts by their number.
     open: BTreeMap<u64, Attempt>,
     /// Batches of reports that boxes have sent.
     sent: Vec<Vec<CrashReport>>,
+    /// Reports in the store.
     stored: Vec<CrashReport>,
     /// Time at which the third target was lost to the poison request.
     third_lost_at: Option<TimePoint>,
+    /// Bytes of all reports sent.
     bytes: usize,
     run: CrashRun,
 }
@@ -130,7 +150,7 @@
         events: BinaryHeap::new(),
         last_number: 1_000,
         ledgers: (0..BOXES).map(|_| CrashLedger::default()).collect(),
-        up_from: targets.iter().map(|target| (*target, start)).collect(),
+        available_from: targets.iter().map(|target| (*target, start)).collect(),
         targets,
         open: BTreeMap::new(),
         sent: Vec::new(),
@@ -186,10 +206,12 @@
             }
             Event::CallerHangsUp { attempt } => self.hang_up(attempt),
             Event::AttemptEnds { attempt } => self.finish_attempt(attempt),
-            Event::ReportArrives { by, at, number } => self.receive_report(by, at, number),
-            Event::LearnsOfEnd { at, target } => {
-                let _ = self.ledgers[at].record_target_ended(self.now, TargetKey(target));
-                self.report(at);
+            Event::ReportArrives { sender, receiver, batch } => {
+                self.receive_report(sender, receiver, batch)
+            }
+            Event::LearnsOfEnd { box_number, target } => {
+                let _ = self.ledgers[box_number].record_target_ended(self.now, TargetKey(target));
+                self.report(box_number);
             }
             Event::UnrelatedTargetsEnd => self.end_unrelated_targets(),
             Event::Heartbeats => self.send_heartbeats(),
@@ -204,27 +226,34 @@
 
     /// Handles the try of a caller at a box drawn at random.
     fn receive_try(&mut self, fingerprint: Fingerprint, tries: u32) {
-        let at = self.random.random_range(0..BOXES);
+        let box_number = self.random.random_range(0..BOXES);
         let is_poison = fingerprint == POISON;
         self.run.ordinary_tries += u32::from(!is_poison);
-        if self.ended_targets(at, fingerprint) >= self.strategy.refusal_threshold {
+        if self.ended_targets(box_number, fingerprint) >= self.strategy.refusal_threshold {
             self.run.wrongly_refused += u32::from(!is_poison);
             return;
         }
-        self.send(Attempt { fingerprint, at, target: 0, tries, sends: 1, has_caller: true });
+        self.send(Attempt {
+            fingerprint,
+            box_number,
+            target: 0,
+            tries,
+            sends: 1,
+            has_caller: true,
+        });
     }
 
     fn send(&mut self, mut attempt: Attempt) {
-        let up: Vec<u64> = self
+        let available: Vec<u64> = self
             .targets
             .iter()
             .copied()
-            .filter(|target| self.up_from[target] <= self.now)
+            .filter(|target| self.available_from[target] <= self.now)
             .collect();
-        if up.is_empty() {
+        if available.is_empty() {
             return;
         }
-        attempt.target = up[self.random.random_range(0..up.len())];
+        attempt.target = available[self.random.random_range(0..available.len())];
         let number = self.next_number();
         if attempt.fingerprint == POISON {
             let is_late = self.third_lost_at.is_some_and(|at| self.now.since(at) > LATE_AFTER);
@@ -249,7 +278,11 @@
         attempt.has_caller = false;
         if self.strategy.counts_unknown_outcomes {
             let target = TargetKey(attempt.target);
-            self.ledgers[attempt.at].record_unknown_outcome(now, attempt.fingerprint, target);
+            self.ledgers[attempt.box_number].record_unknown_outcome(
+                now,
+                attempt.fingerprint,
+                target,
+            );
         }
     }
 
@@ -268,8 +301,8 @@
             return;
         }
         let attempt = self.open.remove(&number).expect("the attempt was found above");
-        let _ = self.ledgers[attempt.at].record_success(self.now, attempt.fingerprint);
-        self.report(attempt.at);
+        let _ = self.ledgers[attempt.box_number].record_success(self.now, attempt.fingerprint);
+        self.report(attempt.box_number);
     }
 
     /// Ends a target and all attempts that are open at it.
@@ -279,7 +312,7 @@
         };
         let next = self.next_number();
         self.targets[index] = next;
-        self.up_from.insert(next, self.now + REPLACED_AFTER);
+        self.available_from.insert(next, self.now + REPLACED_AFTER);
         let numbers: Vec<u64> = self
             .open
             .iter()
@@ -291,11 +324,18 @@
         for attempt in &broken {
             if attempt.has_caller {
                 let key = TargetKey(target);
-                let _ = self.ledgers[attempt.at].record_crash(self.now, attempt.fingerprint, key);
-                self.report(attempt.at);
+                let _ = self.ledgers[attempt.box_number].record_crash(
+                    self.now,
+                    attempt.fingerprint,
+                    key,
+                );
+                self.report(attempt.box_number);
             } else {
                 let wait = MAX_LEARN_DELAY.mul_f64(self.random.random());
-                self.schedule_after(wait, Event::LearnsOfEnd { at: attempt.at, target });
+                self.schedule_after(
+                    wait,
+                    Event::LearnsOfEnd { box_number: attempt.box_number, target },
+                );
             }
         }
         for attempt in broken.into_iter().filter(|attempt| attempt.has_caller) {
@@ -305,7 +345,7 @@
 
     /// Retries a failed attempt at the box, or schedules the next try of its caller.
     fn retry(&mut self, attempt: Attempt) {
-        let ended = self.ended_targets(attempt.at, attempt.fingerprint);
+        let ended = self.ended_targets(attempt.box_number, attempt.fingerprint);
         let is_retried = attempt.sends < MAX_SENDS
             && ended < self.strategy.no_retry_threshold
             && ended < self.strategy.refusal_threshold;
@@ -325,7 +365,7 @@
             .targets
             .iter()
             .copied()
-            .filter(|target| self.up_from[target] <= self.now)
+            .filter(|target| self.available_from[target] <= self.now)
             .collect();
         for target in ending {
             if self.random.random_bool(self.scenario.unrelated_end_probability) {
@@ -336,12 +376,12 @@
     }
 
     /// Sends the unreported entries of a box's ledger to all other boxes.
-    fn report(&mut self, by: usize) {
-        let reports = self.ledgers[by].take_unreported(self.now);
+    fn report(&mut self, sender: usize) {
+        let reports = self.ledgers[sender].take_unreported(self.now);
         if reports.is_empty() || !self.strategy.reports {
             return;
         }
-        self.send_reports(by, reports, |_| true);
+        self.send_reports(sender, reports, |_| true);
     }
 
     fn send_heartbeats(&mut self) {
@@ -349,48 +389,52 @@
         if !self.strategy.reports {
             return;
         }
-        for by in 0..BOXES {
-            let reports = self.ledgers[by].reports_to_repeat(self.now, 12);
+        for sender in 0..BOXES {
+            let reports = self.ledgers[sender].reports_to_repeat(self.now, 12);
             if !reports.is_empty() {
                 let remote = self.random.random_range(0..BOXES);
-                self.send_reports(by, reports, |at| at % CENTRES == by % CENTRES || at == remote);
+                self.send_reports(sender, reports, |other| {
+                    other % CENTRES == sender % CENTRES || other == remote
+                });
             }
         }
     }
 
     fn send_reports(
         &mut self,
-        by: usize,
+        sender: usize,
         reports: Vec<CrashReport>,
         is_receiver: impl Fn(usize) -> bool,
     ) {
         let size: usize =
             reports.iter().map(|report| RECORD_BYTES + END_BYTES * report.ends.len()).sum();
-        let number = self.sent.len();
+        let batch = self.sent.len();
         self.sent.push(reports);
-        for at in (0..BOXES).filter(|at| *at != by && is_receiver(*at)) {
+        for receiver in (0..BOXES).filter(|other| *other != sender && is_receiver(*other)) {
             self.bytes += size;
             if !self.random.random_bool(LOSS_RATE) {
-                let is_local = at % CENTRES == by % CENTRES;
+                let is_local = receiver % CENTRES == sender % CENTRES;
                 let delay = if is_local { LOCAL_DELAY } else { REMOTE_DELAY };
-                self.schedule_after(delay, Event::ReportArrives { by, at, number });
+                self.schedule_after(delay, Event::ReportArrives { sender, receiver, batch });
             }
         }
     }
 
-    fn receive_report(&mut self, by: usize, at: usize, number: usize) {
-        if self.is_cut_off(by) || self.is_cut_off(at) {
+    fn receive_report(&mut self, sender: usize, receiver: usize, batch: usize) {
+        if self.is_cut_off(sender) || self.is_cut_off(receiver) {
             return;
         }
-        for report in &self.sent[number] {
-            let _ = self.ledgers[at].merge_report(self.now, report);
+        for report in &self.sent[batch] {
+            let _ = self.ledgers[receiver].merge_report(self.now, report);
         }
     }
 
-    fn is_cut_off(&self, at: usize) -> bool {
+    fn is_cut_off(&self, box_number: usize) -> bool {
         let (from, until) = CUT;
         let since = self.now.since(self.start);
-        (at as f64) < self.scenario.cut_off_share * BOXES as f64 && since >= from && since < until
+        (box_number as f64) < self.scenario.cut_off_share * BOXES as f64
+            && since >= from
+            && since < until
     }
 
     /// Writes the refused requests of one box per data centre to the store; boxes that are cut off read them.
@@ -400,12 +444,12 @@
             return;
         }
         let writers = BOXES - CENTRES..BOXES;
-        let refused = writers.flat_map(|at| self.ledgers[at].refused_reports(self.now, 64));
+        let refused = writers.flat_map(|writer| self.ledgers[writer].refused_reports(self.now, 64));
         self.stored = refused.collect();
-        for at in 0..BOXES {
-            if self.is_cut_off(at) {
+        for reader in 0..BOXES {
+            if self.is_cut_off(reader) {
                 for report in &self.stored {
-                    let _ = self.ledgers[at].merge_report(self.now, report);
+                    let _ = self.ledgers[reader].merge_report(self.now, report);
                 }
             }
         }
@@ -423,8 +467,8 @@
         }
     }
 
-    fn ended_targets(&self, at: usize, fingerprint: Fingerprint) -> usize {
-        self.ledgers[at].verdict(self.now, fingerprint).ended()
+    fn ended_targets(&self, box_number: usize, fingerprint: Fingerprint) -> usize {
+        self.ledgers[box_number].verdict(self.now, fingerprint).ended()
     }
 
     fn exponential_gap(&mut self, rate: f64) -> Duration {
--- a/crates/bench/src/path.rs
+++ b/crates/bench/src/path.rs
@@ -69,8 +69,8 @@
     let system = SmallSystem::start(setup)?;
     let proxy = system.boxes[0].proxy.callers;
     let targets: Vec<SocketAddr> = system.targets.iter().map(|target| target.address).collect();
-    let measured = |connections| measure_row(connections, seconds, rate, proxy, &targets);
-    Ok(CONNECTIONS.into_iter().map(measured).collect())
+    let measure = |connections| measure_row(connections, seconds, rate, proxy, &targets);
+    Ok(CONNECTIONS.into_iter().map(measure).collect())
 }
 
 /// Latencies with and without the proxy, in microseconds.
--- a/crates/bench/src/quota/customer_strategies.rs
+++ b/crates/bench/src/quota/customer_strategies.rs
@@ -148,9 +148,11 @@
 /// requests up to the limit on the sum over all boxes.
 pub(crate) struct WindowSumBox {
     boxes: usize,
+    /// Requests that this box admitted, by the start of each [`COUNT_INTERVAL`].
     own: Vec<(TimePoint, f64)>,
     peers: PeerReports,
     reported_at: TimePoint,
+    /// Whether requests were admitted after the last report.
     has_unreported: bool,
     number: usize,
 }
@@ -226,6 +228,7 @@
 pub(crate) struct AllotmentBox {
     number: usize,
     boxes: usize,
+    /// Recent requests, with an exponential decay over [`QUOTA_WINDOW`], as of `decayed_at`.
     demand: f64,
     decayed_at: TimePoint,
     peers: PeerReports,
--- a/crates/bench/src/quota/fleet.rs
+++ b/crates/bench/src/quota/fleet.rs
@@ -166,11 +166,11 @@
 
     /// Returns the times at which a box starts, each with the time for which it was down before, in
     /// microseconds.
-    fn starts(&self, number: usize) -> Vec<(u64, u64)> {
+    fn start_times(&self, number: usize) -> Vec<(u64, u64)> {
         let from = micros(FAULT_START_S);
         match self.scenario {
             _ if number >= self.boxes => vec![(from + number as u64 * 10_000, u64::MAX)],
-            QuotaScenario::Power => vec![(from + 3_000_000, 1_000_000)],
+            QuotaScenario::PowerCut => vec![(from + 3_000_000, 1_000_000)],
             QuotaScenario::Killed if !self.cut[number] => {
                 vec![(from + 1_000_000, 1_000_000), (from + 4_000_000, 1_000_000)]
             }
@@ -185,19 +185,37 @@
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum FleetEvent {
-    Request { caller: usize },
-    Recheck { number: usize, until: u64 },
-    Arrive { to: usize, from: usize, slot: usize },
+    /// A caller sends a request.
+    Request {
+        caller: usize,
+    },
+    /// A box decides again on a request that waits, for the last time at `until`.
+    Recheck {
+        number: usize,
+        until: u64,
+    },
+    /// A message reaches a box; `slot` is its index in [`Fleet::messages`].
+    Arrive {
+        to: usize,
+        from: usize,
+        slot: usize,
+    },
+    /// All boxes send the messages that are due.
     Tick,
-    Stop { number: usize },
-    Start { number: usize },
+    Stop {
+        number: usize,
+    },
+    Start {
+        number: usize,
+    },
 }
 
 struct Fleet<'a, B: StrategyBox> {
     plan: &'a FleetPlan,
     now: u64,
     queue: BinaryHeap<Reverse<(u64, u64, FleetEvent)>>,
-    events: u64,
+    /// Number of scheduled events, which orders those at the same time.
+    scheduled: u64,
     random: SmallRng,
     boxes: Vec<Option<B>>,
     incarnations: Vec<u64>,
@@ -220,7 +238,7 @@
         plan,
         now: 0,
         queue: BinaryHeap::new(),
-        events: 0,
+        scheduled: 0,
         random: SmallRng::seed_from_u64(plan.seed ^ 0x5eed),
         boxes: (0..all).map(start).collect(),
         incarnations: vec![0; all],
@@ -240,7 +258,7 @@
             self.schedule_request(caller);
         }
         for number in 0..self.boxes.len() {
-            for (at, downtime) in self.plan.starts(number) {
+            for (at, downtime) in self.plan.start_times(number) {
                 if downtime < at {
                     self.schedule(at - downtime, FleetEvent::Stop { number });
                 }
@@ -408,8 +426,8 @@
     }
 
     fn schedule(&mut self, at: u64, event: FleetEvent) {
-        self.events += 1;
-        self.queue.push(Reverse((at, self.events, event)));
+        self.scheduled += 1;
+        self.queue.push(Reverse((at, self.scheduled, event)));
     }
 
     fn time_point(&self) -> TimePoint {
--- a/crates/bench/src/quota/scenario.rs
+++ b/crates/bench/src/quota/scenario.rs
@@ -17,7 +17,7 @@
     /// A third of the boxes is cut off while the customer sends ten times its usual rate.
     CutAtTenTimes,
     /// All boxes lose power for a second while the customer sends three times its usual rate.
-    Power,
+    PowerCut,
     /// Two thirds of the boxes are killed and start again a second later, twice.
     Killed,
     /// Boxes are restarted one after the other while the customer sends three times its usual rate.
@@ -35,7 +35,7 @@
     (QuotaScenario::Moved, "moved"),
     (QuotaScenario::Cut, "cut"),
     (QuotaScenario::CutAtTenTimes, "cut-at-ten-times"),
-    (QuotaScenario::Power, "power"),
+    (QuotaScenario::PowerCut, "power"),
     (QuotaScenario::Killed, "killed"),
     (QuotaScenario::Rolling, "rolling"),
     (QuotaScenario::Joining, "joining"),
@@ -57,7 +57,7 @@
         let is_fault_time = (FAULT_START_S..FAULT_END_S).contains(&time);
         let factor = match self {
             QuotaScenario::TenTimes | QuotaScenario::CutAtTenTimes if is_fault_time => 10.0,
-            QuotaScenario::Power | QuotaScenario::Rolling | QuotaScenario::Joining
+            QuotaScenario::PowerCut | QuotaScenario::Rolling | QuotaScenario::Joining
                 if is_fault_time =>
             {
                 3.0
--- a/crates/bench/src/quota/target_strategies.rs
+++ b/crates/bench/src/quota/target_strategies.rs
@@ -43,9 +43,12 @@
     share: FallbackShare,
     requests_sent: u64,
     /// Number of the open request, when it was made, and whether it was sent.
-    open: Option<(u64, TimePoint, bool)>,
+    open_request: Option<(u64, TimePoint, bool)>,
+    /// Whether a permit was granted that no request has used yet.
     is_granted: bool,
-    used_up_until: TimePoint,
+    /// Time until which the last denial applies.
+    denied_until: TimePoint,
+    /// Time until which the box sends its fallback share instead of requests to the coordinator.
     alone_until: TimePoint,
 }
 
@@ -53,6 +56,7 @@
 pub(crate) enum PermitMessage {
     Request(u64),
     Answer(u64, PermitAnswer),
+    /// The receiver of the request is not the coordinator or has just started.
     Rejected(u64),
 }
 
@@ -62,10 +66,10 @@
     }
 
     fn apply_answer(&mut self, now: TimePoint, answer: PermitAnswer) {
-        self.open = None;
+        self.open_request = None;
         match answer {
             PermitAnswer::Granted => self.is_granted = true,
-            PermitAnswer::Denied(wait) => self.used_up_until = now + wait,
+            PermitAnswer::Denied(wait) => self.denied_until = now + wait,
         }
     }
 
@@ -74,7 +78,7 @@
         match self.share.acquire(now, rate_of(limit), self.boxes, phase) {
             PermitAnswer::Granted => Admission::Admitted,
             PermitAnswer::Denied(wait) => {
-                self.used_up_until = now + wait.min(COORDINATOR_RETRY_DELAY);
+                self.denied_until = now + wait.min(COORDINATOR_RETRY_DELAY);
                 Admission::Refused(wait)
             }
         }
@@ -93,9 +97,9 @@
             coordinator: PermitCoordinator::default(),
             share: FallbackShare::default(),
             requests_sent: 0,
-            open: None,
+            open_request: None,
             is_granted: false,
-            used_up_until: now,
+            denied_until: now,
             alone_until: now,
         }
     }
@@ -104,27 +108,27 @@
         if std::mem::take(&mut self.is_granted) {
             return Admission::Admitted;
         }
-        if now < self.used_up_until {
-            return Admission::Refused(self.used_up_until.since(now));
+        if now < self.denied_until {
+            return Admission::Refused(self.denied_until.since(now));
         }
-        if let Some((_, sent, true)) = self.open
+        if let Some((_, sent, true)) = self.open_request
             && now.since(sent) >= REQUEST_TIMEOUT
         {
-            self.open = None;
+            self.open_request = None;
             self.alone_until = now + COORDINATOR_RETRY_DELAY;
         }
         if now < self.alone_until || !self.is_past_start_delay(now) {
             return self.admit_alone(now, limit);
         }
-        if self.open.is_none() {
+        if self.open_request.is_none() {
             self.requests_sent += 1;
-            self.open = Some((self.requests_sent, now, false));
+            self.open_request = Some((self.requests_sent, now, false));
         }
         Admission::Wait
     }
 
     fn due(&mut self, _: TimePoint, _: QuotaLimit, ranks: &[usize]) -> Vec<(usize, PermitMessage)> {
-        let Some((number, _, is_sent)) = &mut self.open else {
+        let Some((number, _, is_sent)) = &mut self.open_request else {
             return Vec::new();
         };
         if std::mem::replace(is_sent, true) {
@@ -153,14 +157,14 @@
                 Some(PermitMessage::Answer(*number, answer))
             }
             PermitMessage::Answer(number, answer) => {
-                if self.open.is_some_and(|(open_number, ..)| open_number == *number) {
+                if self.open_request.is_some_and(|(open_number, ..)| open_number == *number) {
                     self.apply_answer(now, *answer);
                 }
                 None
             }
             PermitMessage::Rejected(number) => {
-                if self.open.is_some_and(|(open_number, ..)| open_number == *number) {
-                    self.open = None;
+                if self.open_request.is_some_and(|(open_number, ..)| open_number == *number) {
+                    self.open_request = None;
                     self.alone_until = now + COORDINATOR_RETRY_DELAY;
                 }
                 None
--- a/crates/bench/src/settings.rs
+++ b/crates/bench/src/settings.rs
@@ -35,28 +35,27 @@
         .subcommand(steer_command())
         .subcommand(quota_command())
         .subcommand(crashes_command())
-        .subcommand(
-            Command::new("box")
-                .about("Memory and processor time of one box at rest, by how much is configured"),
-        )
+        .subcommand(Command::new("box").about(
+            "Measures memory and processor time of an idle box for several configuration sizes",
+        ))
 }
 
 fn crashes_command() -> Command {
     Command::new("crashes")
         .about("Compares strategies that keep a request that crashes targets away from further targets")
-        .arg(setting("seed", "The first fleet's seed", "0 to 4294967295.").default_value("1"))
-        .arg(setting("fleets", "How many fleets", "1 to 1000.").default_value("40"))
+        .arg(setting("seed", "Seed of the first fleet", "0 to 4294967295.").default_value("1"))
+        .arg(setting("fleets", "Number of fleets", "1 to 1000.").default_value("40"))
 }
 
 fn decide_command() -> Command {
     Command::new("decide")
-        .about("Detection time and false ejections of the decision core, against baselines")
+        .about("Compares detection time and false ejections of the decision core with baselines")
         .arg(
             setting("site", "Site whose sizes and rates are used", "sedlo or dakar.")
                 .default_value("sedlo"),
         )
         .arg(
-            setting("seed", "The first seed", "Each further trial takes the next number.")
+            setting("seed", "Seed of the first trial", "Each further trial takes the next number.")
                 .default_value("1"),
         )
         .arg(
@@ -127,8 +126,8 @@
 fn steer_command() -> Command {
     Command::new("steer")
         .about("Compares the choice of targets with uniform picks, on fleets drawn at random")
-        .arg(setting("seed", "The first fleet's seed", "0 to 4294967295.").default_value("1"))
-        .arg(setting("fleets", "How many fleets", "1 to 1000.").default_value("40"))
+        .arg(setting("seed", "Seed of the first fleet", "0 to 4294967295.").default_value("1"))
+        .arg(setting("fleets", "Number of fleets", "1 to 1000.").default_value("40"))
         .arg(
             setting("seconds", "Seconds of traffic for each fleet", "1 to 600.")
                 .default_value("30"),
@@ -216,8 +215,8 @@
 fn quota_command() -> Command {
     Command::new("quota")
         .about("Compares strategies to hold a quota or a target's limit over all boxes, on random fleets")
-        .arg(setting("seed", "The first fleet's seed", "0 to 4294967295.").default_value("1"))
-        .arg(setting("fleets", "How many fleets", "1 to 1000.").default_value("20"))
+        .arg(setting("seed", "Seed of the first fleet", "0 to 4294967295.").default_value("1"))
+        .arg(setting("fleets", "Number of fleets", "1 to 1000.").default_value("20"))
         .arg(setting("boxes", "Boxes of each fleet", "2 to 2000.").default_value("113"))
         .arg(
             setting(
@@ -299,20 +298,24 @@
         .arg(
             setting(
                 "boxes",
-                "How many boxes",
+                "Number of boxes",
                 "Up to 40 run as real agents in this process; more run as simulated cores.",
             )
             .default_value("40"),
         )
-        .arg(setting("centres", "How many data centres", "1 to 64.").default_value("3"))
+        .arg(setting("centres", "Number of data centres", "1 to 64.").default_value("3"))
         .arg(setting("changes", "Timed changes in each row", "1 to 10000.").default_value("40"))
         .arg(
             setting("keys", "Keys that exist before the first change", "0 to 100000.")
                 .default_value("200"),
         )
         .arg(
-            setting("seed", "The first seed", "Determines losses, delays and random choices.")
-                .default_value("1"),
+            setting(
+                "seed",
+                "Seed of the simulation",
+                "Determines losses, delays and random choices.",
+            )
+            .default_value("1"),
         )
         .arg(
             Arg::new("cores")
--- a/crates/bench/src/spread/cores.rs
+++ b/crates/bench/src/spread/cores.rs
@@ -63,14 +63,18 @@
     store_cut: bool,
     cores: Vec<SpreadCore>,
     numbers: HashMap<Arc<str>, usize>,
+    /// Events by time and sequence number, with the box that they are for.
     events: BinaryHeap<Reverse<(u64, u64, usize)>>,
+    /// Messages with their sender, by the sequence number of their arrival; other events are timers.
     in_transit: HashMap<u64, (usize, FrameBody)>,
     sequence: u64,
     now: u64,
     bytes: u64,
     messages: u64,
+    /// Time at which each change was accepted, by key.
     changed_at: HashMap<String, u64>,
     in_force: HashMap<(usize, String), Stamp>,
+    /// Time from each change until it was in force in a box, in milliseconds.
     delays: Vec<f64>,
     reverts: usize,
     random: SmallRng,
@@ -244,6 +248,7 @@
         }
     }
 
+    /// Delivers an answer of the store to a box, as a message from itself.
     fn deliver_after(&mut self, delay: u64, to: usize, body: FrameBody) {
         self.sequence += 1;
         self.in_transit.insert(self.sequence, (to, body));
--- a/crates/bench/tests/quota.rs
+++ b/crates/bench/tests/quota.rs
@@ -39,7 +39,7 @@
     QuotaCase { scenario: QuotaScenario::Cut, rate: 100.0, refused: 4.0 },
     QuotaCase { scenario: QuotaScenario::CutAtTenTimes, rate: 100.0, refused: 10.0 },
     QuotaCase { scenario: QuotaScenario::CutAtTenTimes, rate: 20.0, refused: 10.0 },
-    QuotaCase { scenario: QuotaScenario::Power, rate: 100.0, refused: 15.0 },
+    QuotaCase { scenario: QuotaScenario::PowerCut, rate: 100.0, refused: 15.0 },
     // Twice, most coordinators are down for a second together with their standbys.
     QuotaCase { scenario: QuotaScenario::Killed, rate: 100.0, refused: 8.0 },
     QuotaCase { scenario: QuotaScenario::Killed, rate: 3.0, refused: 8.0 },
