--- a/crates/demo/src/experiment.rs
+++ b/crates/demo/src/experiment.rs
@@ -1,5 +1,5 @@
-//! The experiment of the demonstration: load, then a stalled target, a cut network path and a planned
-//! stop of a box.
+//! The experiment of the demonstration: load, then a stalled target, a cut network path and a
+//! planned stop of a box.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -51,12 +51,13 @@
     pub cut: u64,
     /// Number of answers that belonged to another request or were incomplete.
     pub wrong_answer: u64,
-    /// Time from the stall until the last request that the target got before it counted as detected,
-    /// in milliseconds; `None` if it was not detected.
+    /// Time from the stall until the last request that the target got before it counted as
+    /// detected, in milliseconds; `None` if it was not detected.
     pub detection_ms: Option<u64>,
     /// Number of ejections of targets without faults.
     pub false_ejections: u64,
-    /// Difference of the median latencies through the proxy and directly to a target, in milliseconds.
+    /// Difference of the median latencies through the proxy and directly to a target, in
+    /// milliseconds.
     pub added_p50_ms: f64,
     /// Difference of the 99th percentiles of both latencies, in milliseconds.
     pub added_p99_ms: f64,
@@ -251,7 +252,8 @@
         }
         task::sleep(THINK_TIME).await;
         if count.is_multiple_of(4) && !state.latency.closed.load(Ordering::Acquire) {
-            // Direct requests use a new connection each time, as proxied ones do when they change boxes.
+            // Direct requests use a new connection each time, as proxied ones do when they change
+            // boxes.
             direct = LoadCaller::new(state.direct);
             let started = Instant::now();
             if direct.call(&request, CALL_TIMEOUT).await.is_ok() {
@@ -305,8 +307,8 @@
     }
 }
 
-/// Watches a stalled target for `max_time`. Returns the time of its last request before it first got
-/// none for [`QUIET_TIME`], or `None` if that did not happen.
+/// Watches a stalled target for `max_time`. Returns the time of its last request before it first
+/// got none for [`QUIET_TIME`], or `None` if that did not happen.
 async fn measure_detection(
     target: &wingbridge_standin::TargetHandle,
     max_time: Duration,
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -1,5 +1,5 @@
-//! A complete small system in one process, built from the same `run` functions as the programs, with
-//! load, faults and checks of the invariants.
+//! A complete small system in one process, built from the same `run` functions as the programs,
+//! with load, faults and checks of the invariants.
 
 pub mod caller;
 pub mod experiment;
--- a/crates/demo/src/settings.rs
+++ b/crates/demo/src/settings.rs
@@ -27,7 +27,8 @@
         .arg(Arg::new("json").long("json").action(ArgAction::SetTrue).help("Print one JSON object instead of a table"))
 }
 
-/// Returns the setup of the demonstration: the example site Sedlo with its policies and fewer targets.
+/// Returns the setup of the demonstration: the example site Sedlo with its policies and fewer
+/// targets.
 pub fn demo_setup() -> SystemSetup {
     let plan = |name, route, policy: &str, targets, work| ServicePlan {
         name,
--- a/crates/demo/src/system.rs
+++ b/crates/demo/src/system.rs
@@ -1,5 +1,5 @@
-//! A small system of a store, targets and boxes, all on threads of this process and on ports that the
-//! operating system chooses.
+//! A small system of a store, targets and boxes, all on threads of this process and on ports that
+//! the operating system chooses.
 
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -167,8 +167,8 @@
         Ok(())
     }
 
-    /// Stops a box as planned: lists it as leaving, drains its proxy, ends its agent and lists it as
-    /// gone.
+    /// Stops a box as planned: lists it as leaving, drains its proxy, ends its agent and lists it
+    /// as gone.
     ///
     /// # Errors
     /// Returns an error if a request was cut or a component ended with an error.
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,4 +1,5 @@
-//! Callers, which make requests over connections that they may use until the box's process has ended.
+//! Callers, which make requests over connections that they may use until the box's process has
+//! ended.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/soak/src/driver.rs
+++ b/crates/soak/src/driver.rs
@@ -393,7 +393,8 @@
         Ok(())
     }
 
-    /// Records a disturbance of each box that waited long for a processor since the last measurement.
+    /// Records a disturbance of each box that waited long for a processor since the last
+    /// measurement.
     fn check_starvation(&mut self) {
         let since = self.last_starvation_check.elapsed();
         if since < STARVATION_INTERVAL {
--- a/crates/soak/src/environment.rs
+++ b/crates/soak/src/environment.rs
@@ -156,8 +156,8 @@
         }
     }
 
-    /// Returns the targets that a poison request has ended since the last call, and stops the relays
-    /// at their addresses.
+    /// Returns the targets that a poison request has ended since the last call, and stops the
+    /// relays at their addresses.
     pub fn take_crashed_targets(&self) -> Vec<usize> {
         let crashed = |index: &usize| self.slots[*index].target.take_crash();
         let crashed: Vec<usize> = (0..self.slots.len()).filter(crashed).collect();
@@ -196,7 +196,8 @@
         Ok(())
     }
 
-    /// Returns the targets that were marked as draining or removed, and when the store acknowledged it.
+    /// Returns the targets that were marked as draining or removed, and when the store acknowledged
+    /// it.
     pub fn departures(&self) -> &[(String, Instant)] {
         &self.departures
     }
--- a/crates/soak/src/notices.rs
+++ b/crates/soak/src/notices.rs
@@ -17,8 +17,8 @@
 /// Maximum number of requests that a box may send to the target after that and within the back-off.
 const MAX_SENDS_IN_BACKOFF: usize = 2;
 
-/// Finds requests that reached a target more than [`MAX_CHANGE_TIME`] after their box had relayed an
-/// answer in which the target announced that it was draining.
+/// Finds requests that reached a target more than [`MAX_CHANGE_TIME`] after their box had relayed
+/// an answer in which the target announced that it was draining.
 pub(crate) fn sent_to_draining(evidence: &SoakEvidence) -> Vec<String> {
     let records = records_by_id(evidence);
     let was_relayed = |notice: &&NoticeRecord| {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -31,8 +31,9 @@
     TargetPath(usize, RelayMode, Duration),
     /// A target has this fault for this time.
     Target(usize, TargetMode, Duration),
-    /// A target announces that it is draining, continues to serve for a while and ends; then another
-    /// target takes over its address. The flag says whether that one belongs to another service.
+    /// A target announces that it is draining, continues to serve for a while and ends; then
+    /// another target takes over its address. The flag says whether that one belongs to another
+    /// service.
     ReplaceTarget(usize, bool),
     /// A target ends without an announcement. Its entry is removed later, and then another target
     /// takes over its address.
@@ -42,10 +43,11 @@
     /// A target refuses this share of requests and asks in the refusals for this back-off; the last
     /// field is how long it does so.
     AskRest(usize, f64, Duration, Duration),
-    /// A target announces in its answers only, not in its entry, that it is draining, and then ends.
+    /// A target announces in its answers only, not in its entry, that it is draining, and then
+    /// ends.
     LeaveByAnswers(usize),
-    /// A target announces this limit in its answers, in millionths of a request per second, for this
-    /// time.
+    /// A target announces this limit in its answers, in millionths of a request per second, for
+    /// this time.
     NameLimit(usize, u64, Duration),
 }
 
@@ -54,8 +56,8 @@
 pub struct FaultPlan {
     /// Faults in the order of their begin, which counts from the start of the load.
     pub faults: Vec<(Duration, PlannedFault)>,
-    /// Targets that ask for a back-off or drain with an announcement in answers only, with the times
-    /// at which they begin.
+    /// Targets that ask for a back-off or drain with an announcement in answers only, with the
+    /// times at which they begin.
     pub notices: Vec<(Duration, PlannedFault)>,
     /// Targets that announce limits, with the times at which they begin.
     pub limits: Vec<(Duration, PlannedFault)>,
@@ -80,7 +82,8 @@
 
 /// Poison requests per second of faults.
 const POISON_ROUNDS_PER_S: f64 = 0.1;
-/// Targets per second of faults that ask for a back-off or drain with an announcement in answers only.
+/// Targets per second of faults that ask for a back-off or drain with an announcement in answers
+/// only.
 const NOTICES_PER_S: f64 = 0.2;
 const NOTICE_SEED: u64 = 0x1eaf;
 /// Targets per second of faults that announce limits.
--- a/crates/soak/src/relay.rs
+++ b/crates/soak/src/relay.rs
@@ -75,8 +75,8 @@
         self.address
     }
 
-    /// Stops listening permanently. Connections are refused from then on, as with a process that has
-    /// ended.
+    /// Stops listening permanently. Connections are refused from then on, as with a process that
+    /// has ended.
     pub fn stop(&self) {
         self.shared.stopped.store(true, Ordering::Release);
         // The listener checks the flag at its next connection, which is made here.
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,5 @@
-//! Runs one seed: starts the system, injects the faults, collects the evidence and makes the report.
+//! Runs one seed: starts the system, injects the faults, collects the evidence and makes the
+//! report.
 
 use std::fs;
 use std::path::PathBuf;
@@ -51,7 +52,8 @@
     let directory = settings.directory.join(format!("seed-{seed}-{}", std::process::id()));
     fs::create_dir_all(&directory)
         .wrap_err_with(|| format!("can't create directory '{}'", directory.display()))?;
-    // The seeds of one process run one after the other, so the process id separates concurrent runs.
+    // The seeds of one process run one after the other, so the process id separates concurrent
+    // runs.
     let run = std::process::id();
     let locations: Vec<BoxLocation> =
         (0..settings.boxes).map(|index| BoxLocation::new(run, index)).collect();
@@ -114,7 +116,8 @@
     Ok(())
 }
 
-/// Waits until callers are served again. Returns false if that takes longer than [`RECOVERY_TIMEOUT`].
+/// Waits until callers are served again. Returns false if that takes longer than
+/// [`RECOVERY_TIMEOUT`].
 fn wait_recovered(driver: &mut FaultDriver, callers: &CallerPool) -> std::io::Result<bool> {
     let until = Instant::now() + RECOVERY_TIMEOUT;
     let before = callers.ended();
--- a/crates/soak/src/spans.rs
+++ b/crates/soak/src/spans.rs
@@ -60,8 +60,8 @@
         of_scope.any(|span| span.from <= until && span.until.is_none_or(|end| end >= from))
     }
 
-    /// Returns whether box `index` was connected: neither the box nor the store was disturbed between
-    /// `from` and `until`, nor during `lead_time` before `from`.
+    /// Returns whether box `index` was connected: neither the box nor the store was disturbed
+    /// between `from` and `until`, nor during `lead_time` before `from`.
     pub fn was_connected(
         &self,
         index: usize,
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -1,4 +1,5 @@
-//! Each check of the soak reports its violation and nothing else, and a run without faults has none.
+//! Each check of the soak reports its violation and nothing else, and a run without faults has
+//! none.
 
 use std::time::{Duration, Instant};
 
--- a/crates/soak/tests/short_soak.rs
+++ b/crates/soak/tests/short_soak.rs
@@ -69,7 +69,8 @@
     }
 }
 
-/// Returns the path of the box's program beside this test's own. `cargo test --workspace` builds it.
+/// Returns the path of the box's program beside this test's own. `cargo test --workspace` builds
+/// it.
 fn box_program() -> PathBuf {
     let test = std::env::current_exe().expect("path of the test program");
     let programs =
--- a/crates/standin/src/store_state.rs
+++ b/crates/standin/src/store_state.rs
@@ -157,8 +157,8 @@
         BoxListing { revision: state.box_revision, boxes: newer.cloned().collect() }
     }
 
-    /// Returns a channel that closes at the next change, or `None` if something has changed since the
-    /// given revisions.
+    /// Returns a channel that closes at the next change, or `None` if something has changed since
+    /// the given revisions.
     pub(crate) fn next_change(
         &self,
         keys: Option<u64>,
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -1,5 +1,5 @@
-//! Stand-in for a target, with a limited number of slots, random processing times and a log of what it
-//! executed.
+//! Stand-in for a target, with a limited number of slots, random processing times and a log of what
+//! it executed.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -270,8 +270,8 @@
     response.insert_header("x-target-incarnation", handle.shared.incarnation.to_string());
 }
 
-/// Returns the byte at `position` of the download. It depends on the position only, so that any part
-/// can be verified separately.
+/// Returns the byte at `position` of the download. It depends on the position only, so that any
+/// part can be verified separately.
 pub fn download_byte(position: u64) -> u8 {
     (position.wrapping_mul(2_654_435_761) >> 7) as u8
 }
@@ -295,7 +295,8 @@
     response
 }
 
-/// Returns a reader of the bytes from `start` to `length`. If `cut` is not 0, it fails after `cut` bytes.
+/// Returns a reader of the bytes from `start` to `length`. If `cut` is not 0, it fails after `cut`
+/// bytes.
 fn body_reader(
     start: u64,
     length: u64,
--- a/crates/standin/src/target_faults.rs
+++ b/crates/standin/src/target_faults.rs
@@ -6,7 +6,8 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TargetFaults {
-    /// The target accepts requests and never answers them; its health end point still reports success.
+    /// The target accepts requests and never answers them; its health end point still reports
+    /// success.
     pub stall: bool,
     /// Factor by which processing takes longer; values up to 1 have no effect.
     pub slow: f64,
@@ -22,6 +23,7 @@
     pub reported_load: Option<f32>,
     /// Number of bytes after which a download breaks off; 0 for never.
     pub cut_answers_after: u64,
-    /// Number of next requests that are processed and whose connections then close without an answer.
+    /// Number of next requests that are processed and whose connections then close without an
+    /// answer.
     pub lose_answers: u32,
 }
--- a/crates/standin/tests/store.rs
+++ b/crates/standin/tests/store.rs
@@ -1,4 +1,5 @@
-//! The store stand-in behaves as `docs/STORE.md` describes, and its faults have the documented effect.
+//! The store stand-in behaves as `docs/STORE.md` describes, and its faults have the documented
+//! effect.
 
 use std::time::Duration;
 
