--- a/crates/decide/src/core/evidence.rs
+++ b/crates/decide/src/core/evidence.rs
@@ -150,8 +150,8 @@
     }
 }
 
-/// Returns the kind of evidence that an outcome gives about a target, if any. Draining is not a failure. Neither is
-/// a slow answer after a cold start, so an answer of a warming target only shows that the target answers.
+/// Returns the kind of evidence that an outcome gives about a target, if any. Draining is not a failure, and neither
+/// is a slow answer after a cold start. An answer of a warming target therefore only shows that the target answers.
 fn evidence_kind(health: &TargetHealth, kind: SampleKind) -> Option<SampleKind> {
     match (health.state(), kind) {
         (HealthState::Draining, _) => None,
--- a/crates/decide/src/messages.rs
+++ b/crates/decide/src/messages.rs
@@ -217,7 +217,7 @@
     NoTarget,
     /// The limits of the service in this box are reached.
     Overloaded,
-    /// The caller holds its maximum number of requests.
+    /// The caller has its maximum number of requests open or queued.
     CallerLimit,
     /// The request can't be answered by its deadline.
     Deadline,
--- a/crates/decide/src/permits/coordinator.rs
+++ b/crates/decide/src/permits/coordinator.rs
@@ -20,9 +20,9 @@
 /// Lower bound on the rate at which a target gets requests, in requests a second, whatever its limit:
 /// otherwise no box would detect that the target has ended.
 const MIN_RATE: f64 = 0.01;
-/// Lower bound on the time after which a box asks again.
+/// Lower bound on the time until the retry of a box that was denied a permit.
 const MIN_WAIT: Duration = Duration::from_millis(50);
-/// Upper bound on the time after which a box asks again.
+/// Upper bound on the time until the retry of a box that was denied a permit.
 const MAX_WAIT: Duration = Duration::from_secs(5);
 /// Targets without permit requests for this long are removed. It is longer than the time in which the
 /// smallest bucket fills.
--- a/crates/decide/src/permits/share.rs
+++ b/crates/decide/src/permits/share.rs
@@ -9,8 +9,8 @@
 /// Fraction of its equal share that a box spends: the coordinator that it cannot reach may grant the
 /// whole limit to the other boxes.
 const SHARE_FRACTION: f64 = 0.5;
-/// Lower bound on the assumed number of boxes, since a box that has just started knows few of them.
-/// Deployments have 36 to 40 boxes.
+/// Lower bound on the assumed number of boxes, since a box that has just started has learned of few of
+/// them. Deployments have 36 to 40 boxes.
 const MIN_BOXES: usize = 40;
 /// Upper bound on the time between two requests.
 const MAX_INTERVAL: Duration = Duration::from_secs(3600);
--- a/crates/decide/src/quota/accounts.rs
+++ b/crates/decide/src/quota/accounts.rs
@@ -32,7 +32,7 @@
 /// Number of unanswered requests after which the standby is used. With 1, and 9 in 100 datagrams lost,
 /// coordinator and standby granted tokens for the same boxes, 1.05 of the bound.
 const STANDBY_AFTER_FAILURES: u32 = 2;
-/// Number of successive unanswered requests after which a box considers itself cut off.
+/// Number of successive unanswered requests after which a box counts as cut off.
 const CUT_OFF_AFTER_FAILURES: u32 = 3;
 /// Time between two requests of a box that is cut off.
 const CUT_OFF_RETRY_TIME: Duration = Duration::from_millis(300);
--- a/crates/decide/src/quota/coordinator.rs
+++ b/crates/decide/src/quota/coordinator.rs
@@ -1,13 +1,13 @@
 //! Token buckets of customers, held by one box for all boxes.
 //!
-//! A coordinator's bucket refills at the customer's rate, so that no window sees more requests than
-//! rate and burst allow, however many boxes request tokens. The rate is divided into shares that are
-//! assigned to boxes, and a coordinator may only grant the shares of the boxes that it receives requests
-//! from. A box that is partitioned off continues with its share, alone or with a coordinator on its
-//! side, and the coordinator on the other side reserves that share. Both sides of a partition
-//! therefore spend no more than before, however long the partition lasts and whichever coordinator
-//! considers itself to be the only one. A process that has just started has no information on what
-//! its predecessor granted, so it begins with a part of the burst and a lower rate.
+//! A coordinator's bucket refills at the customer's rate, so that no window sees more requests than rate
+//! and burst allow, however many boxes request tokens. The rate is divided into shares that are assigned to
+//! boxes, and a coordinator may only grant the shares of the boxes that it receives requests from. A box
+//! that is partitioned off continues with its share, alone or with a coordinator on its side, and the
+//! coordinator on the other side reserves that share. Both sides of a partition therefore spend no more
+//! than before, however long the partition lasts and even if each side has a coordinator. A process that
+//! has just started has no information on what its predecessor granted, so it begins with a part of the
+//! burst and a lower rate.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -33,8 +33,8 @@
 /// Fraction of the rate that a process grants in its first window: boxes that have not yet learned of
 /// it may still send requests to the previous coordinator.
 const STARTUP_RATE_FRACTION: f64 = 0.7;
-/// Shares that a coordinator reclaims in a second while it receives heartbeats from all boxes that it knows
-/// of: the shares of boxes that have ended, and those that its predecessor had not assigned.
+/// Shares that a coordinator reclaims in a second while it receives heartbeats from all known boxes: the
+/// shares of boxes that have ended, and those that its predecessor had not assigned.
 const RECLAIM_PER_S: f64 = 0.5;
 /// Shares that a coordinator reclaims in a second while some box is missing, since that box may be cut off
 /// together with others that hold the shares. In a partition of 12 s both sides together grant 1.24 of the
--- a/crates/decide/src/quota/mod.rs
+++ b/crates/decide/src/quota/mod.rs
@@ -57,7 +57,7 @@
     pub debt: u32,
     /// Number of granted tokens that the box did not use before they expired.
     pub unused: u32,
-    /// Number of requests that the box wants to admit soon.
+    /// Number of requests that the box is about to admit.
     pub wanted: u32,
     /// The box's share of the customer's rate, from 0 to 1.
     pub share: f64,
--- a/crates/decide/src/steer/mod.rs
+++ b/crates/decide/src/steer/mod.rs
@@ -59,8 +59,8 @@
 pub use record::MIN_SUSPECT_RISK;
 
 /// Wait for a slot above which a request is held back if it has more time than its goal. With waits up to
-/// this value, a request with a deadline of a second is still answered in time, at typical work times of 0.4
-/// s.
+/// this value, a request with a deadline of a second is still answered in time, at typical work times of
+/// 0.4 s.
 const MIN_SATURATED_WAIT: Duration = Duration::from_millis(450);
 /// Minimum probability that an attempt has stalled at which a hedge begins, that is, a second attempt while
 /// the first one is still open. At this probability, most of the retries that hedges use save a request. On
@@ -70,8 +70,8 @@
 /// by then, and the retry is saved for a request that needs it.
 const MIN_HEDGE_RATIO: f64 = 0.6;
 /// Remaining time, as a multiple of the typical time, at which a request with little time is hedged. On a
-/// quiet day 82 of 108 lookups that ran out of time had only one attempt, and 85 of the 108 had less than 1.3
-/// s in total.
+/// quiet day 82 of 108 lookups that ran out of time had only one attempt, and 85 of the 108 had less than
+/// 1.3 s in total.
 const HEDGE_REMAINING_RATIO: f64 = 1.4;
 /// Lower bound on the probability that an attempt stalls when the time of a hedge is computed: no target is
 /// certain to be healthy.
--- a/crates/decide/src/steer/notice.rs
+++ b/crates/decide/src/steer/notice.rs
@@ -1,5 +1,6 @@
 //! Notices: what targets report about themselves in their answers. A target can report that it is draining,
-//! ask the box that it answers to back off, and limit the requests per second of all boxes together.
+//! request a back-off from the box that it answers, and limit the requests per second of all boxes
+//! together.
 //!
 //! A notice comes from the target itself, so it applies without the store and overrides what the store
 //! lists. It belongs to one incarnation of a target: the next one, under the same name or another, starts
@@ -21,7 +22,7 @@
 pub struct TargetNotice {
     /// Whether the target is draining.
     pub draining: bool,
-    /// Time for which the target asks this box to send nothing.
+    /// Time for which this box should send no requests to the target.
     pub backoff: Option<Duration>,
 }
 
--- a/crates/decide/src/steer/pool.rs
+++ b/crates/decide/src/steer/pool.rs
@@ -210,8 +210,8 @@
     }
 
     /// Drops expired reports of open attempts from all targets, from time to time. Peers don't report the
-    /// end of every attempt, so that without this the reports kept for each target that was ever used grew
-    /// for as long as the box ran.
+    /// end of every attempt, so that without this the memory for the reports of each target that was ever
+    /// used grew during the entire run of the box.
     fn drop_expired(&mut self, now: TimePoint) {
         if now.since(self.swept_at) < PEER_REPORT_LIFETIME {
             return;
--- a/crates/gateway/src/config_sync.rs
+++ b/crates/gateway/src/config_sync.rs
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Reads the configuration from the store. Returns `None` if the store has none, or none that
-    /// is newer than the one held.
+    /// Reads the configuration from the store. Returns `None` if the store has no configuration
+    /// that is newer than the one of this box.
     async fn read(&self, sample: &ClockSample) -> Result<Option<ConfigText>, StoreError> {
         let port = &self.context.port;
         let (held, after) = {
--- a/crates/gateway/src/gossip/heartbeats.rs
+++ b/crates/gateway/src/gossip/heartbeats.rs
@@ -38,7 +38,7 @@
 const MAX_REPORTED_LIMITS: usize = 12;
 /// Time between two requests to the seeds while no peer is known.
 const SEARCH_PERIOD: Duration = Duration::from_millis(250);
-/// Time after the start during which a box that knows only boxes of other data centres still asks the seeds
+/// Time after the start during which a box whose known peers are all in other data centres still queries the seeds
 /// every [`SEARCH_PERIOD`]. Seeds learn of other boxes some seconds late.
 const LOCAL_SEARCH_TIME: Duration = Duration::from_secs(8);
 /// Number of boxes that are notified at once when this box has received a configuration from a peer. Most of the
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,8 +1,8 @@
 //! The table of known boxes, and the roles that follow from it: which box of a data centre reads the store, and
 //! which boxes coordinate quotas and permits.
 //!
-//! No complete list of boxes exists. A box asks its seeds, each box that replies lists peers, and heartbeats keep
-//! the table current. Boxes need not agree on it: a box that is missing here costs at most an additional call to
+//! No complete list of boxes exists. A box asks its seeds, each box that replies lists peers, and heartbeats keep the
+//! table current. Its content may differ between boxes: a box that is missing here costs at most an additional call to
 //! the store or a lost update.
 
 use std::collections::HashMap;
@@ -223,8 +223,8 @@
         self.local_peers().filter(|peer| weight(peer.link_mbps, &peer.box_id) > own).count()
     }
 
-    /// Returns whether this box receives heartbeats from all boxes of its data centre that it knows and that did not
-    /// announce that they are stopping. If so, it is not partitioned from a part of them.
+    /// Returns whether this box receives heartbeats from all known boxes of its data centre, except those that
+    /// announced that they are stopping. If so, it is not partitioned from a part of them.
     pub(crate) fn reaches_all(&self, now: Instant) -> bool {
         let is_reached =
             |peer: &PeerEntry| now.saturating_duration_since(peer.last_seen) < LOCAL_SUSPICION_TIME;
--- a/crates/gateway/src/permit_manager.rs
+++ b/crates/gateway/src/permit_manager.rs
@@ -28,11 +28,11 @@
 /// vain.
 const UNRESPONSIVE_PAUSE: Duration = Duration::from_secs(1);
 /// Time after the start during which a box neither coordinates permits nor requests any. Until it has learned of the
-/// other boxes it would consider itself the coordinator of all targets.
+/// other boxes, it would act as the coordinator of all targets.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
-/// Maximum number of boxes that are asked for one permit: the coordinator in this box's view, and the one to which
+/// Maximum number of boxes that are queried for one permit: the coordinator in this box's view, and the one to which
 /// it redirects.
-const MAX_ASKED_BOXES: usize = 2;
+const MAX_QUERIED_BOXES: usize = 2;
 /// Maximum number of datagrams that wait to be sent.
 const MAX_OUTGOING: usize = 64;
 /// Number of entries at which obsolete ones are removed, for each of the tables of fallback shares, unresponsive
@@ -97,7 +97,7 @@
 #[derive(Debug, Clone, Copy)]
 enum PeerReply {
     Answer(PermitAnswer),
-    /// The box is not the coordinator. It names the one in its view, if any.
+    /// The box is not the coordinator. The address is that of the coordinator in its view, if it has determined one.
     Redirected(Option<IpAddr>),
 }
 
@@ -184,8 +184,8 @@
         is_settled(context).then(|| context.peers().permit_coordinator(&pick.data_centre, pick.key))
     }
 
-    /// Returns the coordinator's answer, `None` if it does not arrive in time or no asked box considers itself the
-    /// coordinator.
+    /// Returns the coordinator's answer, `None` if it does not arrive in time or no queried box is the coordinator
+    /// in its own view.
     async fn query_coordinator(
         &self,
         context: &BoxContext,
@@ -194,7 +194,7 @@
         wait: &mut CoordinatorWait,
     ) -> Option<PermitAnswer> {
         let mut host = first;
-        for _ in 0..MAX_ASKED_BOXES {
+        for _ in 0..MAX_QUERIED_BOXES {
             match self.query_peer(context, host, key, wait).await? {
                 PeerReply::Answer(answer) => return Some(answer),
                 PeerReply::Redirected(next) => host = next?,
--- a/crates/gateway/src/requests/mod.rs
+++ b/crates/gateway/src/requests/mod.rs
@@ -38,7 +38,7 @@
 /// time that a target needs for one request.
 const SATURATED_POLL_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Interval at which a due hedge is tried again while there is no target or no retry for it. It is a fraction of
+/// Interval between two tries to start a due hedge while there is no target or no retry for it. It is a fraction of
 /// the time that a target needs for one request.
 const HEDGE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -202,7 +202,7 @@
     Box::new(Refusal { answer, trace, depends_on_config: true })
 }
 
-/// Handles a planned request: checks that it is no poison request, takes a token, and runs the attempts.
+/// Handles a planned request: checks that it is not a poison request, takes a token, and runs the attempts.
 async fn execute(
     context: &Arc<BoxContext>,
     request: CallerRequest,
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -67,7 +67,7 @@
     /// Number of requests that were admitted without a grant and not reported before.
     #[prost(uint32, tag = "3")]
     pub debt: u32,
-    /// Number of requests that the sender wants to admit soon.
+    /// Number of requests that the sender is about to admit.
     #[prost(uint32, tag = "4")]
     pub wanted: u32,
     /// The sender's share of the customer's rate, in millionths.
@@ -117,7 +117,7 @@
     /// Version of the sender's view of the store, absent while it has none.
     #[prost(message, optional, tag = "3")]
     pub view_version: Option<ViewVersion>,
-    /// Boxes that the sender knows. Empty where the receiver needs none.
+    /// Some boxes of the sender's peer table. Empty where the receiver needs none.
     #[prost(message, repeated, tag = "4")]
     pub peers: Vec<PeerRecord>,
     /// Requests under which targets ended.
@@ -148,7 +148,7 @@
     pub config_age_ms: u64,
 }
 
-/// A box that the sender of a heartbeat knows.
+/// A box in the peer table of the sender of a heartbeat.
 #[derive(Clone, PartialEq, Message)]
 pub struct PeerRecord {
     /// IP address of the box in text form.
--- a/crates/wire/src/limits.rs
+++ b/crates/wire/src/limits.rs
@@ -44,7 +44,7 @@
     #[prost(fixed64, tag = "3")]
     pub target: u64,
     /// Rate that the target accepts while it is cold, in millionths of a request a second, plus one; 0 if the
-    /// target is not cold as far as the sender knows.
+    /// target is not cold in the view of the sender.
     #[prost(uint64, tag = "4")]
     pub cold_plus_one: u64,
 }
