--- a/crates/bench/src/steer/world/limits.rs
+++ b/crates/bench/src/steer/world/limits.rs
@@ -28,7 +28,7 @@
         }
         let Request { box_number, .. } = self.requests[request];
         let update = named.map_or(LimitUpdate::None, LimitUpdate::At);
-        let change = self.boxes[box_number].receive_limit(now, handle.key, handle.started, update);
+        let change = self.boxes[box_number].record_limit(now, handle.key, handle.started, update);
         if change.is_none() {
             return;
         }
--- a/crates/decide/src/dispersion.rs
+++ b/crates/decide/src/dispersion.rs
@@ -18,7 +18,7 @@
 /// Minimum number of outcomes in a span. Smaller spans are ignored, since they carry no information.
 const MIN_SPAN_COUNT: f32 = 4.0;
 /// Upper bound on the dispersion.
-const MAX_FACTOR: f32 = 30.0;
+const MAX_DISPERSION: f32 = 30.0;
 
 /// The dispersion of one failure mode of one service.
 #[derive(Debug, Clone)]
@@ -52,7 +52,7 @@
     /// Returns the factor by which log-likelihood ratios are divided, 1 or more.
     pub fn factor(&self) -> f32 {
         let sum = self.sum + self.prior * PRIOR_SPANS;
-        (sum / (self.spans + PRIOR_SPANS)).clamp(1.0, MAX_FACTOR)
+        (sum / (self.spans + PRIOR_SPANS)).clamp(1.0, MAX_DISPERSION)
     }
 
     fn decay(&mut self, now: TimePoint) {
--- a/crates/decide/src/flaps.rs
+++ b/crates/decide/src/flaps.rs
@@ -20,7 +20,7 @@
 impl FlapCount {
     /// Counts one more ejection. The result is at least `min`, the count of another component.
     pub(crate) fn record(&mut self, now: TimePoint, min: u32) {
-        self.count = min.max(self.remembered(now) + 1);
+        self.count = min.max(self.remaining_count(now) + 1);
         self.last = now;
     }
 
@@ -40,7 +40,7 @@
         first.saturating_mul(1 << doublings).min(max)
     }
 
-    fn remembered(&self, now: TimePoint) -> u32 {
+    fn remaining_count(&self, now: TimePoint) -> u32 {
         let forgotten = now.since(self.last).as_secs() / FORGET_INTERVAL.as_secs();
         self.count.saturating_sub(u32::try_from(forgotten).unwrap_or(u32::MAX))
     }
--- a/crates/decide/src/steer/ledger.rs
+++ b/crates/decide/src/steer/ledger.rs
@@ -16,7 +16,7 @@
 /// Length of one interval of the window: the resolution with which old counts expire.
 const INTERVAL: Duration = Duration::from_millis(500);
 /// Share of the bound that is used. The rest allows for retries of peers that were not reported yet.
-const USED_PART: f64 = 0.85;
+const USED_SHARE: f64 = 0.85;
 /// Time without a report after which a peer's requests no longer add to the budget: it may be partitioned
 /// from this box and spend that budget itself. A box reports with each request, about once a second.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(2);
@@ -120,7 +120,7 @@
         }
         let slack = bounds.slack * reporting as f64 / all.max(reporting).max(1) as f64;
         let max = bounds.share * f64::from(requests) + slack;
-        f64::from(retries) + f64::from(unresponsive) + 1.0 <= max * USED_PART
+        f64::from(retries) + f64::from(unresponsive) + 1.0 <= max * USED_SHARE
     }
 
     fn current_interval(&mut self, now: TimePoint) -> &mut WindowInterval {
--- a/crates/decide/src/steer/limit.rs
+++ b/crates/decide/src/steer/limit.rs
@@ -47,13 +47,14 @@
 
 impl RequestRate {
     /// Millionths in one request per second.
-    const ONE: f64 = 1e6;
+    const MILLIONTHS_PER_UNIT: f64 = 1e6;
 
     /// Converts requests per second. Returns `None` for NaN and negative numbers; a number above the
     /// largest rate gives the largest rate.
     pub fn new(per_second: f64) -> Option<RequestRate> {
         // A cast from float to integer saturates.
-        (per_second >= 0.0).then(|| RequestRate((per_second * RequestRate::ONE).round() as u64))
+        (per_second >= 0.0)
+            .then(|| RequestRate((per_second * RequestRate::MILLIONTHS_PER_UNIT).round() as u64))
     }
 
     /// Converts millionths of a request per second.
@@ -68,7 +69,7 @@
 
     /// Returns the rate in requests per second.
     pub fn per_second(self) -> f64 {
-        self.0 as f64 / RequestRate::ONE
+        self.0 as f64 / RequestRate::MILLIONTHS_PER_UNIT
     }
 }
 
--- a/crates/decide/src/steer/notice.rs
+++ b/crates/decide/src/steer/notice.rs
@@ -92,8 +92,8 @@
         NoticeChange { draining, backoff }
     }
 
-    /// Applies the limit in an answer to a request that was sent at `sent_at`.
-    pub(crate) fn receive_limit(
+    /// Records the limit in an answer to a request that was sent at `sent_at`.
+    pub(crate) fn record_limit(
         &mut self,
         now: TimePoint,
         sent_at: TimePoint,
--- a/crates/decide/src/steer/notices.rs
+++ b/crates/decide/src/steer/notices.rs
@@ -32,15 +32,15 @@
         self.record_notice(now, key, &TargetNotice { draining: true, backoff: None }).draining
     }
 
-    /// Applies the limit in a target's answer to a request that this box sent at `sent_at`.
-    pub fn receive_limit(
+    /// Records the limit in a target's answer to a request that this box sent at `sent_at`.
+    pub fn record_limit(
         &mut self,
         now: TimePoint,
         key: TargetKey,
         sent_at: TimePoint,
         update: LimitUpdate,
     ) -> Option<LimitChange> {
-        self.change_limit(now, key, |notices| notices.receive_limit(now, sent_at, update))
+        self.change_limit(now, key, |notices| notices.record_limit(now, sent_at, update))
     }
 
     /// Merges a target's limit that a peer received `age` ago. The rate is `None` if the limit was lifted.
--- a/crates/decide/src/steer/record.rs
+++ b/crates/decide/src/steer/record.rs
@@ -13,12 +13,12 @@
 /// Time in which a reported load loses half its weight: about the work of one request.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(250);
 /// Time for which a target counts as full after it refused a request for lack of room.
-const FULL_FOR: Duration = Duration::from_millis(200);
+const FULL_DURATION: Duration = Duration::from_millis(200);
 /// Number of requests that a full target is assumed to hold, as a multiple of its slots.
 const FULL_LOAD_FACTOR: f64 = 5.0;
 /// Time for which a network path is avoided after it failed, if there is another target.
-const PATH_AVOIDED_FOR: Duration = Duration::from_secs(2);
-/// Risk of a network path that has failed within [`PATH_AVOIDED_FOR`].
+const PATH_AVOIDANCE_TIME: Duration = Duration::from_secs(2);
+/// Risk of a network path that has failed within [`PATH_AVOIDANCE_TIME`].
 const PATH_RISK: f64 = 0.9;
 /// Weight of the newest latency ratio in the slowness of a target. It is low because the work of single
 /// requests varies by a factor of two and more.
@@ -27,7 +27,7 @@
 const MIN_SLOWNESS: f64 = 1.3;
 /// Time for which a peer's report that a target is cold counts. The listing, which shows the same, reaches each
 /// box sooner.
-const REPORTED_COLD_FOR: Duration = Duration::from_secs(3);
+const REPORTED_COLD_LIFETIME: Duration = Duration::from_secs(3);
 /// Factor by which a cold target takes longer; the users state a factor of two.
 const COLD_FACTOR: f64 = 2.0;
 /// A suspect is trusted again once its risk is below this.
@@ -157,7 +157,7 @@
 
     /// Returns whether the network path to the target has not failed recently.
     pub(crate) fn is_path_usable(&self, now: TimePoint) -> bool {
-        self.path_failed_at.is_none_or(|failed| now.since(failed) >= PATH_AVOIDED_FOR)
+        self.path_failed_at.is_none_or(|failed| now.since(failed) >= PATH_AVOIDANCE_TIME)
     }
 
     /// Returns whether the target is in one of the regions in which a request may be served.
@@ -204,7 +204,7 @@
     /// Records a peer's report that the target is cold and limited to `rate`, for the short time until
     /// the listing shows it as well.
     pub(crate) fn record_cold(&mut self, now: TimePoint, rate: RequestRate) {
-        self.reported_cold = Some(ReportedCold { rate, until: now + REPORTED_COLD_FOR });
+        self.reported_cold = Some(ReportedCold { rate, until: now + REPORTED_COLD_LIFETIME });
     }
 
     /// Returns the remaining time for which no permit is available for the target, or `None` if one may be
@@ -277,7 +277,7 @@
 
     /// Returns whether the target has just refused a request for lack of room.
     pub(crate) fn is_full(&self, now: TimePoint) -> bool {
-        self.full_at.is_some_and(|full| now.since(full) < FULL_FOR)
+        self.full_at.is_some_and(|full| now.since(full) < FULL_DURATION)
     }
 
     /// Returns the estimated number of requests that the target holds: the last reported load, decayed,
--- a/crates/decide/tests/limits.rs
+++ b/crates/decide/tests/limits.rs
@@ -94,7 +94,7 @@
 fn receive(core: &mut SteerCore, report: Report) {
     match report {
         Report::Answer(sent, received, update) => {
-            core.receive_limit(at(START + received), key(), at(START + sent), update);
+            core.record_limit(at(START + received), key(), at(START + sent), update);
         }
         Report::Peer(received, limit, age) => {
             let age = Duration::from_millis(age);
--- a/crates/gateway/src/gossip/heartbeats.rs
+++ b/crates/gateway/src/gossip/heartbeats.rs
@@ -19,9 +19,9 @@
 
 /// Time between two heartbeats to the boxes of the own data centre.
 const LOCAL_PERIOD: Duration = Duration::from_secs(1);
-/// Number of local rounds for each heartbeat to another data centre. Traffic between data centres is
-/// expensive.
-const REMOTE_EVERY: u32 = 4;
+/// Number of rounds of local heartbeats for each heartbeat to another data centre, since traffic between data
+/// centres is expensive.
+const ROUNDS_PER_REMOTE: u32 = 4;
 /// Maximum number of peers that a heartbeat to another data centre lists.
 const MAX_REMOTE_LISTED: usize = 6;
 /// Maximum number of peers that a heartbeat within the data centre lists.
@@ -126,7 +126,7 @@
             let mut peers = self.context.peers();
             let removed = peers.remove_unresponsive(now);
             let remote =
-                if round.is_multiple_of(REMOTE_EVERY) { peers.random_remote() } else { None };
+                if round.is_multiple_of(ROUNDS_PER_REMOTE) { peers.random_remote() } else { None };
             let local = peers.local();
             let listed = peers.sample_records(now, listed_peers(local.len()));
             (local, remote, listed, removed)
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -101,7 +101,7 @@
         let now = self.context.now();
         let mut core = self.context.core();
         let change = core.record_notice(now, self.key, &notice);
-        let limit = core.receive_limit(now, self.key, self.started, read_limit(head, names));
+        let limit = core.record_limit(now, self.key, self.started, read_limit(head, names));
         drop(core);
         self.report_change(head.status, &change);
         if let Some(limit) = limit {
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -58,14 +58,14 @@
 /// The boxes that coordinate a customer's quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Coordinators {
-    pub(crate) primary: CoordinatorSeat,
+    pub(crate) primary: CoordinatorLocation,
     /// Box that takes over where the primary is unreachable, `None` if this box knows no other box.
-    pub(crate) standby: Option<CoordinatorSeat>,
+    pub(crate) standby: Option<CoordinatorLocation>,
 }
 
 /// The location of a coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum CoordinatorSeat {
+pub(crate) enum CoordinatorLocation {
     /// This box.
     Own,
     /// The peer at this address.
@@ -239,12 +239,12 @@
         let weight = |link_mbps: u32, box_id: &str| {
             (link_mbps.checked_ilog2(), rendezvous_weight_for_hash(subject, box_id))
         };
-        let own = (weight(self.own_link_mbps, &self.own_id), CoordinatorSeat::Own);
+        let own = (weight(self.own_link_mbps, &self.own_id), CoordinatorLocation::Own);
         let mut primary = own;
-        let mut standby: Option<(_, CoordinatorSeat)> = None;
+        let mut standby: Option<(_, CoordinatorLocation)> = None;
         for peer in self.peers.values() {
             let candidate =
-                (weight(peer.link_mbps, &peer.box_id), CoordinatorSeat::Peer(peer.host));
+                (weight(peer.link_mbps, &peer.box_id), CoordinatorLocation::Peer(peer.host));
             if candidate.0 > primary.0 {
                 standby = Some(std::mem::replace(&mut primary, candidate));
             } else if standby.as_ref().is_none_or(|standby| candidate.0 > standby.0) {
@@ -261,7 +261,7 @@
         &self,
         data_centre: &str,
         target: TargetKey,
-    ) -> CoordinatorSeat {
+    ) -> CoordinatorLocation {
         let weight = |centre: &str, link_mbps: u32, box_id: &str| {
             let weight = rendezvous_weight_for_hash(target.0, box_id);
             (centre == data_centre, link_mbps.checked_ilog2(), weight)
@@ -269,10 +269,10 @@
         let own = weight(&self.own_centre, self.own_link_mbps, &self.own_id);
         let peers = self.peers.values().map(|peer| {
             let weight = weight(&peer.data_centre, peer.link_mbps, &peer.box_id);
-            (weight, CoordinatorSeat::Peer(peer.host))
+            (weight, CoordinatorLocation::Peer(peer.host))
         });
         let first = peers.max_by_key(|(weight, _)| *weight).filter(|(weight, _)| *weight > own);
-        first.map_or(CoordinatorSeat::Own, |(_, seat)| seat)
+        first.map_or(CoordinatorLocation::Own, |(_, location)| location)
     }
 
     /// Returns the share of the boxes of the own data centre that this box can reach, among those that did not announce
--- a/crates/gateway/src/permit_manager.rs
+++ b/crates/gateway/src/permit_manager.rs
@@ -19,7 +19,7 @@
 use crate::context::{BoxContext, lock, millis};
 use crate::gossip::Gossip;
 use crate::limit_reports::{limit_of, merge_limit};
-use crate::peers::CoordinatorSeat;
+use crate::peers::CoordinatorLocation;
 
 /// Time after which a request for a permit without a reply is given up. A round trip takes some milliseconds, and
 /// busy boxes with a tenth of a core reply some tens of milliseconds late.
@@ -122,8 +122,10 @@
         wait: &mut CoordinatorWait,
     ) -> Result<SendPermit, NoPermit> {
         let coordinated = match self.coordinator_of(context, pick) {
-            Some(CoordinatorSeat::Own) => Some(self.answer_as_coordinator(context, pick.key, rate)),
-            Some(CoordinatorSeat::Peer(host)) if *wait == CoordinatorWait::Allowed => {
+            Some(CoordinatorLocation::Own) => {
+                Some(self.answer_as_coordinator(context, pick.key, rate))
+            }
+            Some(CoordinatorLocation::Peer(host)) if *wait == CoordinatorWait::Allowed => {
                 self.query_coordinator(context, host, pick.key, wait).await
             }
             _ => None,
@@ -180,7 +182,11 @@
     }
 
     /// Returns the coordinator of a target's permits, `None` until this box has learned of the other boxes.
-    fn coordinator_of(&self, context: &BoxContext, pick: &SteerPick) -> Option<CoordinatorSeat> {
+    fn coordinator_of(
+        &self,
+        context: &BoxContext,
+        pick: &SteerPick,
+    ) -> Option<CoordinatorLocation> {
         is_settled(context).then(|| context.peers().permit_coordinator(&pick.data_centre, pick.key))
     }
 
@@ -266,8 +272,8 @@
         let Some(data_centre) = data_centre else {
             return redirect(String::new());
         };
-        let seat = context.peers().permit_coordinator(&data_centre, key);
-        if let CoordinatorSeat::Peer(host) = seat {
+        let location = context.peers().permit_coordinator(&data_centre, key);
+        if let CoordinatorLocation::Peer(host) = location {
             // If two boxes coordinated the target for a moment, they would grant twice the limit.
             return redirect(host.to_string());
         }
--- a/crates/gateway/src/quota_manager.rs
+++ b/crates/gateway/src/quota_manager.rs
@@ -23,7 +23,7 @@
 use crate::context::{BoxContext, lock, millis};
 use crate::customers::Customer;
 use crate::gossip::Gossip;
-use crate::peers::CoordinatorSeat;
+use crate::peers::CoordinatorLocation;
 
 /// Maximum time for which a request waits for a token. It is long enough to request tokens from the coordinator and
 /// then from its standby.
@@ -229,16 +229,17 @@
         let mut sorted: HashMap<IpAddr, TokenMessage> = HashMap::new();
         for DueRequest { customer, rank, request } in due {
             let coordinators = context.peers().coordinators(&customer);
-            let seat = if rank == 0 { Some(coordinators.primary) } else { coordinators.standby };
-            match seat {
-                Some(CoordinatorSeat::Peer(host)) => {
+            let location =
+                if rank == 0 { Some(coordinators.primary) } else { coordinators.standby };
+            match location {
+                Some(CoordinatorLocation::Peer(host)) => {
                     sorted
                         .entry(host)
                         .or_default()
                         .requests
                         .push(encode_request(&customer, &request));
                 }
-                Some(CoordinatorSeat::Own) => {
+                Some(CoordinatorLocation::Own) => {
                     if let Some(grant) = self.answer(context, own, &customer, &request) {
                         self.apply_grant(context, &customer, &grant);
                     }
@@ -264,8 +265,8 @@
             (peers.coordinators(customer).primary, peers.reaches_all(Instant::now()))
         };
         let role = match primary {
-            CoordinatorSeat::Own => CoordinatorRole::Primary,
-            CoordinatorSeat::Peer(_) => CoordinatorRole::Standby,
+            CoordinatorLocation::Own => CoordinatorRole::Primary,
+            CoordinatorLocation::Peer(_) => CoordinatorRole::Standby,
         };
         let status = CoordinatorStatus { role, reaches_all };
         let now = context.now();
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -62,7 +62,7 @@
         let mut scope = Scope::new();
         let result =
             shared_engine().call_fn::<PolicyDecision>(&mut scope, &self.ast, "plan", (request,));
-        result.map_err(|error| PolicyError::run_time(&error))
+        result.map_err(|error| PolicyError::at_run_time(&error))
     }
 }
 
@@ -88,7 +88,7 @@
         PolicyError { line: position.line(), column: position.position(), reason }
     }
 
-    fn run_time(error: &EvalAltResult) -> PolicyError {
+    fn at_run_time(error: &EvalAltResult) -> PolicyError {
         let inner = innermost(error);
         let mut reason = inner.to_string();
         // Rhai appends the position, which has fields of its own here.
