--- a/crates/bench/src/box_size.rs
+++ b/crates/bench/src/box_size.rs
@@ -1,7 +1,7 @@
 //! Measures memory and processor time of an idle box for several sizes of its configuration.
 //!
-//! Agent, proxy and the stand-in store run in this process, so the figures are higher than those of the two
-//! programs alone. The other boxes on the list are records only and don't run.
+//! Agent, proxy and the stand-in store run in this process, so the figures are higher than those of
+//! the two programs alone. The other boxes on the list are records only and don't run.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -122,8 +122,8 @@
 }
 
 fn box_record(number: usize) -> BoxRecord {
-    // Addresses of a network that is reserved for documentation. Nothing is ever sent there, since the
-    // boxes are in other data centres and listed as leaving.
+    // Addresses of a network that is reserved for documentation. Nothing is ever sent there, since
+    // the boxes are in other data centres and listed as leaving.
     BoxRecord {
         box_id: format!("listed-{number}"),
         revision: 0,
--- a/crates/bench/src/crashes/fleet.rs
+++ b/crates/bench/src/crashes/fleet.rs
@@ -1,8 +1,8 @@
 //! Simulation of one fleet under one strategy in virtual time.
 //!
-//! The fleet has 40 boxes in four data centres in front of 36 targets, and 100 ordinary tries per second that take
-//! 0.25 s each, like today's small fleets. Boxes run the product's own [`CrashLedger`]; targets, callers and datagrams
-//! are simulated.
+//! The fleet has 40 boxes in four data centres in front of 36 targets, and 100 ordinary tries per
+//! second that take 0.25 s each, like today's small fleets. Boxes run the product's own
+//! [`CrashLedger`]; targets, callers and datagrams are simulated.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -120,7 +120,8 @@
     /// Last number given to an event, an attempt, a target or a fingerprint.
     last_number: u64,
     ledgers: Vec<CrashLedger>,
-    /// Keys of the targets; the next incarnation of an ended target has a new key at the same index.
+    /// Keys of the targets; the next incarnation of an ended target has a new key at the same
+    /// index.
     targets: Vec<u64>,
     /// Time from which each target accepts requests, by key.
     available_from: HashMap<u64, TimePoint>,
@@ -437,7 +438,8 @@
             && since < until
     }
 
-    /// Writes the refused requests of one box per data centre to the store; boxes that are cut off read them.
+    /// Writes the refused requests of one box per data centre to the store; boxes that are cut off
+    /// read them.
     fn sync_store(&mut self) {
         self.schedule_after(STORE_SYNC_PERIOD, Event::StoreSync);
         if !self.strategy.uses_store {
--- a/crates/bench/src/crashes/mod.rs
+++ b/crates/bench/src/crashes/mod.rs
@@ -1,7 +1,8 @@
 //! Compares strategies that keep a poison request from crashing one target after the other.
 //!
-//! Fleets are drawn at random and run in virtual time. The report gives the targets lost to the poison
-//! request, the ordinary requests that were refused by mistake, and the traffic between boxes.
+//! Fleets are drawn at random and run in virtual time. The report gives the targets lost to the
+//! poison request, the ordinary requests that were refused by mistake, and the traffic between
+//! boxes.
 
 mod fleet;
 mod scenario;
@@ -20,7 +21,8 @@
     pub name: &'static str,
     /// Number of ended targets from which a request is refused.
     pub refusal_threshold: usize,
-    /// Number of ended targets from which a box does not retry a request within one try of its caller.
+    /// Number of ended targets from which a box does not retry a request within one try of its
+    /// caller.
     pub no_retry_threshold: usize,
     /// Whether boxes report ended targets to each other.
     pub reports: bool,
@@ -39,7 +41,8 @@
     counts_unknown_outcomes: true,
 };
 
-/// All strategies; the first is what boxes run, and each of the others differs from it in one respect.
+/// All strategies; the first is what boxes run, and each of the others differs from it in one
+/// respect.
 pub const STRATEGIES: &[CrashStrategy] = &[
     CURRENT,
     CrashStrategy {
@@ -72,8 +75,8 @@
     /// Maximum over the fleets of the targets lost to the poison request.
     #[serde(rename = "most_lost")]
     pub max_lost: u32,
-    /// Maximum over the fleets of the sends of the poison request more than 3 s after the third target
-    /// was lost.
+    /// Maximum over the fleets of the sends of the poison request more than 3 s after the third
+    /// target was lost.
     #[serde(rename = "most_late")]
     pub max_late_sends: u32,
     /// Ordinary tries that were refused by mistake, per 100,000.
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,4 +1,5 @@
-//! The library of `wingbench`, which measures wingbridge and compares strategies on simulated fleets.
+//! The library of `wingbench`, which measures wingbridge and compares strategies on simulated
+//! fleets.
 
 pub mod box_size;
 pub mod chart;
--- a/crates/bench/src/memory.rs
+++ b/crates/bench/src/memory.rs
@@ -14,10 +14,12 @@
     pages.unwrap_or(0) * PAGE_BYTES
 }
 
-/// Returns the processor time that all threads of this process have used, 0 if `/proc` can't be read.
+/// Returns the processor time that all threads of this process have used, 0 if `/proc` can't be
+/// read.
 pub fn processor_time() -> Duration {
     let text = fs::read_to_string("/proc/self/stat").unwrap_or_default();
-    // The program name is in parentheses and may contain blanks, so fields are counted from its end.
+    // The program name is in parentheses and may contain blanks, so fields are counted from its
+    // end.
     let rest = text.rsplit(')').next().unwrap_or_default();
     let fields: Vec<u64> =
         rest.split_whitespace().skip(11).take(2).filter_map(|word| word.parse().ok()).collect();
--- a/crates/bench/src/path.rs
+++ b/crates/bench/src/path.rs
@@ -1,5 +1,5 @@
-//! Measures the latency that the proxy adds: each connection alternates between requests through the proxy
-//! and requests directly to a target.
+//! Measures the latency that the proxy adds: each connection alternates between requests through
+//! the proxy and requests directly to a target.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -36,15 +36,15 @@
     pub added_p999_ms: f64,
     /// Requests per second through the proxy.
     pub requests_s: f64,
-    /// Processor time of the whole process, callers and targets included, for each request through the
-    /// proxy, in microseconds.
+    /// Processor time of the whole process, callers and targets included, for each request through
+    /// the proxy, in microseconds.
     pub cpu_us_per_request: f64,
     /// Number of request pairs of which at least one had no complete answer with status 200.
     pub failed: u64,
 }
 
-/// Measures all rows for `seconds` each. `rate` is the requests per second through the proxy over all
-/// connections; with 0 each connection sends its next request as soon as it has an answer.
+/// Measures all rows for `seconds` each. `rate` is the requests per second through the proxy over
+/// all connections; with 0 each connection sends its next request as soon as it has an answer.
 ///
 /// # Errors
 /// The system did not start.
@@ -92,7 +92,8 @@
     let latencies = Arc::new(Mutex::new(latencies));
     let pause = match rate {
         0 => Duration::ZERO,
-        // Each round makes two requests, one through the proxy and one directly; the rate counts the former.
+        // Each round makes two requests, one through the proxy and one directly; the rate counts
+        // the former.
         _ => Duration::from_secs_f64(connections as f64 / rate as f64),
     };
     let started = processor_time();
--- a/crates/bench/src/quota/customer_strategies.rs
+++ b/crates/bench/src/quota/customer_strategies.rs
@@ -1,4 +1,5 @@
-//! Strategies to hold a customer's quota: the one that boxes run, and two alternatives that it is compared with.
+//! Strategies to hold a customer's quota: the one that boxes run, and two alternatives that it is
+//! compared with.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -22,13 +23,14 @@
 const SUM_REPORT_PERIOD: Duration = Duration::from_millis(200);
 /// Length of the intervals into which a box divides the window to count its requests.
 const COUNT_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between two reports of a box under [`AllotmentBox`]. A box that sent none for three times as
-/// long may be cut off.
+/// Time between two reports of a box under [`AllotmentBox`]. A box that sent none for three times
+/// as long may be cut off.
 const DEMAND_REPORT_PERIOD: Duration = Duration::from_secs(1);
 /// Share of the rate that is reserved for boxes whose reports are missing.
 const RESERVED_SHARE: f64 = 0.05;
 
-/// A box of the strategy that boxes run: one coordinator per customer grants tokens to the other boxes.
+/// A box of the strategy that boxes run: one coordinator per customer grants tokens to the other
+/// boxes.
 pub(crate) struct CoordinatorBox {
     number: usize,
     /// Time for which its process had run before the simulation started it.
@@ -177,7 +179,8 @@
         self.peers.retain(|_, (_, reported_at)| now.since(*reported_at) < QUOTA_WINDOW);
         let others: f64 = self.peers.values().map(|(sum, _)| sum).sum();
         let max_requests = limit.per_second * QUOTA_WINDOW.as_secs_f64() + limit.burst;
-        // Boxes without a report may have admitted requests, too: a part of their equal shares is reserved.
+        // Boxes without a report may have admitted requests, too: a part of their equal shares is
+        // reserved.
         let unreported_share =
             self.boxes.saturating_sub(self.peers.len() + 1) as f64 / self.boxes as f64;
         let is_alone = self.peers.is_empty();
--- a/crates/bench/src/quota/fleet.rs
+++ b/crates/bench/src/quota/fleet.rs
@@ -1,5 +1,5 @@
-//! Simulation of a fleet in virtual time: callers send requests, boxes admit or refuse them, and the
-//! datagrams between boxes are delayed or lost.
+//! Simulation of a fleet in virtual time: callers send requests, boxes admit or refuse them, and
+//! the datagrams between boxes are delayed or lost.
 //!
 //! Times are in microseconds from the start of the run unless a name says otherwise.
 
@@ -42,8 +42,8 @@
     /// Decides on a request that has arrived, or on one that waits if `is_new` is false.
     fn admit(&mut self, now: TimePoint, limit: QuotaLimit, is_new: bool) -> Admission;
 
-    /// Returns the messages to send now, with their receivers. `ranks` lists the boxes of this box's
-    /// table by their rank for the customer. Under some strategies boxes send no messages.
+    /// Returns the messages to send now, with their receivers. `ranks` lists the boxes of this
+    /// box's table by their rank for the customer. Under some strategies boxes send no messages.
     fn due(
         &mut self,
         _now: TimePoint,
--- a/crates/bench/src/quota/mod.rs
+++ b/crates/bench/src/quota/mod.rs
@@ -1,7 +1,9 @@
-//! Compares strategies to hold a customer's quota, or the limit of a target, over all boxes together.
+//! Compares strategies to hold a customer's quota, or the limit of a target, over all boxes
+//! together.
 //!
-//! Fleets are drawn at random and run in virtual time. The report gives the requests admitted in the worst
-//! window against the bound, the requests refused below the limit, and the traffic between boxes.
+//! Fleets are drawn at random and run in virtual time. The report gives the requests admitted in
+//! the worst window against the bound, the requests refused below the limit, and the traffic
+//! between boxes.
 
 mod customer_strategies;
 mod fleet;
--- a/crates/bench/src/quota/report.rs
+++ b/crates/bench/src/quota/report.rs
@@ -87,8 +87,8 @@
     fractions.get((last as f64 * quantile).round() as usize).copied().unwrap_or_default()
 }
 
-/// Returns the admitted requests of each window that ends with a request, as a fraction of the bound at
-/// that time.
+/// Returns the admitted requests of each window that ends with a request, as a fraction of the
+/// bound at that time.
 fn window_fractions(scenario: QuotaScenario, bench: &QuotaBench, admitted: &[f64]) -> Vec<f64> {
     let WindowBound { window, factor, includes_burst, extra_requests } = bench.bound;
     let (window, limit) = (window.as_secs_f64(), bench.limit);
@@ -99,8 +99,8 @@
         while admitted[first] <= at - window {
             first += 1;
         }
-        // After the limit is lowered, the higher one still applies for one window. The check allows for
-        // a second window, in which requests of that time still count.
+        // After the limit is lowered, the higher one still applies for one window. The check allows
+        // for a second window, in which requests of that time still count.
         let counted_since = (at - window * 2.0).max(0.0);
         let limit_factor =
             if counted_since > FAULT_START_S { scenario.limit(*at) } else { scenario.limit(0.0) };
--- a/crates/bench/src/quota/target_strategies.rs
+++ b/crates/bench/src/quota/target_strategies.rs
@@ -1,4 +1,5 @@
-//! Strategies to hold a target's limit: the one that boxes run, and two alternatives that it is compared with.
+//! Strategies to hold a target's limit: the one that boxes run, and two alternatives that it is
+//! compared with.
 
 use std::time::Duration;
 
@@ -14,7 +15,8 @@
 
 /// Time after which a permit request counts as unanswered.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(80);
-/// Time after which a box sends a request again to a coordinator that did not answer or rejected one.
+/// Time after which a box sends a request again to a coordinator that did not answer or rejected
+/// one.
 const COORDINATOR_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Time for which a box that has just started neither coordinates permits nor requests any.
 const START_DELAY: Duration = Duration::from_secs(3);
@@ -194,8 +196,8 @@
     }
 
     fn admit(&mut self, now: TimePoint, limit: QuotaLimit, _: bool) -> Admission {
-        // `FallbackShare` admits half of an equal share. Here boxes have no permits besides, so the rate
-        // is doubled to make it a whole share.
+        // `FallbackShare` admits half of an equal share. Here boxes have no permits besides, so the
+        // rate is doubled to make it a whole share.
         let rate = RequestRate::new(limit.per_second * 2.0).unwrap_or_default();
         match self.share.acquire(now, rate, self.boxes, seeded_phase(self.number, self.incarnation))
         {
--- a/crates/bench/src/settings.rs
+++ b/crates/bench/src/settings.rs
@@ -42,7 +42,7 @@
 
 fn crashes_command() -> Command {
     Command::new("crashes")
-        .about("Compares strategies that keep a request that crashes targets away from further targets")
+        .about("Compares strategies against a request that crashes one target after the other")
         .arg(setting("seed", "Seed of the first fleet", "0 to 4294967295.").default_value("1"))
         .arg(setting("fleets", "Number of fleets", "1 to 1000.").default_value("40"))
 }
@@ -214,7 +214,7 @@
 
 fn quota_command() -> Command {
     Command::new("quota")
-        .about("Compares strategies to hold a quota or a target's limit over all boxes, on random fleets")
+        .about("Compares strategies to hold a quota or a target's limit over all boxes")
         .arg(setting("seed", "Seed of the first fleet", "0 to 4294967295.").default_value("1"))
         .arg(setting("fleets", "Number of fleets", "1 to 1000.").default_value("20"))
         .arg(setting("boxes", "Boxes of each fleet", "2 to 2000.").default_value("113"))
@@ -227,10 +227,17 @@
             .default_value("100"),
         )
         .arg(
-            setting("burst", "Requests that are allowed at once on top of the rate", "0 to 100000.")
-                .default_value("100"),
+            setting(
+                "burst",
+                "Requests that are allowed at once on top of the rate",
+                "0 to 100000.",
+            )
+            .default_value("100"),
+        )
+        .arg(
+            setting("loss", "Share of the datagrams that are lost", "0 to 0.9.")
+                .default_value("0.002"),
         )
-        .arg(setting("loss", "Share of the datagrams that are lost", "0 to 0.9.").default_value("0.002"))
         .arg(
             setting("bound", "Bound that windows are checked against", "customers or targets.")
                 .default_value("customers"),
--- a/crates/bench/src/spread/cores.rs
+++ b/crates/bench/src/spread/cores.rs
@@ -65,7 +65,8 @@
     numbers: HashMap<Arc<str>, usize>,
     /// Events by time and sequence number, with the box that they are for.
     events: BinaryHeap<Reverse<(u64, u64, usize)>>,
-    /// Messages with their sender, by the sequence number of their arrival; other events are timers.
+    /// Messages with their sender, by the sequence number of their arrival; other events are
+    /// timers.
     in_transit: HashMap<u64, (usize, FrameBody)>,
     sequence: u64,
     now: u64,
@@ -159,8 +160,8 @@
         }
     }
 
-    /// Returns the calls to the store per second: watchers watch keys and box list separately, and read
-    /// both completely every [`RESYNC_SECONDS`].
+    /// Returns the calls to the store per second: watchers watch keys and box list separately, and
+    /// read both completely every [`RESYNC_SECONDS`].
     fn store_calls(&self) -> f64 {
         let watchers = self.watchers().len() as f64;
         watchers * 2.0 * (1.0 / WATCH_SECONDS + 1.0 / RESYNC_SECONDS)
@@ -175,8 +176,8 @@
         (0..self.bench.boxes).filter(watches).collect()
     }
 
-    /// Accepts a change now. With the store cut off, only the watchers of two data centres receive it:
-    /// that is the condition under which a change counts as accepted.
+    /// Accepts a change now. With the store cut off, only the watchers of two data centres receive
+    /// it: that is the condition under which a change counts as accepted.
     fn change(&mut self, number: usize) {
         let key = format!("policy/p{number}");
         let entry = entry(&key, 1);
--- a/crates/bench/src/spread/mod.rs
+++ b/crates/bench/src/spread/mod.rs
@@ -1,8 +1,8 @@
 //! Measures how fast a change takes effect in all boxes, and the cost of the exchange between them.
 //!
-//! Up to [`MAX_REAL_BOXES`] boxes run in this process as real agents and proxies with a stand-in store.
-//! Larger fleets run as the agents' cores in virtual time, with simulated delays between data centres and
-//! simulated message loss.
+//! Up to [`MAX_REAL_BOXES`] boxes run in this process as real agents and proxies with a stand-in
+//! store. Larger fleets run as the agents' cores in virtual time, with simulated delays between
+//! data centres and simulated message loss.
 
 pub mod cores;
 pub mod real;
@@ -11,7 +11,8 @@
 
 /// Maximum number of boxes that run as real agents in one process.
 pub const MAX_REAL_BOXES: usize = 40;
-/// Shares of messages that are lost; each has a row with the store reachable and one with it cut off.
+/// Shares of messages that are lost; each has a row with the store reachable and one with it cut
+/// off.
 pub const LOSSES: [f64; 3] = [0.0, 0.1, 0.3];
 
 /// Settings of a measurement.
@@ -50,7 +51,8 @@
     /// Number of pairs of a change and a box that it did not reach before the end of the row.
     #[serde(rename = "lacking")]
     pub unreached: usize,
-    /// Number of times that a box replaced a version by an older one; cores count the same one, too.
+    /// Number of times that a box replaced a version by an older one; cores count the same one,
+    /// too.
     pub reverts: usize,
     /// Bytes per second that a box sends while idle, packet headers included.
     pub bytes_per_box_s: f64,
--- a/crates/bench/src/spread/real.rs
+++ b/crates/bench/src/spread/real.rs
@@ -123,7 +123,8 @@
         Counters {
             at: Instant::now(),
             seconds: 0.0,
-            // Each message is sent in a packet of its own: 70 bytes for its length prefix and packet headers.
+            // Each message is sent in a packet of its own: 70 bytes for its length prefix and
+            // packet headers.
             bytes: counter("wingbridge_bytes_sent ") + messages * 70.0,
             messages,
             calls: system.store.calls() as f64,
--- a/crates/bench/tests/crashes.rs
+++ b/crates/bench/tests/crashes.rs
@@ -9,8 +9,8 @@
     rows.iter().filter(|row| row.strategy == strategy).collect()
 }
 
-/// Without refusal a poison request ends each replaced target again: over 300 in 40 s, at 36 addresses. With
-/// refusal it ends three targets and those that it had reached by then.
+/// Without refusal a poison request ends each replaced target again: over 300 in 40 s, at 36
+/// addresses. With refusal it ends three targets and those that it had reached by then.
 #[test]
 fn poison_request_ends_few_targets_in_every_scenario() {
     let rows = measure_crashes(SEED, FLEETS);
--- a/crates/bench/tests/quota.rs
+++ b/crates/bench/tests/quota.rs
@@ -1,5 +1,5 @@
-//! Quotas of customers and limits of targets over fleets in virtual time: no window exceeds the bound under
-//! network cuts, restarts and delays, and few requests below the limit are refused.
+//! Quotas of customers and limits of targets over fleets in virtual time: no window exceeds the
+//! bound under network cuts, restarts and delays, and few requests below the limit are refused.
 
 use proptest::prelude::*;
 use wingbench::quota::scenario::{QuotaScenario, SCENARIOS};
@@ -95,8 +95,8 @@
     }
 }
 
-/// Under customers' coordinators each box may admit requests ahead of its grant, which adds up over forty
-/// boxes to more than twice the limit of a target.
+/// Under customers' coordinators each box may admit requests ahead of its grant, which adds up over
+/// forty boxes to more than twice the limit of a target.
 #[test]
 fn permits_hold_the_limit_of_a_target_and_customer_coordinators_break_it() {
     let worst = |strategy| {
