--- a/crates/agent/src/exchange/evidence.rs
+++ b/crates/agent/src/exchange/evidence.rs
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Relays a verdict that is new to the proxy and to the neighbours in this data centre, for
-    /// which it was reached.
+    /// Relays a verdict, if it is new, to the proxy and to the neighbours in this data centre. It is
+    /// not sent to other data centres, since it was reached for this one.
     pub(super) fn relay_verdict(
         &mut self,
         now: TimePoint,
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Relays a draining report that is new to all neighbours, since it holds in every data centre.
+    /// Relays a draining report, if it is new, to all neighbours, since it holds in every data
+    /// centre.
     pub(super) fn relay_draining(
         &mut self,
         now: TimePoint,
--- a/crates/agent/src/exchange/mod.rs
+++ b/crates/agent/src/exchange/mod.rs
@@ -224,7 +224,7 @@
             FrameBody::Draining(mut draining) => {
                 self.draining_reports += 1;
                 draining.origin = self.parts.identity.box_id.to_string();
-                // The time makes the numbers differ from those of an earlier process of this box.
+                // The time keeps the numbers unique across restarts of this agent.
                 draining.number = now.as_micros().wrapping_add(self.draining_reports);
                 self.relay_draining(now, None, draining);
             }
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -99,7 +99,7 @@
         PeerLinks { context, links: HashMap::new(), failed: HashMap::new() }
     }
 
-    /// Sends a message to a peer, over a new connection to `address` if there is none.
+    /// Sends a message to a peer, over a new connection to `address` if none is open.
     pub(crate) fn send(&mut self, to: &Arc<str>, address: Option<SocketAddr>, body: FrameBody) {
         let unsent = match self.links.get_mut(to) {
             Some(link) => {
--- a/crates/ctl/src/boxes.rs
+++ b/crates/ctl/src/boxes.rs
@@ -21,7 +21,7 @@
     /// Reason for this state.
     #[serde(rename = "why")]
     pub reason: String,
-    /// Paths that the state applies to: the one from this box, those from one data centre, or all.
+    /// Network paths to the target that the state applies to: from this box, from one data centre, or all.
     pub scope: String,
     /// Whether the box excludes the target from requests.
     #[serde(rename = "kept_out")]
--- a/crates/ctl/src/explain/episodes.rs
+++ b/crates/ctl/src/explain/episodes.rs
@@ -18,8 +18,8 @@
     pub episodes: usize,
     /// Number of first losses of an episode.
     pub first: usize,
-    /// Number of requests that were sent before the first loss had ended, when the box could not
-    /// consider it yet.
+    /// Number of requests that were sent before the first loss had ended, so the box could not
+    /// take that loss into account.
     #[serde(rename = "on_the_way")]
     pub in_flight: usize,
     /// Number of requests that were sent later, by an ordinary choice.
--- a/crates/demo/src/experiment.rs
+++ b/crates/demo/src/experiment.rs
@@ -59,7 +59,8 @@
     /// Difference of the median latencies through the proxy and directly to a target, in
     /// milliseconds.
     pub added_p50_ms: f64,
-    /// Difference of the 99th percentiles of both latencies, in milliseconds.
+    /// Difference of the 99th percentiles of the latencies through the proxy and directly to a
+    /// target, in milliseconds.
     pub added_p99_ms: f64,
     /// Invariants that did not hold.
     pub broken: Vec<String>,
@@ -68,7 +69,7 @@
 /// Runs the experiment for `seconds`.
 ///
 /// # Errors
-/// Returns an error if a component of the system ended with one or an agent did not answer.
+/// Returns an error if a component of the system failed or an agent did not answer.
 pub fn run_experiment(system: &mut SmallSystem, seconds: u64) -> eyre::Result<ExperimentReport> {
     let ledger = CallerLedger::default();
     let balancer = Arc::new(BalancerView::new(system));
@@ -175,7 +176,8 @@
         histogram.saturating_record(took.as_micros() as u64);
     }
 
-    /// Returns the difference of both latencies at `quantile`, in milliseconds.
+    /// Returns the latency through the proxy minus the direct latency at `quantile`, in
+    /// milliseconds.
     fn added(&self, quantile: f64) -> f64 {
         let at = |histogram: &Mutex<Histogram<u64>>| {
             let histogram = histogram.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/demo/src/system.rs
+++ b/crates/demo/src/system.rs
@@ -82,7 +82,7 @@
     pub agent: AgentAddresses,
     /// Addresses of its proxy.
     pub proxy: ProxyAddresses,
-    /// Cuts the connections of its agent to those of other boxes.
+    /// Cuts the connections between its agent and the agents of other boxes.
     pub cuts: LinkFaults,
     agent_run: Option<RunningComponent>,
     proxy_run: Option<RunningComponent>,
@@ -185,7 +185,7 @@
     /// Ends the agent of a box, but not its proxy.
     ///
     /// # Errors
-    /// Returns an error if the agent ended with one.
+    /// Returns an error if the agent ended with an error.
     pub fn stop_agent(&mut self, index: usize) -> eyre::Result<()> {
         let agent = self.boxes[index].agent_run.take();
         agent.map(RunningComponent::end).transpose()?;
--- a/crates/proxy/src/active_config.rs
+++ b/crates/proxy/src/active_config.rs
@@ -70,7 +70,7 @@
 }
 
 impl ConfigBuilder {
-    /// Applies entries. A version lower than that in force changes nothing.
+    /// Applies entries. Versions lower than the one in force are ignored.
     pub(crate) fn apply(&mut self, entries: &[Entry]) -> ConfigChange {
         let mut change = ConfigChange::default();
         for entry in entries {
--- a/crates/proxy/src/agent_link.rs
+++ b/crates/proxy/src/agent_link.rs
@@ -61,7 +61,7 @@
             select(reading, writing).await.factor_first().0
         };
         self.context.trace.record("agent-lost", &[]);
-        // A suspension by the agent ends with the link, until the agent repeats it.
+        // A suspension by the agent does not outlast the link; the agent has to repeat it.
         self.context.ready.suspend(false);
         result
     }
--- a/crates/proxy/src/answers.rs
+++ b/crates/proxy/src/answers.rs
@@ -68,8 +68,8 @@
     }
 }
 
-/// Converts a target's answer into the caller's, with the body `streamed` if the answer's own has
-/// not been read yet.
+/// Converts a target's answer into the answer for the caller. `streamed` becomes the body if the
+/// body of the target's answer has not been read yet.
 pub(crate) fn answered(answer: TargetAnswer, streamed: Option<Body>) -> CallerAnswer {
     let mut response = Response::new(answer.response.status());
     match (answer.body, streamed) {
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -25,8 +25,8 @@
     pub(crate) decisions: Sender<DecisionInput>,
     pub(crate) ready: ReadyFlag,
     next_number: AtomicU64,
-    /// Start time of the process, which makes its request ids differ from those of an earlier
-    /// process.
+    /// Start time of the process; part of request ids, which are therefore unique across
+    /// restarts.
     start_micros: u64,
 }
 
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -10,8 +10,8 @@
 
 /// Maximum number of idle connections to one target.
 const MAX_IDLE_PER_TARGET: usize = 8;
-/// Time after which an idle connection is no longer used, since targets close idle connections
-/// sooner or later.
+/// Time after which an idle connection is no longer used. Targets close idle connections after a
+/// time that the box does not know in advance.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A connection to a target without an outstanding answer.
--- a/crates/soak/src/driver.rs
+++ b/crates/soak/src/driver.rs
@@ -166,7 +166,7 @@
         Ok(())
     }
 
-    /// Supervises the processes as long as `check` returns true.
+    /// Supervises the processes until `check` returns false.
     ///
     /// # Errors
     /// Returns an error if the state of a process can't be read or a process can't be killed.
--- a/crates/soak/src/environment.rs
+++ b/crates/soak/src/environment.rs
@@ -97,8 +97,8 @@
         Ok(environment)
     }
 
-    /// Writes the next configuration. Beside the usual routes, each has a route of its own and that
-    /// of the version before.
+    /// Writes the next configuration. In addition to the usual routes, each version has one route
+    /// named after itself and one named after the previous version.
     pub fn change_config(&self) {
         let mut config = lock(&self.config.state);
         let version = config.version + 1;
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -32,13 +32,13 @@
     /// A target has this fault for this time.
     Target(usize, TargetMode, Duration),
     /// A target announces that it is draining, continues to serve for a while and ends; then
-    /// another target takes over its address. The flag says whether that one belongs to another
+    /// another target takes over its address. The flag is set if the new target belongs to another
     /// service.
     ReplaceTarget(usize, bool),
     /// A target ends without an announcement. Its entry is removed later, and then another target
     /// takes over its address.
     CrashTarget(usize),
-    /// This number of configurations is written, with this pause between them.
+    /// A number of configurations are written, with a pause between them.
     ChangeConfig(u32, Duration),
     /// A target refuses this share of requests and asks in the refusals for this back-off; the last
     /// field is how long it does so.
@@ -54,7 +54,7 @@
 /// All faults of a run, with the times at which they begin.
 #[derive(Debug, Clone)]
 pub struct FaultPlan {
-    /// Faults in the order of their begin, which counts from the start of the load.
+    /// Faults ordered by start time, which is relative to the start of the load.
     pub faults: Vec<(Duration, PlannedFault)>,
     /// Targets that ask for a back-off or drain with an announcement in answers only, with the
     /// times at which they begin.
@@ -107,7 +107,7 @@
 }
 
 impl FaultPlan {
-    /// Draws the plan of `seed`. Begin times are independent of each other, so that faults overlap.
+    /// Draws the plan of `seed`. Start times are independent of each other, so faults can overlap.
     pub fn draw(seed: u64, size: &PlanSize) -> FaultPlan {
         let mut random = StdRng::seed_from_u64(seed);
         let count = (size.time.as_secs_f64() * size.faults_per_s).ceil() as usize;
--- a/crates/soak/src/spans.rs
+++ b/crates/soak/src/spans.rs
@@ -21,7 +21,7 @@
 pub struct FaultSpan {
     /// The disturbed part.
     pub scope: SpanScope,
-    /// Begin of the disturbance.
+    /// Start of the disturbance.
     pub from: Instant,
     /// End of the disturbance; `None` while it lasts.
     pub until: Option<Instant>,
--- a/crates/soak/src/starvation.rs
+++ b/crates/soak/src/starvation.rs
@@ -1,6 +1,6 @@
 //! Measures how long the threads of a box waited for a processor.
 //!
-//! On a busy machine the threads of one processor may wait for seconds while those of others run
+//! On a busy machine the threads of one processor may wait for seconds while threads on others run
 //! on time, so the lateness of the soak's own threads does not show it. The kernel counts the run
 //! queue time of each thread. A box with a long wait between two measurements counts as disturbed,
 //! and all boxes do if the soak itself waited, as its callers and stand-ins were not running then.
--- a/crates/spread/src/core.rs
+++ b/crates/spread/src/core.rs
@@ -24,8 +24,8 @@
 const MAX_ENTRIES_BYTES: usize = 256 * 1024;
 /// Maximum number of differing buckets that one exchange compares.
 const MAX_BUCKETS_PER_EXCHANGE: usize = 16;
-/// Maximum number of entries that are pushed on. More entries at once are no new change, but a box
-/// that catches up.
+/// Maximum number of changed entries that are pushed on at once. A larger number does not come from
+/// new changes but from a box that catches up.
 const MAX_PUSHED_ENTRIES: usize = 8;
 /// Number of peers whose map a new box must have matched before its own map is complete.
 const SYNC_PEERS: usize = 3;
--- a/crates/spread/src/map.rs
+++ b/crates/spread/src/map.rs
@@ -24,7 +24,7 @@
 }
 
 impl SpreadMap {
-    /// Merges `entry` if its version is higher than that in the map; returns whether it was.
+    /// Merges `entry` if its version is higher than the one in the map; returns whether it was.
     pub fn merge(&mut self, entry: &Entry) -> bool {
         let bucket = bucket_of(&entry.key);
         if let Some(current) = self.entries.get(&entry.key) {
--- a/crates/spread/src/members.rs
+++ b/crates/spread/src/members.rs
@@ -15,8 +15,8 @@
 /// data centre pools its own, which is enough evidence there and saves messages between data
 /// centres.
 pub const MAX_POOLING_FLEET: usize = 200;
-/// Number of boxes that run the outlier detector of a service in the local data centre. The second one covers for the
-/// first while the member list still contains a box that has stopped.
+/// Number of boxes that run the outlier detector of a service in the local data centre. The second
+/// one covers for the first while the member list still contains a box that has stopped.
 const LOCAL_DETECTORS: usize = 2;
 /// Number of boxes of each data centre that watch the store.
 const WATCHERS: usize = 2;
@@ -102,8 +102,9 @@
         self.by_data_centre.keys()
     }
 
-    /// Returns the boxes that run the outlier detector of `service` for a box in `data_centre`: those of its own data
-    /// centre by descending rendezvous weight, then, in a small fleet, one of each other data centre.
+    /// Returns the boxes that run the outlier detector of `service` for a box in `data_centre`:
+    /// boxes of the same data centre by descending rendezvous weight, then, in a small fleet, one of
+    /// each other data centre.
     pub fn detectors(&self, service: &str, data_centre: &str) -> Vec<Arc<str>> {
         let mut detectors =
             highest_ranked(self.in_data_centre(data_centre), service, LOCAL_DETECTORS);
--- a/crates/store/src/value.rs
+++ b/crates/store/src/value.rs
@@ -62,7 +62,7 @@
         serde_json::to_string(self).expect("strings and numbers can be written as JSON")
     }
 
-    /// Returns the entry that boxes exchange for this value, which has no history.
+    /// Returns the entry that boxes exchange for this value. It contains no earlier versions.
     pub fn to_entry(&self, key: &str, revision: u64) -> Entry {
         let current = &self.current;
         Entry {
