--- a/crates/bench/src/crashes/mod.rs
+++ b/crates/bench/src/crashes/mod.rs
@@ -41,8 +41,7 @@
     counts_unknown_outcomes: true,
 };
 
-/// All strategies; the first is what boxes run, and each of the others differs from it in one
-/// respect.
+/// All strategies: the one that boxes run, and variants that change a part of it.
 pub const STRATEGIES: &[CrashStrategy] = &[
     CURRENT,
     CrashStrategy {
