--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -177,7 +177,7 @@
 async fn accept_all(
     listener: TcpListener,
     context: LinkContext,
-    connected: fn(&LinkContext, &Hello, Sender<FrameBody>),
+    on_connected: fn(&LinkContext, &Hello, Sender<FrameBody>),
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -186,7 +186,7 @@
         };
         let context = context.clone();
         task::spawn(async move {
-            if let Err(error) = serve_link(stream, &context, connected).await {
+            if let Err(error) = serve_link(stream, &context, on_connected).await {
                 log::debug!(reason:% = error; "peer-connection-ended");
             }
         });
@@ -196,7 +196,7 @@
 async fn serve_link(
     mut stream: TcpStream,
     context: &LinkContext,
-    connected: fn(&LinkContext, &Hello, Sender<FrameBody>),
+    on_connected: fn(&LinkContext, &Hello, Sender<FrameBody>),
 ) -> Result<(), WireError> {
     stream.set_nodelay(true)?;
     prove(&mut stream, &context.key, HandshakeSide::Server).await?;
@@ -206,7 +206,7 @@
         return Ok(());
     };
     let (queue, messages) = async_channel::bounded(LINK_QUEUE_LENGTH);
-    connected(context, &hello, queue.clone());
+    on_connected(context, &hello, queue.clone());
     let peer = Arc::from(hello.box_id.as_str());
     run_link(context, &peer, reader, writer, messages).await
 }
--- a/crates/agent/src/outgoing_evidence.rs
+++ b/crates/agent/src/outgoing_evidence.rs
@@ -12,8 +12,8 @@
 use wingbridge_decide::{EvidenceBatch, TimePoint};
 
 /// Delay of good samples for each box of the fleet.
-const WAIT_PER_BOX: Duration = Duration::from_micros(2500);
-const MAX_WAIT: Duration = Duration::from_secs(5);
+const DELAY_PER_BOX: Duration = Duration::from_micros(2500);
+const MAX_DELAY: Duration = Duration::from_secs(5);
 
 /// Evidence that has not been sent yet, by detector.
 #[derive(Debug, Default)]
@@ -31,8 +31,8 @@
 impl OutgoingEvidence {
     /// Queues a batch for `detector`.
     pub fn add(&mut self, now: TimePoint, detector: Arc<str>, batch: &EvidenceBatch) {
-        let new = || QueuedEvidence { since: now, urgent: false, batches: Vec::new() };
-        let queued = self.detectors.entry(detector).or_insert_with(new);
+        let empty = || QueuedEvidence { since: now, urgent: false, batches: Vec::new() };
+        let queued = self.detectors.entry(detector).or_insert_with(empty);
         queued.urgent |= has_bad_sample(batch);
         queued.batches.push(batch.clone());
     }
@@ -44,10 +44,10 @@
         boxes: usize,
     ) -> Vec<(Arc<str>, Vec<EvidenceBatch>)> {
         let boxes = u32::try_from(boxes).unwrap_or(u32::MAX);
-        let wait = WAIT_PER_BOX.saturating_mul(boxes).min(MAX_WAIT);
+        let delay = DELAY_PER_BOX.saturating_mul(boxes).min(MAX_DELAY);
         let due = self
             .detectors
-            .extract_if(.., |_, queued| queued.urgent || now.since(queued.since) >= wait);
+            .extract_if(.., |_, queued| queued.urgent || now.since(queued.since) >= delay);
         due.map(|(detector, queued)| (detector, queued.batches)).collect()
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -82,11 +82,14 @@
 
 /// Returns manual overrides as the TOML text that the store holds.
 pub fn overrides_text(overrides: &[ManualOverride]) -> String {
-    let of = |kind: OverrideKind| {
-        let some = overrides.iter().filter(|known| known.kind == kind);
-        some.map(|known| known.target.to_string()).collect()
+    let targets_of = |kind: OverrideKind| {
+        let selected = overrides.iter().filter(|existing| existing.kind == kind);
+        selected.map(|existing| existing.target.to_string()).collect()
+    };
+    let raw = RawOverrides {
+        eject: targets_of(OverrideKind::Eject),
+        drain: targets_of(OverrideKind::Drain),
     };
-    let raw = RawOverrides { eject: of(OverrideKind::Eject), drain: of(OverrideKind::Drain) };
     toml::to_string(&raw).expect("a list of strings can be written as TOML")
 }
 
@@ -106,54 +109,54 @@
     let text = toml::to_string(&RawFile { service: vec![raw.clone()] })
         .map_err(|error| ConfigError(error.to_string()))?;
     let name = raw.name.clone();
-    let wrong = |setting: &str, value: &dyn fmt::Display, allowed: &str| {
+    let invalid = |setting: &str, value: &dyn fmt::Display, allowed: &str| {
         ConfigError(format!("service '{name}': {setting} = {value}: allowed is {allowed}"))
     };
     if !is_name(&raw.name) {
-        return Err(wrong("name", &raw.name, "lower-case letters, digits and '-', 1 to 63"));
+        return Err(invalid("name", &raw.name, "lower-case letters, digits and '-', 1 to 63"));
     }
     if !is_name(&raw.policy) {
-        return Err(wrong("policy", &raw.policy, "lower-case letters, digits and '-', 1 to 63"));
+        return Err(invalid("policy", &raw.policy, "lower-case letters, digits and '-', 1 to 63"));
     }
     if raw.targets.is_empty() {
-        return Err(wrong("targets", &"[]", "at least one address"));
+        return Err(invalid("targets", &"[]", "at least one address"));
     }
     if !(0.0..=1.0).contains(&raw.floor) {
-        return Err(wrong("floor", &raw.floor, "a share from 0.0 to 1.0"));
+        return Err(invalid("floor", &raw.floor, "a share from 0.0 to 1.0"));
     }
     if !(1..=10_000).contains(&raw.slots) {
-        return Err(wrong("slots", &raw.slots, "1 to 10000"));
+        return Err(invalid("slots", &raw.slots, "1 to 10000"));
     }
     if !(0.0..=1.0).contains(&raw.retry_share) {
-        return Err(wrong("retry_share", &raw.retry_share, "a share from 0.0 to 1.0"));
+        return Err(invalid("retry_share", &raw.retry_share, "a share from 0.0 to 1.0"));
     }
     if !(1..=100_000).contains(&raw.open) {
-        return Err(wrong("open", &raw.open, "1 to 100000"));
+        return Err(invalid("open", &raw.open, "1 to 100000"));
     }
     if raw.queued > 100_000 {
-        return Err(wrong("queued", &raw.queued, "0 to 100000"));
+        return Err(invalid("queued", &raw.queued, "0 to 100000"));
     }
     if raw.backoff_s == 0 || raw.backoff_s > raw.backoff_most_s {
-        return Err(wrong("backoff_s", &raw.backoff_s, "1 to backoff_most_s"));
+        return Err(invalid("backoff_s", &raw.backoff_s, "1 to backoff_most_s"));
     }
     if raw.warm_up_s == 0 {
-        return Err(wrong("warm_up_s", &raw.warm_up_s, "1 or more"));
+        return Err(invalid("warm_up_s", &raw.warm_up_s, "1 or more"));
     }
     let Some(false_alarm_days) = bias_days(&raw.bias) else {
-        return Err(wrong("bias", &raw.bias, "\"careful\", \"quick\" or target-days as \"500\""));
+        return Err(invalid("bias", &raw.bias, "\"careful\", \"quick\" or target-days as \"500\""));
     };
     for route in &raw.routes {
         if !route.starts_with('/') {
-            return Err(wrong("routes", route, "a path that starts with '/'"));
+            return Err(invalid("routes", route, "a path that starts with '/'"));
         }
     }
     let mut targets: Vec<TargetSetup> = Vec::new();
     for address in &raw.targets {
         if address.parse::<SocketAddr>().is_err() {
-            return Err(wrong("targets", address, "an IP number and a port"));
+            return Err(invalid("targets", address, "an IP number and a port"));
         }
-        if targets.iter().any(|known| *known.address == **address) {
-            return Err(wrong("targets", address, "each address once"));
+        if targets.iter().any(|existing| *existing.address == **address) {
+            return Err(invalid("targets", address, "each address once"));
         }
         targets.push(TargetSetup { address: address.as_str().into(), slots: raw.slots });
     }
@@ -200,6 +203,6 @@
 }
 
 fn is_name(name: &str) -> bool {
-    let known = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
-    (1..=63).contains(&name.len()) && name.bytes().all(known)
+    let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
+    (1..=63).contains(&name.len()) && name.bytes().all(is_allowed)
 }
--- a/crates/config/src/routes.rs
+++ b/crates/config/src/routes.rs
@@ -17,9 +17,10 @@
     pub fn new<'a>(routes: impl IntoIterator<Item = (&'a str, Name)>) -> RouteTable {
         let mut table: HashMap<String, Name> = HashMap::new();
         for (route, service) in routes {
-            let held = table.entry(trimmed(route).to_string()).or_insert_with(|| service.clone());
-            if service < *held {
-                *held = service;
+            let current =
+                table.entry(trimmed(route).to_string()).or_insert_with(|| service.clone());
+            if service < *current {
+                *current = service;
             }
         }
         RouteTable { routes: table }
--- a/crates/proxy/src/answers.rs
+++ b/crates/proxy/src/answers.rs
@@ -8,7 +8,7 @@
 use wingbridge_http::server::text_response;
 
 use crate::attempt::TargetAnswer;
-use crate::headers::{self, OUTCOME, REQUEST};
+use crate::headers::{self, OUTCOME_HEADER, REQUEST_ID_HEADER};
 
 /// The outcome of a request for the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -42,8 +42,8 @@
 impl CallerAnswer {
     /// Adds the outcome and the request's id to the headers.
     pub(crate) fn with_headers(mut self, request: &str) -> CallerAnswer {
-        self.response.insert_header(OUTCOME, self.outcome.as_str());
-        self.response.insert_header(REQUEST, request);
+        self.response.insert_header(OUTCOME_HEADER, self.outcome.as_str());
+        self.response.insert_header(REQUEST_ID_HEADER, request);
         self
     }
 }
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -11,7 +11,7 @@
 use wingbridge_http::{ErrorKind, HttpError, IncomingResponse, MessageLimits, ResponseBody};
 
 use crate::context::ProxyContext;
-use crate::headers::{self, BOX, DEADLINE, REQUEST};
+use crate::headers::{self, BOX_ID_HEADER, DEADLINE_HEADER, REQUEST_ID_HEADER};
 use crate::inputs::DecisionInput;
 use crate::pool::TargetConnection;
 
@@ -66,8 +66,9 @@
     if let Some(connection) = pooled {
         match exchange(&context, &request, &target, connection, remaining).await {
             Ok(result) => return result,
-            // The target closed the idle connection while the request was sent. This is no failure
-            // of the target, and a request that uses a pooled connection may be repeated.
+            // The target closed the idle connection while the request was sent. This is not a
+            // failure of the target. Only requests that may be repeated use pooled connections, so
+            // this one is sent again over a new connection.
             Err(error) if error.kind() == ErrorKind::Truncated || error.kind() == ErrorKind::Io => {
             }
             Err(_) => return AttemptResult::without_answer(AttemptOutcome::Broken),
@@ -141,9 +142,9 @@
     for (name, value) in &request.headers {
         outgoing.append_header(name.as_str(), value.as_str());
     }
-    outgoing.insert_header(REQUEST, request.name.as_str());
-    outgoing.insert_header(BOX, &*context.box_id);
-    outgoing.insert_header(DEADLINE, remaining.as_millis().to_string());
+    outgoing.insert_header(REQUEST_ID_HEADER, request.name.as_str());
+    outgoing.insert_header(BOX_ID_HEADER, &*context.box_id);
+    outgoing.insert_header(DEADLINE_HEADER, remaining.as_millis().to_string());
     let had_type = outgoing.header("content-type").is_some();
     outgoing.set_body(request.body.clone());
     if !had_type {
--- a/crates/proxy/src/headers.rs
+++ b/crates/proxy/src/headers.rs
@@ -8,20 +8,27 @@
 use wingbridge_http::raw::head::HOP_BY_HOP;
 
 /// Response header with the outcome of the request.
-pub(crate) const OUTCOME: &str = "x-wingbridge-outcome";
+pub(crate) const OUTCOME_HEADER: &str = "x-wingbridge-outcome";
 /// Header with the id of the request, for caller and target.
-pub(crate) const REQUEST: &str = "x-wingbridge-request";
+pub(crate) const REQUEST_ID_HEADER: &str = "x-wingbridge-request";
 /// Header with the id of the box, for the target.
-pub(crate) const BOX: &str = "x-wingbridge-box";
+pub(crate) const BOX_ID_HEADER: &str = "x-wingbridge-box";
 /// Header with the remaining time in milliseconds, from the caller and for the target.
-pub(crate) const DEADLINE: &str = "x-deadline-ms";
-const NOT_RUN: &str = "x-not-run";
-const LOAD: &str = "x-target-load";
-const STATE: &str = "x-target-state";
-const INCARNATION: &str = "x-target-incarnation";
+pub(crate) const DEADLINE_HEADER: &str = "x-deadline-ms";
+const NOT_RUN_HEADER: &str = "x-not-run";
+const LOAD_HEADER: &str = "x-target-load";
+const STATE_HEADER: &str = "x-target-state";
+const INCARNATION_HEADER: &str = "x-target-incarnation";
 
 /// Headers that only wingbridge itself sets.
-const RESERVED: [&str; 6] = [OUTCOME, REQUEST, BOX, LOAD, STATE, INCARNATION];
+const RESERVED_HEADERS: [&str; 6] = [
+    OUTCOME_HEADER,
+    REQUEST_ID_HEADER,
+    BOX_ID_HEADER,
+    LOAD_HEADER,
+    STATE_HEADER,
+    INCARNATION_HEADER,
+];
 
 /// Returns the last value of a header, or an empty text if the header is missing.
 pub(crate) fn text(values: Option<&HeaderValues>) -> &str {
@@ -31,7 +38,7 @@
 /// Returns the headers of a request that are forwarded to the target.
 pub(crate) fn forwarded(request: &Request) -> Vec<(String, String)> {
     let connection_options = text(request.header("connection")).to_ascii_lowercase();
-    end_to_end(request.iter(), &connection_options, &["content-length", DEADLINE])
+    end_to_end(request.iter(), &connection_options, &["content-length", DEADLINE_HEADER])
 }
 
 /// Returns the headers of an answer that are returned to the caller.
@@ -45,8 +52,8 @@
 
 /// Returns the report of a target on itself in an answer.
 pub(crate) fn target_report(response: &Response) -> TargetReport {
-    let load: Option<f32> = text(response.header(LOAD)).parse().ok();
-    let state = match text(response.header(STATE)) {
+    let load: Option<f32> = text(response.header(LOAD_HEADER)).parse().ok();
+    let state = match text(response.header(STATE_HEADER)) {
         "draining" => ReportedState::Draining,
         "cold" => ReportedState::Cold,
         _ => ReportedState::Ready,
@@ -54,18 +61,18 @@
     TargetReport {
         load: load.filter(|load| load.is_finite()).map(|load| load.clamp(0.0, 100.0)),
         state,
-        incarnation: text(response.header(INCARNATION)).parse().ok(),
+        incarnation: text(response.header(INCARNATION_HEADER)).parse().ok(),
     }
 }
 
 /// Returns whether the target reports that it has not run any part of the request.
 pub(crate) fn is_not_run(response: &Response) -> bool {
-    response.status() as u16 == 503 && text(response.header(NOT_RUN)) == "1"
+    response.status() as u16 == 503 && text(response.header(NOT_RUN_HEADER)) == "1"
 }
 
 /// Returns the time that the caller allows for the request, if it sets one.
 pub(crate) fn caller_deadline(request: &Request) -> Option<Duration> {
-    let millis: u64 = text(request.header(DEADLINE)).parse().ok()?;
+    let millis: u64 = text(request.header(DEADLINE_HEADER)).parse().ok()?;
     Some(Duration::from_millis(millis))
 }
 
@@ -78,7 +85,7 @@
     for (name, values) in headers {
         let name = name.as_str();
         let dropped = HOP_BY_HOP.contains(&name)
-            || RESERVED.contains(&name)
+            || RESERVED_HEADERS.contains(&name)
             || excluded.contains(&name)
             || connection_options.split(',').any(|token| token.trim() == name);
         if !dropped {
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use wingbridge_platform_standins::{AnswerCheck, check_answer};
 
-use crate::environment::{HOST, KEY};
+use crate::environment::{API_KEY, HOST};
 use crate::fleet::{BoxLocation, is_ready};
 use crate::lock;
 use crate::plan::PoisonRound;
@@ -305,7 +305,7 @@
         length => format!("Content-Length: {length}\r\n"),
     };
     format!(
-        "{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {id}\r\nDeadline-Ms: {millis}\r\nX-Api-Key: {KEY}\r\n{length}\r\n"
+        "{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {id}\r\nDeadline-Ms: {millis}\r\nX-Api-Key: {API_KEY}\r\n{length}\r\n"
     )
 }
 
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -167,15 +167,16 @@
 }
 
 fn unexpected_arrivals(evidence: &SoakEvidence) -> Vec<String> {
-    let mut known: HashMap<&str, &str> = HashMap::new();
-    known.extend(evidence.records.iter().map(|record| (record.id.as_str(), record.path.as_str())));
+    let mut sent_paths: HashMap<&str, &str> = HashMap::new();
+    sent_paths
+        .extend(evidence.records.iter().map(|record| (record.id.as_str(), record.path.as_str())));
     let probes: HashSet<&str> = evidence.probes.iter().map(|probe| probe.id.as_str()).collect();
     let unexpected = evidence.arrivals.iter().filter(|arrival| {
         let path = arrival.line.split(' ').nth(1).unwrap_or_default();
         // Probes without an answer left no record; they are recognized by their ids.
         let is_probe =
             arrival.request.starts_with('p') || probes.contains(arrival.request.as_str());
-        let requested = known.get(arrival.request.as_str()).is_some_and(|sent| *sent == path);
+        let requested = sent_paths.get(arrival.request.as_str()).is_some_and(|sent| *sent == path);
         (!requested && !is_probe) || (arrival.ran && service_of(path) != arrival.service)
     });
     unexpected
@@ -185,8 +186,9 @@
 
 /// Finds requests that reached a target without the name of their customer or with an API key.
 fn wrong_credentials(evidence: &SoakEvidence) -> Vec<String> {
-    let named = |arrival: &&Arrival| arrival.customer.as_deref() == Some(CUSTOMER);
-    let wrong = evidence.arrivals.iter().filter(|arrival| !named(arrival) || arrival.has_key);
+    let names_customer = |arrival: &&Arrival| arrival.customer.as_deref() == Some(CUSTOMER);
+    let wrong =
+        evidence.arrivals.iter().filter(|arrival| !names_customer(arrival) || arrival.has_key);
     wrong.map(|arrival| format!("{} at {}", arrival.request, arrival.target)).collect()
 }
 
--- a/crates/soak/src/environment.rs
+++ b/crates/soak/src/environment.rs
@@ -235,7 +235,7 @@
 /// The customer to whom all callers belong.
 pub const CUSTOMER: &str = "hikers";
 /// The key that all callers send.
-pub const KEY: &str = "key-of-the-hikers";
+pub const API_KEY: &str = "key-of-the-hikers";
 
 /// Returns the service to which requests for `path` are routed.
 pub fn service_of(path: &str) -> &'static str {
@@ -280,7 +280,7 @@
     };
     // The second customer is present in every other version, so that its key is alternately granted
     // and withdrawn.
-    let mut customers = vec![customer(CUSTOMER, KEY)];
+    let mut customers = vec![customer(CUSTOMER, API_KEY)];
     if version.is_multiple_of(2) {
         customers.push(customer("now and then", "key-now-and-then"));
     }
--- a/crates/spread/src/core.rs
+++ b/crates/spread/src/core.rs
@@ -341,7 +341,7 @@
 
 fn stamp_among<'a>(stamps: &'a [KeyStamp], key: &str) -> Option<&'a wingbridge_wire::Stamp> {
     // Both sides list the keys in order, which allows a binary search.
-    let found = stamps.binary_search_by(|known| known.key.as_str().cmp(key)).ok()?;
+    let found = stamps.binary_search_by(|stamp| stamp.key.as_str().cmp(key)).ok()?;
     Some(&stamps[found].stamp)
 }
 
--- a/crates/spread/src/duplicate_filter.rs
+++ b/crates/spread/src/duplicate_filter.rs
@@ -6,7 +6,7 @@
 /// The last updates that were received, which keeps updates from being relayed in circles.
 #[derive(Debug)]
 pub struct DuplicateFilter<T> {
-    known: HashSet<T>,
+    seen: HashSet<T>,
     order: VecDeque<T>,
     capacity: usize,
 }
@@ -14,19 +14,19 @@
 impl<T: Clone + Eq + Hash> DuplicateFilter<T> {
     /// Creates a filter that remembers the last `capacity` updates.
     pub fn new(capacity: usize) -> DuplicateFilter<T> {
-        DuplicateFilter { known: HashSet::new(), order: VecDeque::new(), capacity }
+        DuplicateFilter { seen: HashSet::new(), order: VecDeque::new(), capacity }
     }
 
     /// Records an update; returns whether it is new.
     pub fn insert(&mut self, update: T) -> bool {
-        if !self.known.insert(update.clone()) {
+        if !self.seen.insert(update.clone()) {
             return false;
         }
         self.order.push_back(update);
         if self.order.len() > self.capacity
             && let Some(oldest) = self.order.pop_front()
         {
-            self.known.remove(&oldest);
+            self.seen.remove(&oldest);
         }
         true
     }
--- a/crates/store/src/backoff.rs
+++ b/crates/store/src/backoff.rs
@@ -27,8 +27,8 @@
     /// Records a failed call and returns the delay before the next one. Half of the delay is random,
     /// so that boxes don't retry in step.
     pub fn fail(&mut self, random: &mut impl Rng) -> Duration {
-        let doubled = self.first.saturating_mul(1 << self.failures.min(16)).min(self.max);
+        let delay = self.first.saturating_mul(1 << self.failures.min(16)).min(self.max);
         self.failures = self.failures.saturating_add(1);
-        doubled.mul_f64(0.5 + random.random::<f64>() / 2.0)
+        delay.mul_f64(0.5 + random.random::<f64>() / 2.0)
     }
 }
--- a/crates/store/src/change.rs
+++ b/crates/store/src/change.rs
@@ -87,24 +87,24 @@
     sent: &mut bool,
 ) -> Result<ChangeOutcome, StoreError> {
     let record = store.read_key(&request.key).await?;
-    let held = record.as_ref().map(parse_record).transpose()?;
+    let stored = record.as_ref().map(parse_record).transpose()?;
     let revision = record.as_ref().map_or(0, |record| record.revision);
-    if let (Some(held), Some(record)) = (&held, &record) {
-        if held.current.change == request.change {
-            let generation = held.current.generation;
+    if let (Some(stored), Some(record)) = (&stored, &record) {
+        if stored.current.change == request.change {
+            let generation = stored.current.generation;
             return Ok(ChangeOutcome::Accepted { revision: record.revision, generation });
         }
-        if held.history.iter().any(|version| version.change == request.change) {
+        if stored.history.iter().any(|version| version.change == request.change) {
             // The change took effect and was followed by another one.
-            let past = held.history.iter().find(|version| version.change == request.change);
-            let generation = past.map_or(0, |version| version.generation);
+            let earlier = stored.history.iter().find(|version| version.change == request.change);
+            let generation = earlier.map_or(0, |version| version.generation);
             return Ok(ChangeOutcome::Accepted { revision: record.revision, generation });
         }
     }
     if *basis.get_or_insert(revision) != revision {
-        return Ok(ChangeOutcome::Conflict { current: held });
+        return Ok(ChangeOutcome::Conflict { current: stored });
     }
-    let value = next_value(request, held.as_ref());
+    let value = next_value(request, stored.as_ref());
     let json = value.to_json();
     if json.len() > MAX_VALUE_BYTES {
         let reason = format!(
@@ -124,17 +124,17 @@
     Err(StoreError::Indeterminate("the key changed between the read and the write".into()))
 }
 
-fn next_value(request: &ChangeRequest, held: Option<&StoredValue>) -> StoredValue {
-    let known = held.map_or(0, |value| value.current.generation);
+fn next_value(request: &ChangeRequest, stored: Option<&StoredValue>) -> StoredValue {
+    let stored_generation = stored.map_or(0, |value| value.current.generation);
     let version = ValueVersion {
         change: request.change.clone(),
-        generation: known.max(request.fleet_generation) + 1,
+        generation: stored_generation.max(request.fleet_generation) + 1,
         deleted: request.text.is_none(),
         author: request.author.clone(),
         changed_at: request.changed_at,
         text: request.text.clone().unwrap_or_default(),
     };
-    StoredValue::after(held, version)
+    StoredValue::after(stored, version)
 }
 
 fn parse_record(record: &KeyRecord) -> Result<StoredValue, StoreError> {
--- a/crates/trace/src/page.rs
+++ b/crates/trace/src/page.rs
@@ -117,8 +117,8 @@
 }
 
 fn format_fields(event: &TraceEvent) -> String {
-    let words = event.fields.iter().map(|(name, value)| format!("{name}={value}"));
-    words.collect::<Vec<_>>().join(" ")
+    let pairs = event.fields.iter().map(|(name, value)| format!("{name}={value}"));
+    pairs.collect::<Vec<_>>().join(" ")
 }
 
 fn colour(kind: &str) -> &'static str {
