--- a/crates/demo/src/experiment.rs
+++ b/crates/demo/src/experiment.rs
@@ -51,8 +51,8 @@
     pub cut: u64,
     /// Number of answers that belonged to another request or were incomplete.
     pub wrong_answer: u64,
-    /// Time from the stall until the last request that the target got before it counted as
-    /// detected, in milliseconds; `None` if it was not detected.
+    /// Time from the stall until the last request that the target received before the stall counted
+    /// as detected, in milliseconds; `None` if it was not detected.
     pub detection_ms: Option<u64>,
     /// Number of ejections of targets without faults.
     pub false_ejections: u64,
@@ -114,7 +114,7 @@
     FaultTargets { stalled, cut: indices.next().unwrap_or(stalled) }
 }
 
-/// The role of the platform's balancer: it sends callers to the boxes in service, in turn.
+/// Stand-in for the platform's balancer: assigns callers to the boxes in service, in turn.
 struct BalancerView {
     boxes: Mutex<Vec<SocketAddr>>,
     stopped: AtomicBool,
@@ -128,7 +128,7 @@
     }
 
     fn remove(&self, address: SocketAddr) {
-        self.lock().retain(|known| *known != address);
+        self.lock().retain(|existing| *existing != address);
     }
 
     fn stop(&self) {
@@ -167,23 +167,23 @@
         LatencyPair { proxied: histogram(), direct: histogram(), closed: AtomicBool::new(false) }
     }
 
-    fn record(&self, direct: bool, took: Duration) {
+    fn record(&self, direct: bool, elapsed: Duration) {
         if self.closed.load(Ordering::Acquire) {
             return;
         }
         let histogram = if direct { &self.direct } else { &self.proxied };
         let mut histogram = histogram.lock().unwrap_or_else(PoisonError::into_inner);
-        histogram.saturating_record(took.as_micros() as u64);
+        histogram.saturating_record(elapsed.as_micros() as u64);
     }
 
     /// Returns the latency through the proxy minus the direct latency at `quantile`, in
     /// milliseconds.
     fn added(&self, quantile: f64) -> f64 {
-        let at = |histogram: &Mutex<Histogram<u64>>| {
+        let quantile_ms = |histogram: &Mutex<Histogram<u64>>| {
             let histogram = histogram.lock().unwrap_or_else(PoisonError::into_inner);
             histogram.value_at_quantile(quantile) as f64 / 1000.0
         };
-        at(&self.proxied) - at(&self.direct)
+        quantile_ms(&self.proxied) - quantile_ms(&self.direct)
     }
 }
 
@@ -309,8 +309,8 @@
     }
 }
 
-/// Watches a stalled target for `max_time`. Returns the time of its last request before it first
-/// got none for [`QUIET_TIME`], or `None` if that did not happen.
+/// Watches a stalled target for `max_time`. Returns the time of the last request before the first
+/// interval of [`QUIET_TIME`] without one, or `None` if there was no such interval.
 async fn measure_detection(
     target: &wingbridge_standin::TargetHandle,
     max_time: Duration,
