--- a/crates/proxy/src/agent_link.rs
+++ b/crates/proxy/src/agent_link.rs
@@ -146,7 +146,8 @@
         for event in change.events {
             self.send_to_core(event).await;
         }
-        // Until the first complete configuration, requests must not be served with a part of it.
+        // Requests must not be served with an incomplete configuration, so nothing is published
+        // before the first complete one.
         if self.caught_up.is_closed() {
             builder.publish(&self.context.config);
         }
--- a/crates/proxy/src/answers.rs
+++ b/crates/proxy/src/answers.rs
@@ -54,7 +54,7 @@
 }
 
 /// Returns the answer for a request that no target has answered.
-pub(crate) fn failed(conclusion: Conclusion) -> CallerAnswer {
+pub(crate) fn failure_answer(conclusion: Conclusion) -> CallerAnswer {
     match conclusion {
         Conclusion::NotRun { reason, retry_after } => {
             let status = if reason == RefuseReason::CallerLimit { 429 } else { 503 };
@@ -70,7 +70,7 @@
 
 /// Converts a target's answer into the answer for the caller. `streamed` becomes the body if the
 /// body of the target's answer has not been read yet.
-pub(crate) fn answered(answer: TargetAnswer, streamed: Option<Body>) -> CallerAnswer {
+pub(crate) fn caller_answer(answer: TargetAnswer, streamed: Option<Body>) -> CallerAnswer {
     let mut response = Response::new(answer.response.status());
     match (answer.body, streamed) {
         (ResponseBody::Complete(bytes), _) => response.set_body(bytes),
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -11,7 +11,7 @@
 use wingbridge_http::server::PeerRequest;
 use wingbridge_policy::{PolicyDecision, PolicyPlan, RequestView};
 
-use crate::answers::{CallerAnswer, answered, failed, not_run};
+use crate::answers::{CallerAnswer, caller_answer, failure_answer, not_run};
 use crate::attempt::OutgoingRequest;
 use crate::context::ProxyContext;
 use crate::headers;
@@ -82,11 +82,11 @@
     };
     let outgoing = Arc::new(outgoing_request(&context, incoming, &policy, id, &caller));
     match run_request(&context, id, Arc::clone(&outgoing), plan.clone()).await {
-        RequestResult::Failed(conclusion) => failed(conclusion),
+        RequestResult::Failed(conclusion) => failure_answer(conclusion),
         RequestResult::Answered(mut answer) => {
             let stream = StreamContext { context, outgoing, plan, head_timeout: policy.deadline };
             let body = stream_body(stream, &mut answer);
-            answered(*answer, body)
+            caller_answer(*answer, body)
         }
     }
 }
